--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,11 @@
 # `make test` runs every test; `make help` lists the rest.
 GO ?= go
 LINT = $(GO) run github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
+GOPLS = $(GO) run golang.org/x/tools/gopls@v0.23.0
 BUF = $(GO) tool -modfile=tools.mod buf
 BIN ?= bin
 
-.PHONY: self-check help dev build test generate docs generated-check format-check lint slopes soak
+.PHONY: self-check help dev build test generate docs generated-check format-check lint rename slopes soak
 
 help: ## list the targets
 	@grep -hE '^[a-z-]+:.*##' $(MAKEFILE_LIST) | sed 's/:.*## /\t/'
@@ -42,5 +43,8 @@
 	$(LINT) run ./...
 	$(BUF) lint
 
+rename: ## rename an identifier and all its uses: make rename AT=FILE:LINE:COLUMN TO=NAME
+	$(GOPLS) rename -w $(AT) $(TO)
+
 self-check: ## serve one request from end to end through each entry of a small cluster
 	$(GO) run ./cmd/jay-dev --self-check
