--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -17,37 +17,37 @@
 
 // heldBytes of an answer are read before the caller gets any of it: an answer
 // that breaks off before can still be replaced.
-const heldBytes = 256 << 10
+const maxBufferedBytes = 256 << 10
 
 // finishedAnswer is a whole answer of a server.
-type finishedAnswer struct {
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-const streamType = "text/event-stream"
+const eventStreamType = "text/event-stream"
 
 // take decides what becomes of an answer.
-func (j *job) take(choice *routing.DirectChoice, response *upstream.Response, answer *call.Answer) result {
+func (j *job) handleResponse(choice *routing.DirectChoice, response *upstream.Response, answer *call.Answer) sendOutcome {
 	server := choice.Server.ID
 	j.load, j.hasLoad = answer.Load, answer.HasLoad
 	switch {
 	case answer.Refused():
-		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, heldBytes))
-		j.refusedBy(choice, answer)
+		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedBytes))
+		j.handleRefusal(choice, answer)
 		return notRun
 	case answer.Status < http.StatusMultipleChoices && (!answer.Sealed || answer.Encoded):
 		klog.InfoS("Answer not sealed", "request", j.head.ID, "server", server, "status", answer.Status)
-		j.failed(server)
-		return unknown
-	case answer.Status < http.StatusMultipleChoices && strings.HasPrefix(response.Header.Get("Content-Type"), streamType):
-		return j.relay(choice, response)
+		j.recordServerFailure(server)
+		return indeterminate
+	case answer.Status < http.StatusMultipleChoices && strings.HasPrefix(response.Header.Get("Content-Type"), eventStreamType):
+		return j.forwardStream(choice, response)
 	}
-	return j.takeWhole(choice, response, answer)
+	return j.handleBuffered(choice, response, answer)
 }
 
-func (j *job) failed(server string) {
+func (j *job) recordServerFailure(server string) {
 	j.evidence.failed = true
 	s := j.gateway.state
 	s.mu.Lock()
@@ -57,7 +57,7 @@
 
 // refusedBy learns from a refusal: another instance at the address, other
 // weights than believed, or a full queue.
-func (j *job) refusedBy(choice *routing.DirectChoice, answer *call.Answer) {
+func (j *job) handleRefusal(choice *routing.DirectChoice, answer *call.Answer) {
 	klog.InfoS("Refused by server", "request", j.head.ID, "server", choice.Server.ID, "status", answer.Status,
 		"instance", answer.Instance, "version", answer.Version, "expected", choice.Server.Version, "running", answer.Load.Running, "waiting", answer.Load.Waiting)
 	j.gateway.metrics.Count("refused_by_server", strconv.Itoa(answer.Status), 1)
@@ -74,61 +74,61 @@
 		// has. Left out, it was missed when all others took new weights just then.
 		j.tried = j.tried[:len(j.tried)-1]
 		j.evidence.model, j.evidence.version = j.modelName(), j.gateway.state.versionOf(server.ID, j.modelName())
-	case j.deadline.Sub(now) < minUsefulTime:
+	case j.deadline.Sub(now) < minResendTime:
 		// The request waited there until its time was over: that says nothing of
 		// the server. Left alone for it, the busiest servers in an overload drove
 		// their work to fewer and fewer others.
 	case server.Version != 0:
 		// Most likely it is taking new weights: leave it alone until that shows.
-		j.gateway.state.announceSwitch(server.ID, server.Version+1, now.Add(refusedRest))
+		j.gateway.state.announceSwitch(server.ID, server.Version+1, now.Add(refusalPause))
 		j.evidence.refused = true
 	}
 }
 
 // refusedRest is how long a server that refused is left alone.
-const refusedRest = 500 * time.Millisecond
+const refusalPause = 500 * time.Millisecond
 
 // takeWhole reads a plain answer to its end before the caller gets it.
-func (j *job) takeWhole(choice *routing.DirectChoice, response *upstream.Response, answer *call.Answer) result {
-	body, err := io.ReadAll(io.LimitReader(response.Body, heldBytes))
+func (j *job) handleBuffered(choice *routing.DirectChoice, response *upstream.Response, answer *call.Answer) sendOutcome {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
 	if err != nil {
-		return j.brokenOff(choice, err)
+		return j.responseInterrupted(choice, err)
 	}
-	if len(body) == heldBytes {
-		return j.passLong(choice, response, body)
+	if len(body) == maxBufferedBytes {
+		return j.forwardLong(choice, response, body)
 	}
-	whole := &finishedAnswer{status: answer.Status, header: j.gateway.ports.Dialect.Back(response.Header), body: body}
-	if answer.Status >= http.StatusInternalServerError && j.route.Repeatable() && j.ranOn+1 < j.route.MaxAttempts {
+	whole := &bufferedResponse{status: answer.Status, header: j.gateway.ports.Dialect.ResponseHeader(response.Header), body: body}
+	if answer.Status >= http.StatusInternalServerError && j.route.Repeatable() && j.indeterminateSends+1 < j.route.MaxAttempts {
 		// The server's own failure: another may do better. It is passed on if not.
 		klog.InfoS("Server failed", "request", j.head.ID, "server", choice.Server.ID, "status", answer.Status)
-		j.failure = whole
-		return unknown
+		j.serverFailure = whole
+		return indeterminate
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		j.failed(choice.Server.ID)
+		j.recordServerFailure(choice.Server.ID)
 	}
-	j.whole = true
-	j.pass(whole)
+	j.complete = true
+	j.writeBuffered(whole)
 	return delivered
 }
 
-func (j *job) brokenOff(choice *routing.DirectChoice, err error) result {
+func (j *job) responseInterrupted(choice *routing.DirectChoice, err error) sendOutcome {
 	klog.InfoS("Answer broken off", "request", j.head.ID, "server", choice.Server.ID, "err", err, "events", j.stream.delivered,
 		"fingerprint", j.fingerprint().String(), "sentMS", time.Since(j.sentAt).Milliseconds())
 	if j.ctx.Err() != nil {
-		return ended
+		return canceled
 	}
-	j.failed(choice.Server.ID)
-	j.noteEarlyEnd(choice)
-	return unknown
+	j.recordServerFailure(choice.Server.ID)
+	j.recordEarlyInterruption(choice)
+	return indeterminate
 }
 
 // pass gives the caller a whole answer.
-func (j *job) pass(whole *finishedAnswer) {
-	j.copyHead(whole.header)
+func (j *job) writeBuffered(whole *bufferedResponse) {
+	j.copyHeader(whole.header)
 	j.writer.Header().Set("Content-Length", strconv.Itoa(len(whole.body)))
 	j.writer.WriteHeader(whole.status)
-	if j.caller.Method != http.MethodHead {
+	if j.inbound.Method != http.MethodHead {
 		if _, err := j.writer.Write(whole.body); err != nil {
 			j.outcome = "answer not written: " + err.Error()
 			return
@@ -137,7 +137,7 @@
 	j.outcome = "answered " + strconv.Itoa(whole.status)
 }
 
-func (j *job) copyHead(from http.Header) {
+func (j *job) copyHeader(from http.Header) {
 	to := j.writer.Header()
 	for name, values := range from {
 		to[name] = values
@@ -149,8 +149,8 @@
 }
 
 // passLong forwards an answer that is too long to be held.
-func (j *job) passLong(choice *routing.DirectChoice, response *upstream.Response, begun []byte) result {
-	j.copyHead(j.gateway.ports.Dialect.Back(response.Header))
+func (j *job) forwardLong(choice *routing.DirectChoice, response *upstream.Response, begun []byte) sendOutcome {
+	j.copyHeader(j.gateway.ports.Dialect.ResponseHeader(response.Header))
 	if response.Header.Get("Content-Length") != "" {
 		j.writer.Header().Set("Content-Length", response.Header.Get("Content-Length"))
 	}
@@ -161,13 +161,13 @@
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
 		// The head is out: only the end of the connection can tell that it is not whole.
-		j.brokenOff(choice, err)
-		j.finished(choice, unknown)
+		j.responseInterrupted(choice, err)
+		j.sendFinished(choice, indeterminate)
 		j.outcome = "long answer broken off"
-		j.note()
+		j.logOutcome()
 		panic(http.ErrAbortHandler)
 	}
-	j.whole = true
+	j.complete = true
 	j.outcome = "answered " + strconv.Itoa(response.Status)
 	return delivered
 }
--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/callerconn.go
@@ -46,15 +46,15 @@
 	mu sync.Mutex
 	// begun: bytes were read that no request was made of yet. busy: a request is
 	// being answered. reading: a read is under way.
-	begun, busy, reading bool
+	unparsed, serving, reading bool
 	// closing: a close came while a read waited. closed: the socket is closed.
-	closing, closed bool
+	closePending, closed bool
 	// readBy is the deadline of reads that the library asked for.
-	readBy time.Time
+	readDeadline time.Time
 }
 
 // past ends a read that waits.
-var past = time.Unix(1, 0)
+var expiredDeadline = time.Unix(1, 0)
 
 // Read implements net.Conn.
 func (c *callerConn) Read(p []byte) (int, error) {
@@ -69,7 +69,7 @@
 func (c *callerConn) beginRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing && !c.begun && !c.busy {
+	if c.closePending && !c.unparsed && !c.serving {
 		return false
 	}
 	c.reading = true
@@ -84,11 +84,11 @@
 	if n == 0 {
 		return
 	}
-	c.begun = true
-	if c.closing {
-		c.closing = false
+	c.unparsed = true
+	if c.closePending {
+		c.closePending = false
 		// An error shows with the next read.
-		_ = c.Conn.SetReadDeadline(c.readBy)
+		_ = c.Conn.SetReadDeadline(c.readDeadline)
 	}
 }
 
@@ -96,8 +96,8 @@
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readBy = t
-	if c.closing {
+	c.readDeadline = t
+	if c.closePending {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -108,11 +108,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.begun || c.busy:
+	case c.unparsed || c.serving:
 		return nil
 	case c.reading:
-		c.closing = true
-		return c.Conn.SetReadDeadline(past)
+		c.closePending = true
+		return c.Conn.SetReadDeadline(expiredDeadline)
 	}
 	c.closed = true
 	return c.Conn.Close()
@@ -136,7 +136,7 @@
 }
 
 // noteCallerState is the server's hook on the states of its connections.
-func noteCallerState(conn net.Conn, state http.ConnState) {
+func trackCallerState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*callerConn)
 	if !ok {
 		return
@@ -145,9 +145,9 @@
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateActive:
-		c.begun, c.busy = false, true
+		c.unparsed, c.serving = false, true
 	case http.StateIdle, http.StateHijacked:
-		c.busy = false
+		c.serving = false
 	case http.StateClosed:
 		// Served to its end: an error would say that it is closed already.
 		c.closed = true
@@ -166,7 +166,7 @@
 
 // callerListens tells whether a request's connection can carry its answer. It
 // holds from then on, as no close from outside ends a busy connection.
-func callerListens(ctx context.Context) bool {
+func callerReachable(ctx context.Context) bool {
 	c, ok := ctx.Value(callerConnKey{}).(*callerConn)
 	return !ok || !c.isClosed()
 }
--- a/internal/gateway/callerconn_test.go
+++ b/internal/gateway/callerconn_test.go
@@ -15,12 +15,12 @@
 
 // stopInRead calls stop when the second request's bytes have been read and
 // nobody has looked at them yet.
-type stopInRead struct {
+type stopAfterRead struct {
 	net.Listener
 	stop func()
 }
 
-func (l stopInRead) Accept() (net.Conn, error) {
+func (l stopAfterRead) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	return &stoppingConn{Conn: c, stop: l.stop}, err
 }
@@ -67,7 +67,7 @@
 // A booking is run and its caller sees the connection end without an answer.
 // The process was told to stop between reading the booking's bytes and finding
 // a request in them, and closed the connection as an idle one.
-func TestAStopAnswersWhatItHasRead(t *testing.T) {
+func TestShutdownAnswersRequestsAlreadyRead(t *testing.T) {
 	var server *http.Server
 	base, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -79,12 +79,12 @@
 		}),
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if slow, ok := c.(*slowConn); ok {
-				noteCallerState(slow.callerConn, state)
+				trackCallerState(slow.callerConn, state)
 			}
 		},
 	}
 	stop := func() { server.SetKeepAlivesEnabled(false) }
-	go func() { _ = server.Serve(slowListener{callerListener{stopInRead{base, stop}}}) }()
+	go func() { _ = server.Serve(slowListener{callerListener{stopAfterRead{base, stop}}}) }()
 	defer server.Close()
 	caller, err := net.Dial("tcp", base.Addr().String())
 	require.NoError(t, err)
@@ -104,9 +104,9 @@
 
 // The same with the process stopped a moment later: the library had found the
 // connection idle, and closed it when the booking was under way.
-func TestACloseFromOutsideWaitsForTheAnswer(t *testing.T) {
+func TestCloseDuringRequestWaitsForResponse(t *testing.T) {
 	caller, _ := serveOne(t, func(w http.ResponseWriter, r *http.Request) {
-		conn, ok := r.Context().Value(connKey{}).(net.Conn)
+		conn, ok := r.Context().Value(testConnKey{}).(net.Conn)
 		require.True(t, ok)
 		require.NoError(t, conn.Close())
 		w.Header().Set("Connection", "close")
@@ -120,7 +120,7 @@
 }
 
 // A head that can't be read, or never ends, holds no connection open.
-func TestABrokenHeadEndsItsConnection(t *testing.T) {
+func TestInvalidHeaderClosesConnection(t *testing.T) {
 	for name, head := range map[string]string{"malformed": "GET\r\n\r\n", "unfinished": "GET / HTTP/1.1\r\nHo"} {
 		t.Run(name, func(t *testing.T) {
 			caller, closed := serveOne(t, func(http.ResponseWriter, *http.Request) {})
@@ -133,7 +133,7 @@
 	}
 }
 
-type connKey struct{}
+type testConnKey struct{}
 
 // serveOne serves one caller; closed tells what a write to its connection gives
 // after it was served.
@@ -144,9 +144,9 @@
 	closed = make(chan error, 1)
 	server := &http.Server{
 		ReadHeaderTimeout: 200 * time.Millisecond, Handler: handle,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, testConnKey{}, c) },
 		ConnState: func(c net.Conn, state http.ConnState) {
-			noteCallerState(c, state)
+			trackCallerState(c, state)
 			if state == http.StateClosed {
 				_, err := c.Write([]byte("x"))
 				closed <- err
@@ -164,29 +164,29 @@
 
 // closedInRead is a socket whose bytes have left the kernel when the connection
 // is closed from outside, and have not come back to the reader yet.
-type closedInRead struct {
+type closeDuringRead struct {
 	net.Conn
 	outside func()
 	closed  bool
 }
 
-func (c *closedInRead) Read(p []byte) (int, error) {
+func (c *closeDuringRead) Read(p []byte) (int, error) {
 	c.outside()
 	return copy(p, "POST"), nil
 }
 
-func (c *closedInRead) Close() error {
+func (c *closeDuringRead) Close() error {
 	c.closed = true
 	return nil
 }
 
-func (c *closedInRead) SetReadDeadline(time.Time) error { return nil }
+func (c *closeDuringRead) SetReadDeadline(time.Time) error { return nil }
 
 // A booking was run and its caller saw the connection end 1 ms before. The
 // close of idle connections at a stop came when the booking's first bytes had
 // left the kernel, but the reader had not yet said so.
-func TestACloseDuringAReadLosesNothing(t *testing.T) {
-	socket := &closedInRead{}
+func TestCloseDuringReadKeepsReceivedBytes(t *testing.T) {
+	socket := &closeDuringRead{}
 	conn := &callerConn{Conn: socket}
 	socket.outside = func() { require.NoError(t, conn.Close()) }
 	n, err := conn.Read(make([]byte, 16))
@@ -197,7 +197,7 @@
 
 // A close from outside must end a connection on which nothing comes, at once
 // and not when its idle time is over.
-func TestACloseEndsAReadThatWaits(t *testing.T) {
+func TestCloseInterruptsIdleRead(t *testing.T) {
 	base, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer base.Close()
@@ -227,17 +227,17 @@
 // Two requests came in one packet. The connection was closed as idle between
 // the first answer and the look at the second request, which was sent on then
 // with nobody left to hear its answer.
-func TestARequestOfAClosedConnectionIsNotSent(t *testing.T) {
-	socket := &closedInRead{outside: func() {}}
+func TestPipelinedRequestOnClosedConnectionIsNotSent(t *testing.T) {
+	socket := &closeDuringRead{outside: func() {}}
 	conn := &callerConn{Conn: socket}
-	noteCallerState(conn, http.StateActive)
-	noteCallerState(conn, http.StateIdle)
+	trackCallerState(conn, http.StateActive)
+	trackCallerState(conn, http.StateIdle)
 	require.NoError(t, conn.Close())
 	require.True(t, socket.closed)
-	noteCallerState(conn, http.StateActive)
-	assert.False(t, callerListens(withCallerConn(context.Background(), conn)))
-	open := &callerConn{Conn: &closedInRead{outside: func() {}}}
-	noteCallerState(open, http.StateActive)
+	trackCallerState(conn, http.StateActive)
+	assert.False(t, callerReachable(withCallerConn(context.Background(), conn)))
+	open := &callerConn{Conn: &closeDuringRead{outside: func() {}}}
+	trackCallerState(open, http.StateActive)
 	require.NoError(t, open.Close(), "ignored: a request is being answered")
-	assert.True(t, callerListens(withCallerConn(context.Background(), open)))
+	assert.True(t, callerReachable(withCallerConn(context.Background(), open)))
 }
--- a/internal/gateway/datagrams.go
+++ b/internal/gateway/datagrams.go
@@ -153,13 +153,13 @@
 		offer := g.state.offer(time.Now(), body.Ask)
 		d.tell(from, &jayv1.Datagram{Body: &jayv1.Datagram_Offer{Offer: offer}})
 	case *jayv1.Datagram_Offer:
-		g.placing.answered(body.Offer, from)
+		g.placements.receiveOffer(body.Offer, from)
 	case *jayv1.Datagram_Progress:
 		g.state.progress(time.Now(), body.Progress)
 	case *jayv1.Datagram_Switches:
 		g.takeSwitchWords(body.Switches)
 	case *jayv1.Datagram_Strikes:
-		g.takeStrikes(body.Strikes, from.String())
+		g.receiveCrashes(body.Strikes, from.String())
 	default:
 		g.metrics.Count("datagrams", "unknown", 1)
 	}
--- a/internal/gateway/datagrams_test.go
+++ b/internal/gateway/datagrams_test.go
@@ -35,7 +35,7 @@
 			return
 		}
 		g := &Gateway{settings: Settings{Node: "gw1"}, state: newOwner("gw1"), metrics: metrics.New(8), peers: newPeers(Settings{Node: "gw1"})}
-		g.placing, g.hints, g.datagrams = newPlacing(g), &hints{gateway: g}, &datagrams{gateway: g}
+		g.placements, g.hints, g.datagrams = newPlacementClient(g), &hints{gateway: g}, &datagrams{gateway: g}
 		g.datagrams.take(word, nil)
 		g.datagrams.take(word, nil)
 	})
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -146,21 +146,21 @@
 	operators := &feed{table: g.ports.Decoder.OperatorTable, wait: operatorWait, relayPause: relayPause, apply: g.applyOperator}
 	backends := &feed{copy: mirror.NewCopy(g.ports.Decoder.SameBackend), table: g.ports.Decoder.BackendTable, pause: g.backendPause(), relayPause: relayPause, apply: g.applyBackends}
 	entries := &feed{table: g.ports.Decoder.EntryTable, wait: operatorWait, pause: entriesPause, relayPause: relayPause, apply: g.applyEntries}
-	suspected := &feed{table: g.ports.Decoder.SuspectTable, wait: operatorWait, pause: entriesPause, relayPause: suspectRelayPause, apply: g.applySuspects}
+	suspected := &feed{table: g.ports.Decoder.SuspectTable, wait: operatorWait, pause: entriesPause, relayPause: suspectRelayInterval, apply: g.applySuspects}
 	g.feeds = []*feed{operators, backends, entries, suspected}
 	placed := time.Now().Add(placeWait)
 	g.spawn(func() { g.run(ctx, operators, placed) })
 	g.spawn(func() { g.run(ctx, backends, placed) })
 	g.spawn(func() { g.run(ctx, entries, time.Time{}) })
 	g.spawn(func() { g.run(ctx, suspected, placed) })
-	g.spawn(func() { g.spreadSuspects(ctx) })
+	g.spawn(func() { g.publishSuspects(ctx) })
 	g.spawn(func() { g.fallBack(ctx, backends) })
 	g.spawn(func() { g.register(ctx) })
 	g.spawn(func() { g.learnWeights(ctx) })
-	g.spawn(func() { g.every(ctx, serveTick, g.serveRoom) })
+	g.spawn(func() { g.every(ctx, waitQueueInterval, g.serveWaitQueue) })
 	g.spawn(func() { g.watchStores(ctx) })
 	g.startRollouts(ctx)
-	g.spawn(func() { g.every(ctx, stateTick, g.tick) })
+	g.spawn(func() { g.every(ctx, stateTickInterval, g.tick) })
 }
 
 func (g *Gateway) every(ctx context.Context, period time.Duration, do func(now time.Time)) {
@@ -189,7 +189,7 @@
 	var askedAt time.Time
 	for ctx.Err() == nil {
 		for f.version() > 0 && !g.peers.placed() && time.Now().Before(placed) && ctx.Err() == nil {
-			sleep(ctx, drainStep)
+			sleep(ctx, drainPollInterval)
 		}
 		from := g.throughRelay(ctx, f)
 		if from == relayGave {
@@ -292,7 +292,7 @@
 		batch, err = g.ports.Tables.Changes(ctx, f.table, after, wait)
 	}
 	if errors.Is(err, g.ports.HistoryGone) {
-		batch, err = g.ports.Tables.Whole(ctx, f.table)
+		batch, err = g.ports.Tables.Snapshot(ctx, f.table)
 	}
 	if err != nil {
 		return err
--- a/internal/gateway/feeds_test.go
+++ b/internal/gateway/feeds_test.go
@@ -22,7 +22,7 @@
 
 var errLostStore = errors.New("store lost")
 
-func (s *lostStore) Whole(context.Context, string) (mirror.Batch, error) {
+func (s *lostStore) Snapshot(context.Context, string) (mirror.Batch, error) {
 	s.calls.Add(1)
 	return mirror.Batch{}, errLostStore
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -19,30 +19,30 @@
 
 const (
 	// connectTime bounds the opening of a connection to a backend server.
-	connectTime = 250 * time.Millisecond
+	connectTimeout = 250 * time.Millisecond
 	// silenceTime is how long bytes sent to one may stay unacknowledged.
-	silenceTime = 1200 * time.Millisecond
+	ackTimeout = 1200 * time.Millisecond
 	// stateTick lets beliefs lapse and closes idle connections.
-	stateTick = 250 * time.Millisecond
+	stateTickInterval = 250 * time.Millisecond
 	// firstConfigWait: callers are let in without a configuration after this
 	// time, and hear 503 until there is one.
-	firstConfigWait = 5 * time.Second
+	firstConfigTimeout = 5 * time.Second
 	// maxMetricLabels bounds the names of routes in metrics.
 	maxMetricLabels = 256
 	// headerBytes and headerTime bound heads until a configuration says otherwise.
-	headerBytes = 16 << 10
-	headerTime  = 5 * time.Second
-	idleTime    = 60 * time.Second
+	defaultHeaderBytes   = 16 << 10
+	defaultHeaderTimeout = 5 * time.Second
+	defaultIdleTimeout   = 60 * time.Second
 	// The balancer asks once a second and needs two refusals; then no new
 	// callers come, and what is on its way arrives within drainOnWay.
-	drainQuestions = 2
-	drainOnWay     = 500 * time.Millisecond
+	minNotReadyProbes = 2
+	drainArrivalTime  = 500 * time.Millisecond
 	// drainAtMost is when connections are closed though the balancer has not
 	// asked: its questions may be lost.
-	drainAtMost = 3500 * time.Millisecond
+	maxProbeWait = 3500 * time.Millisecond
 	// drainReserve of the grace time is kept for the end of the process.
-	drainReserve = 700 * time.Millisecond
-	drainStep    = 20 * time.Millisecond
+	shutdownReserve   = 700 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 )
 
 // Gateway is one running process. Stop it with Shutdown.
@@ -55,19 +55,19 @@
 	peers    *peers
 	hints    *hints
 	// datagrams between entries, placing what it asks of them.
-	datagrams *datagrams
-	placing   *placing
-	feeds     []*feed
-	keeper    *lease.Keeper
+	datagrams  *datagrams
+	placements *placementClient
+	feeds      []*feed
+	keeper     *lease.Keeper
 
-	callers  *http.Server
-	inner    []*http.Server
-	active   atomic.Int64
-	stopping atomic.Bool
+	callerServer    *http.Server
+	internalServers []*http.Server
+	active          atomic.Int64
+	stopping        atomic.Bool
 	// open: callers' address is listened on.
-	open atomic.Bool
+	callersListening atomic.Bool
 	// notReadyAnswers counts answers to the balancer since the signal to stop.
-	notReadyAnswers atomic.Int64
+	notReadyResponses atomic.Int64
 
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
@@ -75,15 +75,15 @@
 
 // Start opens the process's addresses and begins to follow the tables.
 func Start(ctx context.Context, settings Settings, ports Ports) (*Gateway, error) {
-	pool := upstream.NewPool(connectTime, silenceTime)
+	pool := upstream.NewPool(connectTimeout, ackTimeout)
 	g := &Gateway{
 		settings: settings, ports: ports, pool: pool,
 		state: newState(settings, pool.Forget), metrics: metrics.New(maxMetricLabels),
 	}
 	g.peers = newPeers(settings)
-	g.placing = newPlacing(g)
+	g.placements = newPlacementClient(g)
 	ctx, g.cancel = context.WithCancel(ctx)
-	if err := g.listenInner(); err != nil {
+	if err := g.listenInternal(); err != nil {
 		return nil, err
 	}
 	g.startDatagrams(ctx)
@@ -109,9 +109,9 @@
 // awaitConfig waits a little for the first configuration, which sets the
 // limits of callers' connections.
 func (g *Gateway) awaitConfig(ctx context.Context) {
-	until := time.Now().Add(firstConfigWait)
+	until := time.Now().Add(firstConfigTimeout)
 	for !g.state.ready() && time.Now().Before(until) && ctx.Err() == nil {
-		time.Sleep(drainStep)
+		time.Sleep(drainPollInterval)
 	}
 }
 
@@ -120,24 +120,24 @@
 	if err != nil {
 		return eris.Wrap(err, "listen for callers")
 	}
-	g.callers = &http.Server{
-		Handler: g, MaxHeaderBytes: headerBytes, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime,
-		ErrorLog: quietLog(), ConnState: noteCallerState, ConnContext: withCallerConn,
+	g.callerServer = &http.Server{
+		Handler: g, MaxHeaderBytes: defaultHeaderBytes, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
+		ErrorLog: discardLog(), ConnState: trackCallerState, ConnContext: withCallerConn,
 	}
 	if table := g.state.table.Load(); table != nil {
 		limits := table.Limits
 		if limits.HeaderBytes > 0 {
-			g.callers.MaxHeaderBytes = limits.HeaderBytes
+			g.callerServer.MaxHeaderBytes = limits.HeaderBytes
 		}
 		if limits.HeaderTimeout > 0 {
-			g.callers.ReadHeaderTimeout = limits.HeaderTimeout
+			g.callerServer.ReadHeaderTimeout = limits.HeaderTimeout
 		}
 		if limits.IdleTimeout > 0 {
-			g.callers.IdleTimeout = limits.IdleTimeout
+			g.callerServer.IdleTimeout = limits.IdleTimeout
 		}
 	}
-	g.serve(g.callers, callerListener{listener})
-	g.open.Store(true)
+	g.serve(g.callerServer, callerListener{listener})
+	g.callersListening.Store(true)
 	return nil
 }
 
@@ -150,17 +150,17 @@
 }
 
 // listenInner opens what the balancer, other entries and operators ask.
-func (g *Gateway) listenInner() error {
+func (g *Gateway) listenInternal() error {
 	handlers := map[string]http.Handler{}
 	if g.settings.ReadyAddress != "" {
-		handlers[g.settings.ReadyAddress] = http.HandlerFunc(g.answerReady)
+		handlers[g.settings.ReadyAddress] = http.HandlerFunc(g.serveReady)
 	}
 	if g.settings.ControlAddress != "" {
 		handlers[g.settings.ControlAddress] = g.controlRoutes()
 	}
 	if g.settings.MetricsAddress != "" {
 		mux := echo.New()
-		mux.GET("/metrics", g.giveMetrics)
+		mux.GET("/metrics", g.serveMetrics)
 		handlers[g.settings.MetricsAddress] = mux
 	}
 	for address, handler := range handlers {
@@ -168,16 +168,16 @@
 		if err != nil {
 			return eris.Wrapf(err, "listen on %s", address)
 		}
-		server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ErrorLog: quietLog()}
-		g.inner = append(g.inner, server)
+		server := &http.Server{Handler: handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: discardLog()}
+		g.internalServers = append(g.internalServers, server)
 		g.serve(server, listener)
 	}
 	return nil
 }
 
 // giveMetrics writes all metrics as text, gauges as of now.
-func (g *Gateway) giveMetrics(c echo.Context) error {
-	g.gauges(time.Now())
+func (g *Gateway) serveMetrics(c echo.Context) error {
+	g.updateGauges(time.Now())
 	c.Response().Header().Set(echo.HeaderContentType, echo.MIMETextPlainCharsetUTF8)
 	c.Response().WriteHeader(http.StatusOK)
 	g.metrics.WriteText(c.Response())
@@ -185,7 +185,7 @@
 }
 
 // gauges shows how old each belief is, and what is left of each budget.
-func (g *Gateway) gauges(now time.Time) {
+func (g *Gateway) updateGauges(now time.Time) {
 	for _, f := range g.feeds {
 		g.metrics.Gauge("belief_version", f.table, int64(f.version())) //nolint:gosec // a count
 		g.metrics.Gauge("belief_age_ms", f.table, g.tableAge(now, f).Milliseconds())
@@ -211,13 +211,13 @@
 }
 
 // answerReady tells the balancer whether callers may come.
-func (g *Gateway) answerReady(w http.ResponseWriter, _ *http.Request) {
+func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if g.stopping.Load() {
-		g.notReadyAnswers.Add(1)
+		g.notReadyResponses.Add(1)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if !g.open.Load() || !g.state.ready() {
+	if !g.callersListening.Load() || !g.state.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -231,28 +231,28 @@
 // and the last of them would be cut.
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	begun := time.Now()
-	end := begun.Add(g.settings.Grace - drainReserve)
+	end := begun.Add(g.settings.Grace - shutdownReserve)
 	klog.InfoS("Stopping", "active", g.active.Load(), "until", end)
 	g.stopping.Store(true)
 	if g.keeper != nil {
 		g.keeper.Close(ctx)
 	}
 	g.unregister(ctx)
-	g.callers.SetKeepAlivesEnabled(false)
-	for time.Since(begun) < drainAtMost && ctx.Err() == nil && g.notReadyAnswers.Load() < drainQuestions {
-		time.Sleep(drainStep)
+	g.callerServer.SetKeepAlivesEnabled(false)
+	for time.Since(begun) < maxProbeWait && ctx.Err() == nil && g.notReadyResponses.Load() < minNotReadyProbes {
+		time.Sleep(drainPollInterval)
 	}
-	sleep(ctx, drainOnWay)
+	sleep(ctx, drainArrivalTime)
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	err := g.callers.Shutdown(ctx)
+	err := g.callerServer.Shutdown(ctx)
 	// Shutdown no longer counts a connection whose close a callerConn ignored.
 	for g.active.Load() > 0 && ctx.Err() == nil {
-		sleep(ctx, drainStep)
+		sleep(ctx, drainPollInterval)
 	}
 	klog.InfoS("Stopped", "active", g.active.Load(), "tookMS", time.Since(begun).Milliseconds(), "err", err)
 	g.cancel()
-	for _, server := range g.inner {
+	for _, server := range g.internalServers {
 		_ = server.Close()
 	}
 	return nil
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -16,7 +16,7 @@
 // identity of the request across its caller's attempts.
 func (j *job) identity() quarantine.Identity {
 	identity := quarantine.Identity{
-		Host: j.caller.Host, Method: j.message.Method, Target: j.message.Target, Body: j.message.Body,
+		Host: j.inbound.Host, Method: j.outbound.Method, Target: j.outbound.Target, Body: j.outbound.Body,
 	}
 	if j.workspace != nil {
 		identity.Caller = j.workspace.Name
@@ -27,7 +27,7 @@
 func (j *job) fingerprint() quarantine.Fingerprint { return j.hashes.Fingerprint() }
 
 // fingerprintOf a send that may have run, for logs; empty for others.
-func (j *job) fingerprintOf(outcome result) string {
+func (j *job) fingerprintOf(outcome sendOutcome) string {
 	if outcome == notSent {
 		return ""
 	}
@@ -35,14 +35,14 @@
 }
 
 // suspected tells whether anything is known of the request.
-func (j *job) suspected() bool {
-	return j.gateway.state.suspects.mayKnow(&j.hashes)
+func (j *job) isSuspect() bool {
+	return j.gateway.state.suspects.mayBeSuspect(&j.hashes)
 }
 
 // isHeld tells whether the request must not be sent, and when its caller may
 // come back. A trial that is due is claimed first.
-func (j *job) isHeld() (retryAfter time.Duration, held bool) {
-	if j.trial > 0 || !j.suspected() {
+func (j *job) checkQuarantine() (retryAfter time.Duration, held bool) {
+	if j.trial > 0 || !j.isSuspect() {
 		return 0, false
 	}
 	g := j.gateway
@@ -55,24 +55,24 @@
 }
 
 // turnBack answers a request that is held.
-func (j *job) turnBack(after time.Duration) {
-	j.gateway.metrics.Count("held_back", j.class(), 1)
-	klog.InfoS("Request held back", "request", j.head.ID, "fingerprint", j.fingerprint().String(), "retryAfterMS", after.Milliseconds(), "ranOn", j.ranOn)
+func (j *job) respondQuarantined(after time.Duration) {
+	j.gateway.metrics.Count("held_back", j.routeLabel(), 1)
+	klog.InfoS("Request held back", "request", j.head.ID, "fingerprint", j.fingerprint().String(), "retryAfterMS", after.Milliseconds(), "ranOn", j.indeterminateSends)
 	const why = "held: servers crashed under it"
-	if j.ranOn > 0 {
+	if j.indeterminateSends > 0 {
 		j.giveUp(why)
 		return
 	}
-	j.refuse(why, after)
+	j.respondUnavailable(why, after)
 }
 
 // apartKey is what keeps a suspected request from others; 0: it is none. It
 // changes with each crash, so that two that met once part. By their prefix they
 // would all go to its home, and no crash could tell which is at fault.
-func (j *job) apartKey() uint64 {
-	crashes := len(j.brokeEarly)
-	if j.suspected() {
-		crashes += j.gateway.state.suspects.strikes(j.fingerprint())
+func (j *job) separationKey() uint64 {
+	crashes := len(j.interruptedEarly)
+	if j.isSuspect() {
+		crashes += j.gateway.state.suspects.crashCount(j.fingerprint())
 	}
 	if crashes == 0 {
 		return 0
@@ -83,19 +83,19 @@
 
 // suspectsAllowRepeat tells whether a run that broke off may be repeated as far
 // as its server's end is concerned.
-func (j *job) suspectsAllowRepeat() bool {
+func (j *job) crashesAllowRepeat() bool {
 	if j.trial > 0 {
 		return false
 	}
-	if len(j.brokeEarly) == 0 {
+	if len(j.interruptedEarly) == 0 {
 		return true
 	}
-	return j.gateway.state.suspects.mayRepeat(j.fingerprint(), j.brokeEarly)
+	return j.gateway.state.suspects.mayRepeat(j.fingerprint(), j.interruptedEarly)
 }
 
 // noteEarlyEnd takes in that a run ended with its connection. Where it had just
 // begun, the server is asked whether it still listens.
-func (j *job) noteEarlyEnd(choice *routing.DirectChoice) {
+func (j *job) recordEarlyInterruption(choice *routing.DirectChoice) {
 	now := time.Now()
 	if !quarantine.JustBegun(now, j.firstEventAt) {
 		return
@@ -104,10 +104,10 @@
 	if g.state.isDraining(server.ID) {
 		return
 	}
-	j.brokeEarly = append(j.brokeEarly, server.ID)
-	g.state.suspects.broke(now, quarantine.Strike{Request: j.fingerprint(), Server: server.ID})
-	if g.state.suspects.mayAsk(server.ID) {
-		g.spawn(func() { g.askListens(server.ID, server.Address) })
+	j.interruptedEarly = append(j.interruptedEarly, server.ID)
+	g.state.suspects.runInterrupted(now, quarantine.Strike{Request: j.fingerprint(), Server: server.ID})
+	if g.state.suspects.beginProbe(server.ID) {
+		g.spawn(func() { g.probeServer(server.ID, server.Address) })
 	}
 }
 
@@ -121,24 +121,24 @@
 
 // askListens finds out whether a server's process has ended. Waiting for the next
 // request that is sent there would let the caller's next attempt go first.
-func (g *Gateway) askListens(server, address string) {
-	ctx, cancel := context.WithTimeout(context.Background(), connectTime)
+func (g *Gateway) probeServer(server, address string) {
+	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
-	err := g.pool.Probe(ctx, address, keepUnsaid)
+	err := g.pool.Probe(ctx, address, defaultKeepAlive)
 	now := time.Now()
-	g.state.suspects.answered(now, server, err == nil)
+	g.state.suspects.endProbe(now, server, err == nil)
 	if errors.Is(err, upstream.ErrNoListener) {
 		g.state.sendFailed(now, server, err)
 	}
 }
 
 // settle takes in how the request ended, for what is believed of it.
-func (j *job) settle() {
+func (j *job) settleSuspect() {
 	s := j.gateway.state.suspects
 	switch {
-	case j.whole && j.suspected():
+	case j.complete && j.isSuspect():
 		s.clear(j.fingerprint(), "ran whole")
-	case j.trial > 0 && !j.reached:
-		s.released(j.fingerprint(), j.trial)
+	case j.trial > 0 && !j.mayHaveStarted:
+		s.trialReleased(j.fingerprint(), j.trial)
 	}
 }
--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -77,9 +77,9 @@
 func (s *state) leftLocked(now time.Time, b *fleet.Backend, source string) {
 	klog.InfoS("Backend server gone", "server", b.ID, "source", source)
 	if b.Draining {
-		s.suspects.left(b.ID)
+		s.suspects.serverEnded(b.ID)
 	} else {
-		s.suspects.crashed(now, b.ID)
+		s.suspects.serverCrashed(now, b.ID)
 	}
 	for _, router := range s.routers() {
 		router.Left(b.ID)
@@ -132,7 +132,7 @@
 		return
 	}
 	klog.InfoS("Lifetime over", "server", id, "source", source)
-	s.suspects.crashed(now, id)
+	s.suspects.serverCrashed(now, id)
 	s.emptiedLocked(id)
 }
 
@@ -177,6 +177,6 @@
 func (s *state) notListeningLocked(now time.Time, server string) {
 	s.members.NotListening(now, server)
 	if b := s.list.Get(server); b != nil && !b.Draining {
-		s.suspects.crashed(now, server)
+		s.suspects.serverCrashed(now, server)
 	}
 }
--- a/internal/gateway/lifetimes_test.go
+++ b/internal/gateway/lifetimes_test.go
@@ -14,7 +14,7 @@
 // half a minute: with each entry of the list it worked the members out anew, and
 // its VM has a third of a core. A router that restarts serves at once.
 func TestALongListIsTakenInAtOnce(t *testing.T) {
-	s := newRestartSite()
+	s := newRestartFixture()
 	var changes []backendChange
 	for i := range 3000 {
 		changes = append(changes, backendChange{entry: &fleet.Backend{
--- a/internal/gateway/logs.go
+++ b/internal/gateway/logs.go
@@ -7,4 +7,4 @@
 
 // quietLog drops what net/http says of callers' broken connections: a line for
 // each would let callers fill the log.
-func quietLog() *log.Logger { return log.New(io.Discard, "", 0) }
+func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
--- a/internal/gateway/owning.go
+++ b/internal/gateway/owning.go
@@ -202,7 +202,7 @@
 			next = max(next, version+1)
 		}
 	}
-	s.switches[server] = switching{version: next, until: now.Add(refusedRest)}
+	s.switches[server] = switching{version: next, until: now.Add(refusalPause)}
 }
 
 // evidence is what an entry saw of the server that a request was sent to.
--- a/internal/gateway/owning_test.go
+++ b/internal/gateway/owning_test.go
@@ -138,7 +138,7 @@
 	t.Cleanup(cancel)
 	open := func(node, ip string) *Gateway {
 		g := &Gateway{settings: Settings{Node: node, HintAddress: ip}, metrics: metrics.New(8), state: newOwner(node), peers: newPeers(Settings{Node: node})}
-		g.placing = newPlacing(g)
+		g.placements = newPlacementClient(g)
 		g.startDatagrams(ctx)
 		require.NotNil(t, g.datagrams.conn)
 		return g
@@ -154,7 +154,7 @@
 func TestAnOwnerIsAskedByDatagram(t *testing.T) {
 	one, other := datagramPair(t)
 	owner := shard.Entry{Name: "gw2", Address: "127.0.0.2:1"}
-	offer := one.placing.ask(context.Background(), owner, askFor(7, "aa"))
+	offer := one.placements.askOwner(context.Background(), owner, askFor(7, "aa"))
 	require.NotNil(t, offer)
 	require.Equal(t, jayv1.PlacementOffer_OUTCOME_SERVER, offer.GetOutcome())
 	running := func() int {
@@ -163,7 +163,7 @@
 		return other.state.own.Running(serverNamed(other.state, offer.GetServer()))
 	}
 	assert.Equal(t, 1, running())
-	one.placing.giveBack(&offered{owner: owner, PlacementOffer: offer}, nil)
+	one.placements.releaseOffer(&ownerOffer{owner: owner, PlacementOffer: offer}, nil)
 	assert.Eventually(t, func() bool { return running() == 0 }, time.Second, time.Millisecond)
 }
 
@@ -174,7 +174,7 @@
 	offer := other.state.offer(time.Now(), askFor(9, "aa"))
 	server := serverNamed(other.state, offer.GetServer())
 	from := other.datagrams.conn.LocalAddr().(*net.UDPAddr)
-	one.placing.answered(offer, from)
+	one.placements.receiveOffer(offer, from)
 	assert.Eventually(t, func() bool {
 		other.state.mu.Lock()
 		defer other.state.mu.Unlock()
@@ -188,10 +188,10 @@
 	one, _ := datagramPair(t)
 	gone := shard.Entry{Name: "gw3", Address: "127.0.0.9:1"}
 	begun := time.Now()
-	assert.Nil(t, one.placing.ask(context.Background(), gone, askFor(1, "aa")))
-	assert.Less(t, time.Since(begun), 10*askTime)
-	time.Sleep(askTime)
-	assert.Nil(t, one.placing.ask(context.Background(), gone, askFor(2, "aa")))
+	assert.Nil(t, one.placements.askOwner(context.Background(), gone, askFor(1, "aa")))
+	assert.Less(t, time.Since(begun), 10*ownerTimeout)
+	time.Sleep(ownerTimeout)
+	assert.Nil(t, one.placements.askOwner(context.Background(), gone, askFor(2, "aa")))
 	one.state.mu.Lock()
 	defer one.state.mu.Unlock()
 	for _, owner := range one.state.divisionLocked(time.Now(), "engines").Owners {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -185,9 +185,9 @@
 	e.GET("/v1/tables/:table", g.giveTable)
 	e.POST("/v1/switches", g.takeSwitches)
 	e.GET("/v1/weights", g.giveWeights)
-	e.GET("/v1/suspects", g.giveSuspects)
-	e.DELETE("/v1/suspects/:fingerprint", g.freeSuspect)
-	e.GET("/metrics", g.giveMetrics)
+	e.GET("/v1/suspects", g.serveSuspects)
+	e.DELETE("/v1/suspects/:fingerprint", g.serveClearSuspect)
+	e.GET("/metrics", g.serveMetrics)
 	return e
 }
 
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -19,10 +19,10 @@
 	// askTime is how long an owner's answer is waited for: some round trips
 	// between data centres, and a process that waits for its processor. Then the
 	// entry decides alone: late knowledge is worth less than the caller's time.
-	askTime = 40 * time.Millisecond
+	ownerTimeout = 40 * time.Millisecond
 	// reaskPause between two questions for a request that waits for memory, which
 	// becomes free with the end of requests that take hundreds of milliseconds.
-	reaskPause = 100 * time.Millisecond
+	ownerRetryInterval = 100 * time.Millisecond
 )
 
 // sharded tells whether owners are asked. A few entries tell each other all that
@@ -33,7 +33,7 @@
 }
 
 // deciders is how many entries decide by what they know of all servers.
-func (g *Gateway) deciders() int {
+func (g *Gateway) decidingEntries() int {
 	if g.sharded() {
 		return g.peers.strong()
 	}
@@ -41,30 +41,30 @@
 }
 
 // decides tells whether this entry is one of them.
-func (g *Gateway) decides() bool {
+func (g *Gateway) isDeciding() bool {
 	return !g.sharded() || g.peers.isStrong()
 }
 
 // offered is a server that an owner offered, and counts our request at.
-type offered struct {
+type ownerOffer struct {
 	owner shard.Entry
 	*jayv1.PlacementOffer
 }
 
 // placing asks owners where to send requests.
-type placing struct {
+type placementClient struct {
 	gateway *Gateway
 	mu      sync.Mutex
 	// open questions by key; each channel has room for its one answer.
-	open map[uint64]chan *jayv1.PlacementOffer
+	pending map[uint64]chan *jayv1.PlacementOffer
 }
 
-func newPlacing(g *Gateway) *placing {
-	return &placing{gateway: g, open: map[uint64]chan *jayv1.PlacementOffer{}}
+func newPlacementClient(g *Gateway) *placementClient {
+	return &placementClient{gateway: g, pending: map[uint64]chan *jayv1.PlacementOffer{}}
 }
 
 // ask asks one owner; nil when it does not answer in time.
-func (p *placing) ask(ctx context.Context, owner shard.Entry, question *jayv1.PlacementAsk) *jayv1.PlacementOffer {
+func (p *placementClient) askOwner(ctx context.Context, owner shard.Entry, question *jayv1.PlacementAsk) *jayv1.PlacementOffer {
 	g := p.gateway
 	if owner.Name == g.settings.Node {
 		return g.state.offer(time.Now(), question)
@@ -72,13 +72,13 @@
 	begun := time.Now()
 	answer := make(chan *jayv1.PlacementOffer, 1)
 	p.mu.Lock()
-	p.open[question.GetKey()] = answer
+	p.pending[question.GetKey()] = answer
 	p.mu.Unlock()
 	err := g.datagrams.send(g.datagrams.addressOf(owner.Address), &jayv1.Datagram{Body: &jayv1.Datagram_Ask{Ask: question}})
 	if err != nil {
 		klog.V(1).InfoS("Owner not asked", "owner", owner.Name, "err", err)
 	}
-	offer := p.await(ctx, question.GetKey(), answer)
+	offer := p.awaitOffer(ctx, question.GetKey(), answer)
 	now := time.Now()
 	switch {
 	case offer != nil:
@@ -86,7 +86,7 @@
 		g.state.ownerAnswered(owner.Name)
 	case ctx.Err() == nil:
 		g.metrics.Count("placement_unanswered", owner.Name, 1)
-		g.state.ownerMissed(now, owner.Name)
+		g.state.ownerTimedOut(now, owner.Name)
 	}
 	return offer
 }
@@ -102,8 +102,8 @@
 }
 
 // await waits for an owner's answer; nil: there is none in time.
-func (p *placing) await(ctx context.Context, key uint64, answer chan *jayv1.PlacementOffer) *jayv1.PlacementOffer {
-	timer := time.NewTimer(askTime)
+func (p *placementClient) awaitOffer(ctx context.Context, key uint64, answer chan *jayv1.PlacementOffer) *jayv1.PlacementOffer {
+	timer := time.NewTimer(ownerTimeout)
 	defer timer.Stop()
 	select {
 	case offer := <-answer:
@@ -113,7 +113,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.open, key)
+	delete(p.pending, key)
 	select {
 	case offer := <-answer:
 		return offer
@@ -124,10 +124,10 @@
 
 // answered takes in an owner's answer. One that comes too late is given back, so
 // that the owner does not count a request that went elsewhere.
-func (p *placing) answered(offer *jayv1.PlacementOffer, from *net.UDPAddr) {
+func (p *placementClient) receiveOffer(offer *jayv1.PlacementOffer, from *net.UDPAddr) {
 	p.mu.Lock()
-	answer, ok := p.open[offer.GetKey()]
-	delete(p.open, offer.GetKey())
+	answer, ok := p.pending[offer.GetKey()]
+	delete(p.pending, offer.GetKey())
 	if ok {
 		answer <- offer
 	}
@@ -136,18 +136,18 @@
 		return
 	}
 	p.gateway.metrics.Count("placement_late", "given back", 1)
-	p.gateway.datagrams.tell(from, progressWord(&jayv1.PlacementProgress{Key: offer.GetKey(), Ended: true}))
+	p.gateway.datagrams.tell(from, progressDatagram(&jayv1.PlacementProgress{Key: offer.GetKey(), Ended: true}))
 }
 
-func progressWord(p *jayv1.PlacementProgress) *jayv1.Datagram {
+func progressDatagram(p *jayv1.PlacementProgress) *jayv1.Datagram {
 	return &jayv1.Datagram{Body: &jayv1.Datagram_Progress{Progress: p}}
 }
 
 // report tells the owner of an offer how the request goes on.
-func (p *placing) report(owner shard.Entry, progress *jayv1.PlacementProgress) {
+func (p *placementClient) sendProgress(owner shard.Entry, progress *jayv1.PlacementProgress) {
 	g := p.gateway
 	if owner.Name != g.settings.Node {
-		g.datagrams.tell(g.datagrams.addressOf(owner.Address), progressWord(progress))
+		g.datagrams.tell(g.datagrams.addressOf(owner.Address), progressDatagram(progress))
 		return
 	}
 	// Evidence on the server is known here already.
@@ -159,19 +159,19 @@
 
 // giveBack tells an owner that its offer is not used. instead is the offer that
 // is; nil: none.
-func (p *placing) giveBack(one, instead *offered) {
+func (p *placementClient) releaseOffer(one, instead *ownerOffer) {
 	if one == nil {
 		return
 	}
 	progress := &jayv1.PlacementProgress{Key: one.GetKey(), Ended: true}
 	if instead != nil && instead.GetVersion() == one.GetVersion() {
-		progress.Elsewhere = p.heldBy(instead)
+		progress.Elsewhere = p.futureHolder(instead)
 	}
-	p.report(one.owner, progress)
+	p.sendProgress(one.owner, progress)
 }
 
 // heldBy an offered server from when it has read the prefix.
-func (p *placing) heldBy(one *offered) *jayv1.Held {
+func (p *placementClient) futureHolder(one *ownerOffer) *jayv1.Held {
 	return &jayv1.Held{
 		Address: p.gateway.state.addressOf(one.GetServer()), Version: one.GetVersion(),
 		ReadyMs: one.GetQueueMs() + one.GetMemoryMs() + one.GetReadMs(),
@@ -179,7 +179,7 @@
 }
 
 // holderOf the prefix by an offer, for the next owner that is asked.
-func (p *placing) holderOf(one *offered) *jayv1.Held {
+func (p *placementClient) prefixHolder(one *ownerOffer) *jayv1.Held {
 	offer := routing.Offer{
 		Server:    routing.DirectServer{Address: p.gateway.state.addressOf(one.GetServer()), Version: one.GetVersion()},
 		FetchFrom: one.GetFetchFrom(), Source: routing.SourceOfCode(one.GetSource()),
@@ -197,22 +197,22 @@
 // bestOffer asks the owners in turn until one offers a server with a short
 // queue, and returns the best. routing.ErrNoRoom when all that answered have no
 // memory free, errNoOffer when there is nothing to compare.
-func (j *job) bestOffer(mayWait bool) (*offered, error) {
-	p := j.gateway.placing
-	question, owners := j.question(mayWait)
+func (j *job) bestOffer(mayWait bool) (*ownerOffer, error) {
+	p := j.gateway.placements
+	question, owners := j.buildAsk(mayWait)
 	err := errNoOffer
-	var best *offered
+	var best *ownerOffer
 	for _, owner := range owners {
 		question.Key = rand.Uint64() //nolint:gosec // told apart, not secret
-		offer := p.ask(j.ctx, owner, question)
+		offer := p.askOwner(j.ctx, owner, question)
 		switch offer.GetOutcome() {
 		case jayv1.PlacementOffer_OUTCOME_SERVER:
-			one := &offered{owner: owner, PlacementOffer: offer}
+			one := &ownerOffer{owner: owner, PlacementOffer: offer}
 			if best == nil || one.GetTotalMs() < best.GetTotalMs() {
 				best, one = one, best
 			}
-			p.giveBack(one, best)
-			question.Held = p.holderOf(best)
+			p.releaseOffer(one, best)
+			question.Held = p.prefixHolder(best)
 		case jayv1.PlacementOffer_OUTCOME_NO_ROOM:
 			err = routing.ErrNoRoom
 		}
@@ -227,12 +227,12 @@
 }
 
 // question is what the owners need to know of the request, and who they are.
-func (j *job) question(mayWait bool) (*jayv1.PlacementAsk, []shard.Entry) {
+func (j *job) buildAsk(mayWait bool) (*jayv1.PlacementAsk, []shard.Entry) {
 	s := j.gateway.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	request := j.routed(s)
+	request := j.routingRequest(s)
 	ask := &jayv1.PlacementAsk{
 		Service: j.service.Name, Model: j.modelName(), MayWait: mayWait, DataCentre: s.settings.DataCentre,
 		LeftMs: uint32(max(0, j.deadline.Sub(now)).Milliseconds()), //nolint:gosec // positive
@@ -257,14 +257,14 @@
 
 // accept sends the request where it was offered, and counts it there. False: by
 // what this entry knows of the server it can't.
-func (j *job) accept(now time.Time, one *offered) (routing.DirectChoice, bool) {
+func (j *job) acceptOffer(now time.Time, one *ownerOffer) (routing.DirectChoice, bool) {
 	s := j.gateway.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return j.acceptLocked(now, one)
+	return j.acceptOfferLocked(now, one)
 }
 
-func (j *job) acceptLocked(now time.Time, one *offered) (routing.DirectChoice, bool) {
+func (j *job) acceptOfferLocked(now time.Time, one *ownerOffer) (routing.DirectChoice, bool) {
 	s := j.gateway.state
 	b := s.list.ByHash(nameHash)[one.GetServer()]
 	if b == nil || b.Service != j.service.Name || !s.mayServe(now, b) || !s.members.Usable(b.ID) {
@@ -278,7 +278,7 @@
 	if j.isFull(&server) || server.VersionAge > s.settings.VersionBound-versionMargin {
 		return routing.DirectChoice{}, false
 	}
-	request := j.routed(s)
+	request := j.routingRequest(s)
 	choice := s.router.Adopt(now, &request, &routing.Offer{
 		Server: server, FetchFrom: one.GetFetchFrom(), SaveTo: one.GetSaveTo(), Source: routing.SourceOfCode(one.GetSource()),
 		QueueMS: float64(one.GetQueueMs()), MemoryMS: float64(one.GetMemoryMs()), ReadMS: float64(one.GetReadMs()),
@@ -289,7 +289,7 @@
 
 // placeShared lets the owners of the prefix's shards choose; the entry decides
 // alone where they don't answer, or offer what it can't use.
-func (j *job) placeShared(mayWait bool) (routing.DirectChoice, error) {
+func (j *job) placeByOwners(mayWait bool) (routing.DirectChoice, error) {
 	if !j.gateway.sharded() {
 		return j.place(mayWait)
 	}
@@ -298,22 +298,22 @@
 		return routing.DirectChoice{}, err
 	}
 	if err == nil {
-		if choice, ok := j.accept(time.Now(), best); ok {
+		if choice, ok := j.acceptOffer(time.Now(), best); ok {
 			return choice, nil
 		}
-		j.gateway.placing.giveBack(best, nil)
+		j.gateway.placements.releaseOffer(best, nil)
 	}
-	j.gateway.metrics.Count("placed_alone", j.class(), 1)
+	j.gateway.metrics.Count("placed_alone", j.routeLabel(), 1)
 	return j.place(mayWait)
 }
 
 // tellOwner reports on the request to the owner that offered its server, if any.
-func (j *job) tellOwner(progress *jayv1.PlacementProgress) {
+func (j *job) notifyOwner(progress *jayv1.PlacementProgress) {
 	if j.offer == nil {
 		return
 	}
 	progress.Key = j.offer.GetKey()
-	j.gateway.placing.report(j.offer.owner, progress)
+	j.gateway.placements.sendProgress(j.offer.owner, progress)
 }
 
 // ownerName is who chose the server; empty: this entry.
@@ -325,7 +325,7 @@
 }
 
 // ownerMissed takes in that an owner did not answer in time.
-func (s *state) ownerMissed(now time.Time, name string) {
+func (s *state) ownerTimedOut(now time.Time, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.shards.Missed(now, name) {
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -21,20 +21,20 @@
 type Dialect interface {
 	// Decode reads a caller's head; call.ErrMalformed when it can't be understood.
 	Decode(h http.Header) (call.Head, error)
-	// Forward makes the head for a backend server.
-	Forward(from http.Header, d call.Directions) http.Header
+	// RequestHeader makes the head for a backend server.
+	RequestHeader(from http.Header, d call.Directions) http.Header
 	// Answer reads the head of a backend server's answer, Back makes the caller's.
 	Answer(status int, h http.Header) call.Answer
-	Back(from http.Header) http.Header
+	ResponseHeader(from http.Header) http.Header
 	// Refuse writes the head of a refusal of our own.
 	Refuse(h http.Header, requestID string, after time.Duration)
 }
 
 // Tables reads the tables that operators and backend servers write.
 type Tables interface {
-	// Whole reads a table; Changes waits for what changed after a version, and
+	// Snapshot reads a table; Changes waits for what changed after a version, and
 	// is ErrHistory when that is too long ago.
-	Whole(ctx context.Context, table string) (mirror.Batch, error)
+	Snapshot(ctx context.Context, table string) (mirror.Batch, error)
 	Changes(ctx context.Context, table string, after uint64, wait time.Duration) (mirror.Batch, error)
 }
 
@@ -64,8 +64,8 @@
 	Order(ctx context.Context, order call.LoadOrder) (call.OrderOutcome, error)
 }
 
-// KeptStores asks stores of kept cache what they hold.
-type KeptStores interface {
+// KVCacheStores asks stores of kept cache what they hold.
+type KVCacheStores interface {
 	// Changes since an earlier answer's Next; call.ErrBusy when the store is there
 	// but takes no such call now.
 	Changes(ctx context.Context, address string, since uint64) (call.StoreChanges, error)
@@ -77,8 +77,8 @@
 	Tables  Tables
 	Decoder Decoder
 	Engines Engines
-	// KeptStores may be nil.
-	KeptStores KeptStores
+	// KVCacheStores may be nil.
+	KVCacheStores KVCacheStores
 	// Table holds our own rows: leases, the entries' addresses and the requests
 	// under which servers crashed.
 	Table platform.Table
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -16,16 +16,16 @@
 )
 
 // restartSite is what one entry believes of one engine.
-type restartSite struct {
+type restartFixture struct {
 	*state
-	closed  []string
-	service *routetable.Service
+	closedAddresses []string
+	service         *routetable.Service
 }
 
-func newRestartSite() *restartSite {
-	site := &restartSite{service: &routetable.Service{Name: "engines", Engine: &routetable.Engine{Slots: 8, KVCapacityTokens: 100000}}}
+func newRestartFixture() *restartFixture {
+	site := &restartFixture{service: &routetable.Service{Name: "engines", Engine: &routetable.Engine{Slots: 8, KVCapacityTokens: 100000}}}
 	settings := Settings{Node: "gw1", DataCentre: "a", LeaseTime: 3 * time.Second, VersionBound: 10 * time.Second}
-	site.state = newState(settings, func(address string) { site.closed = append(site.closed, address) })
+	site.state = newState(settings, func(address string) { site.closedAddresses = append(site.closedAddresses, address) })
 	return site
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-func (site *restartSite) choose(t *testing.T, now time.Time, id string) routing.DirectChoice {
+func (site *restartFixture) choose(t *testing.T, now time.Time, id string) routing.DirectChoice {
 	t.Helper()
 	site.mu.Lock()
 	defer site.mu.Unlock()
@@ -50,8 +50,8 @@
 // An engine started again under its name. Entries took its memory for full of
 // prefixes, kept sending on connections of the run before, and passed it over
 // for what that run had failed.
-func TestARestartMakesAllBeliefsOfTheRunBeforeVoid(t *testing.T) {
-	site := newRestartSite()
+func TestRestartResetsStateOfPreviousIncarnation(t *testing.T) {
+	site := newRestartFixture()
 	now := time.Unix(1000, 0)
 	site.putBackend(now, engine(1000))
 	first := site.choose(t, now, "r1")
@@ -72,13 +72,13 @@
 	assert.False(t, next.Server.Switching)
 	assert.InDelta(t, 1, next.Server.Weight, 0)
 	assert.Equal(t, 1, site.router.Running(next.Server.ID), "what was under way went with the run before")
-	assert.Equal(t, []string{"10.0.0.1:1"}, site.closed)
+	assert.Equal(t, []string{"10.0.0.1:1"}, site.closedAddresses)
 }
 
 // Words about the run before arrive after the restart: its requests end, other
 // entries tell of its weights, its report comes late. None may count for the new run.
-func TestLateWordsOfTheRunBeforeCountForNothing(t *testing.T) {
-	site := newRestartSite()
+func TestLateUpdatesOfPreviousIncarnationAreIgnored(t *testing.T) {
+	site := newRestartFixture()
 	now := time.Unix(1000, 0)
 	site.putBackend(now, engine(1000))
 	first := site.choose(t, now, "r1").Server.ID
@@ -103,8 +103,8 @@
 
 // The list lags a restart by a heartbeat. An engine that is asked for its state
 // tells of the restart itself.
-func TestAReportShowsARestartBeforeTheListDoes(t *testing.T) {
-	site := newRestartSite()
+func TestReportRevealsRestartBeforeServerList(t *testing.T) {
+	site := newRestartFixture()
 	now := time.Unix(1000, 0)
 	site.putBackend(now, engine(1000))
 	first := site.list.Named("e1").ID
@@ -119,8 +119,8 @@
 
 // Two entries gave orders to one engine by turns: the second had heard of the
 // first one's order, but the engine had started again in between.
-func TestAnOrderOfAnotherHolderOutlivesARestart(t *testing.T) {
-	site := newRestartSite()
+func TestOrderOfAnotherLeaseHolderSurvivesRestart(t *testing.T) {
+	site := newRestartFixture()
 	site.table.Store(routetable.New(1, routetable.Limits{}, nil, []routetable.Service{*site.service}, nil))
 	now := time.Unix(1000, 0)
 	site.putBackend(now, engine(1000))
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -322,7 +322,7 @@
 func (s *state) mayResend(now time.Time, service string, deadline time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budgetLocked(service).Allow(now, deadline, minUsefulTime)
+	return s.budgetLocked(service).Allow(now, deadline, minResendTime)
 }
 
 func (s *state) budgetLocked(service string) *retry.Window {
--- a/internal/gateway/stores.go
+++ b/internal/gateway/stores.go
@@ -30,12 +30,12 @@
 // watchStores follows what the stores of kept cache take in and drop, and
 // whether they are there.
 func (g *Gateway) watchStores(ctx context.Context) {
-	if g.ports.KeptStores == nil {
+	if g.ports.KVCacheStores == nil {
 		return
 	}
 	watches := map[string]*storeWatch{}
 	for ctx.Err() == nil {
-		if table := g.state.table.Load(); table != nil && g.decides() {
+		if table := g.state.table.Load(); table != nil && g.isDeciding() {
 			for _, store := range table.Stores {
 				w := watches[store.Address]
 				if w == nil {
@@ -45,7 +45,7 @@
 				g.askStore(ctx, store.Address, w)
 			}
 		}
-		sleep(ctx, max(storePause, storePausePerPeer*time.Duration(g.deciders())))
+		sleep(ctx, max(storePause, storePausePerPeer*time.Duration(g.decidingEntries())))
 	}
 }
 
@@ -53,7 +53,7 @@
 func (g *Gateway) askStore(ctx context.Context, address string, w *storeWatch) {
 	callCtx, cancel := context.WithTimeout(ctx, storeCallTime)
 	defer cancel()
-	changes, err := g.ports.KeptStores.Changes(callCtx, address, w.next)
+	changes, err := g.ports.KVCacheStores.Changes(callCtx, address, w.next)
 	switch {
 	case errors.Is(err, call.ErrBusy), ctx.Err() != nil:
 		return
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -40,7 +40,7 @@
 }
 
 // noteGap takes in that an event came.
-func (s *streamState) noteGap(now time.Time) {
+func (s *streamState) recordEvent(now time.Time) {
 	if !s.lastAt.IsZero() {
 		s.longestGap = max(s.longestGap, now.Sub(s.lastAt))
 	}
@@ -55,9 +55,9 @@
 
 // events reads whole events: a server that dies may leave half of one, which
 // must not reach the caller.
-type events struct{ reader *bufio.Reader }
+type eventReader struct{ reader *bufio.Reader }
 
-func (e *events) next() (event, error) {
+func (e *eventReader) next() (event, error) {
 	var one event
 	for {
 		line, err := e.reader.ReadSlice('\n')
@@ -66,7 +66,7 @@
 			continue
 		}
 		if err != nil {
-			return one, endOfEvents(one, err)
+			return one, eventReadError(one, err)
 		}
 		if len(one.text) > maxEventBytes {
 			return one, eris.Wrapf(errEventTooLong, "%d bytes", len(one.text))
@@ -81,7 +81,7 @@
 	}
 }
 
-func endOfEvents(one event, err error) error {
+func eventReadError(one event, err error) error {
 	if errors.Is(err, io.EOF) && len(one.text) > 0 {
 		return io.ErrUnexpectedEOF
 	}
@@ -89,8 +89,8 @@
 }
 
 // relay forwards a stream event by event.
-func (j *job) relay(choice *routing.DirectChoice, response *upstream.Response) result {
-	source := events{bufio.NewReaderSize(response.Body, eventReaderBytes)}
+func (j *job) forwardStream(choice *routing.DirectChoice, response *upstream.Response) sendOutcome {
+	source := eventReader{bufio.NewReaderSize(response.Body, eventReaderBytes)}
 	first := true
 	for {
 		one, err := source.next()
@@ -98,49 +98,49 @@
 			return j.streamEnded()
 		}
 		if err != nil {
-			return j.brokenOff(choice, err)
+			return j.responseInterrupted(choice, err)
 		}
 		if first {
 			first = false
-			j.firstToken()
+			j.recordFirstToken()
 		}
-		if j.hadAlready(one) {
+		if j.isDuplicate(one) {
 			continue
 		}
-		if err := j.forward(response, one); err != nil {
+		if err := j.writeEvent(response, one); err != nil {
 			j.outcome = "caller not reached: " + err.Error()
 			return delivered
 		}
 	}
 }
 
-func (j *job) streamEnded() result {
+func (j *job) streamEnded() sendOutcome {
 	if j.stream.delivered == 0 {
 		// A stream without an event answers nothing.
-		return unknown
+		return indeterminate
 	}
-	j.whole = true
+	j.complete = true
 	j.outcome = "streamed"
 	return delivered
 }
 
-func (j *job) firstToken() {
+func (j *job) recordFirstToken() {
 	s := j.gateway.state
 	now := time.Now()
 	j.firstEventAt = now
 	s.mu.Lock()
 	s.router.FirstToken(now, j.head.ID)
 	s.mu.Unlock()
-	j.tellOwner(&jayv1.PlacementProgress{
+	j.notifyOwner(&jayv1.PlacementProgress{
 		First: true, HasLoad: j.hasLoad, Running: uint32(max(0, j.load.Running)), Waiting: uint32(max(0, j.load.Waiting)), //nolint:gosec // positive
 	})
 	j.stream.firstAfter = now.Sub(j.arrived)
-	j.gateway.metrics.Time("first_token", j.class(), j.stream.firstAfter)
+	j.gateway.metrics.Time("first_token", j.routeLabel(), j.stream.firstAfter)
 }
 
 // hadAlready tells whether the caller has the event: a run that goes on
 // elsewhere may begin with one that it had.
-func (j *job) hadAlready(one event) bool {
+func (j *job) isDuplicate(one event) bool {
 	if j.stream.lastID == "" || one.id == "" || j.sends == 1 {
 		return false
 	}
@@ -149,16 +149,16 @@
 	return errHad == nil && errID == nil && id <= had
 }
 
-func (j *job) forward(response *upstream.Response, one event) error {
+func (j *job) writeEvent(response *upstream.Response, one event) error {
 	if j.stream.delivered == 0 {
-		j.copyHead(j.gateway.ports.Dialect.Back(response.Header))
+		j.copyHeader(j.gateway.ports.Dialect.ResponseHeader(response.Header))
 		j.writer.WriteHeader(response.Status)
 	}
 	if _, err := j.writer.Write(one.text); err != nil {
 		return err
 	}
 	j.stream.delivered++
-	j.stream.noteGap(time.Now())
+	j.stream.recordEvent(time.Now())
 	if one.id != "" {
 		j.stream.lastID = one.id
 	}
--- a/internal/gateway/suspectadmin.go
+++ b/internal/gateway/suspectadmin.go
@@ -25,7 +25,7 @@
 }
 
 // giveSuspects lists the requests under which servers crashed.
-func (g *Gateway) giveSuspects(c echo.Context) error {
+func (g *Gateway) serveSuspects(c echo.Context) error {
 	now := time.Now()
 	views := []suspectView{}
 	for _, r := range g.state.suspects.list() {
@@ -38,7 +38,7 @@
 }
 
 // freeSuspect forgets one by an operator's word, at all entries.
-func (g *Gateway) freeSuspect(c echo.Context) error {
+func (g *Gateway) serveClearSuspect(c echo.Context) error {
 	f, err := quarantine.ParseFingerprint(c.Param("fingerprint"))
 	if err != nil {
 		return c.String(http.StatusBadRequest, err.Error())
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -20,25 +20,25 @@
 	// suspectPrefix of the rows that hold strikes and trials. A row says all by
 	// its key: FINGERPRINT/strike/LIFETIME or FINGERPRINT/trial/NUMBER.
 	suspectPrefix = "suspects/"
-	strikeMark    = "strike"
-	trialMark     = "trial"
+	crashKind     = "strike"
+	trialKind     = "trial"
 	// suspectRelayPause between two reads of the rows from another entry. Datagrams
 	// bring what is urgent; the rows are for those who missed them.
-	suspectRelayPause = 700 * time.Millisecond
+	suspectRelayInterval = 700 * time.Millisecond
 	// suspectsPerTxn rows are written at once.
-	suspectsPerTxn = 90
+	maxSuspectRowsPerTxn = 90
 	// suspectRetry is the pause after a write that failed.
-	suspectRetry = 250 * time.Millisecond
+	suspectWriteRetryDelay = 250 * time.Millisecond
 	// strikesPerWord keeps a datagram below maxDatagram.
-	strikesPerWord = 20
+	maxCrashesPerDatagram = 20
 	// largeFleetStrikes at once are told to all entries of a large fleet, whatever
 	// they are: those of all that ran at a rack of servers would go to hundreds.
-	largeFleetStrikes = 4
+	maxLargeFleetCrashes = 4
 )
 
 // suspectRow is the key of a row.
 type suspectRow struct {
-	strike quarantine.Strike
+	crash quarantine.Strike
 	// trial number; 0: the row holds the strike.
 	trial int
 }
@@ -48,12 +48,12 @@
 	Entry string `json:"entry"`
 }
 
-func strikeKey(strike quarantine.Strike) string {
-	return suspectPrefix + strike.Request.String() + "/" + strikeMark + "/" + strike.Server
+func crashKey(strike quarantine.Strike) string {
+	return suspectPrefix + strike.Request.String() + "/" + crashKind + "/" + strike.Server
 }
 
 func trialKey(f quarantine.Fingerprint, trial int) string {
-	return suspectPrefix + f.String() + "/" + trialMark + "/" + strconv.Itoa(trial)
+	return suspectPrefix + f.String() + "/" + trialKind + "/" + strconv.Itoa(trial)
 }
 
 // parseSuspectRow reads the key of a row, without the table's name.
@@ -64,14 +64,14 @@
 		return row, eris.Errorf("row %q has not three parts", key)
 	}
 	var err error
-	if row.strike.Request, err = quarantine.ParseFingerprint(fields[0]); err != nil {
+	if row.crash.Request, err = quarantine.ParseFingerprint(fields[0]); err != nil {
 		return row, err
 	}
 	switch fields[1] {
-	case strikeMark:
-		row.strike.Server = fields[2]
+	case crashKind:
+		row.crash.Server = fields[2]
 		return row, nil
-	case trialMark:
+	case trialKind:
 		row.trial, err = strconv.Atoi(fields[2])
 		if err != nil || row.trial < 1 {
 			return row, eris.Errorf("row %q names no trial", key)
@@ -89,7 +89,7 @@
 			continue
 		}
 		if row.Removed {
-			g.state.suspects.rowGone(parsed)
+			g.state.suspects.rowRemoved(parsed)
 			continue
 		}
 		g.state.suspects.rowPut(now, parsed, source)
@@ -98,48 +98,48 @@
 
 // spreadSuspects tells other entries and the store what this one saw, until the
 // process stops.
-func (g *Gateway) spreadSuspects(ctx context.Context) {
+func (g *Gateway) publishSuspects(ctx context.Context) {
 	s := g.state.suspects
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.wake:
+		case <-s.publish:
 		}
-		g.tellSuspects()
+		g.sendSuspects()
 		if !g.writeSuspects(ctx) {
-			sleep(ctx, suspectRetry)
-			s.wakeUp()
+			sleep(ctx, suspectWriteRetryDelay)
+			s.signalPublish()
 		}
 	}
 }
 
 // tellSuspects tells the other entries at once. A datagram that is lost costs a
 // server perhaps, until the rows are read.
-func (g *Gateway) tellSuspects() {
-	most := maxUnwritten
+func (g *Gateway) sendSuspects() {
+	most := maxUnwrittenRows
 	if g.sharded() {
-		most = largeFleetStrikes
+		most = maxLargeFleetCrashes
 	}
-	strikes, cleared := g.state.suspects.takeUntold(most)
+	strikes, cleared := g.state.suspects.takeUnsent(most)
 	targets := g.datagrams.addressesOf(g.peers.all())
 	if len(targets) == 0 {
 		return
 	}
-	for _, word := range strikeWords(strikes, cleared) {
+	for _, word := range crashDatagrams(strikes, cleared) {
 		g.datagrams.tellAll(targets, word)
 	}
 }
 
-func strikeWords(strikes []quarantine.Strike, cleared []quarantine.Fingerprint) []*jayv1.Datagram {
+func crashDatagrams(strikes []quarantine.Strike, cleared []quarantine.Fingerprint) []*jayv1.Datagram {
 	var words []*jayv1.Datagram
 	for len(strikes)+len(cleared) > 0 {
 		news := &jayv1.StrikeNews{}
-		n := min(len(strikes), strikesPerWord)
+		n := min(len(strikes), maxCrashesPerDatagram)
 		for _, strike := range strikes[:n] {
 			news.Strikes = append(news.Strikes, &jayv1.RequestStrike{Request: strike.Request[:], Server: strike.Server})
 		}
-		m := min(len(cleared), strikesPerWord-n)
+		m := min(len(cleared), maxCrashesPerDatagram-n)
 		for _, f := range cleared[:m] {
 			news.Cleared = append(news.Cleared, f[:])
 		}
@@ -150,7 +150,7 @@
 }
 
 // takeStrikes takes in a word of another entry.
-func (g *Gateway) takeStrikes(news *jayv1.StrikeNews, source string) {
+func (g *Gateway) receiveCrashes(news *jayv1.StrikeNews, source string) {
 	var strikes []quarantine.Strike
 	var cleared []quarantine.Fingerprint
 	for _, one := range news.GetStrikes() {
@@ -167,21 +167,21 @@
 		}
 		cleared = append(cleared, quarantine.Fingerprint(f))
 	}
-	g.state.suspects.heard(time.Now(), strikes, cleared, source)
+	g.state.suspects.receive(time.Now(), strikes, cleared, source)
 }
 
 // writeSuspects writes the rows that wait. False: some still do.
 func (g *Gateway) writeSuspects(ctx context.Context) bool {
 	s := g.state.suspects
 	for ctx.Err() == nil {
-		rows := s.takeUnwritten(suspectsPerTxn)
+		rows := s.takeUnwritten(maxSuspectRowsPerTxn)
 		if len(rows) == 0 {
 			return true
 		}
 		if err := g.commitSuspects(ctx, g.suspectTxn(rows)); err != nil {
 			g.metrics.Count("suspect_rows", "failed", int64(len(rows)))
 			klog.InfoS("Rows of suspected requests not written yet", "rows", len(rows), "err", err)
-			s.giveBack(rows)
+			s.requeueRows(rows)
 			return false
 		}
 		g.metrics.Count("suspect_rows", "written", int64(len(rows)))
@@ -218,12 +218,12 @@
 }
 
 // claimTime bounds the claim of a trial: its caller waits.
-const claimTime = 400 * time.Millisecond
+const claimTimeout = 400 * time.Millisecond
 
 // claimTrial makes this entry the one that runs a held request once more. A claim
 // whose answer is lost counts as made by nobody: the trial is lost.
 func (g *Gateway) claimTrial(ctx context.Context, f quarantine.Fingerprint, trial int) bool {
-	ctx, cancel := context.WithTimeout(ctx, claimTime)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	key := trialKey(f, trial)
 	result, err := g.ports.Table.Commit(ctx, platform.Txn{
@@ -236,6 +236,6 @@
 		return false
 	}
 	g.metrics.Count("held_trials", "claimed", 1)
-	g.state.suspects.tried(time.Now(), f, trial)
+	g.state.suspects.trialClaimed(time.Now(), f, trial)
 	return true
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -17,99 +17,101 @@
 type suspects struct {
 	// known counts the requests in the book and the runs that wait for a proof:
 	// while it is 0 no request is hashed.
-	known atomic.Int64
+	tracked atomic.Int64
 	// wake tells that there is something to spread.
-	wake chan struct{}
+	publish chan struct{}
 
-	mu     sync.Mutex
-	book   *quarantine.Book
-	breaks *quarantine.Breaks
+	mu            sync.Mutex
+	book          *quarantine.Book
+	interruptions *quarantine.Breaks
 	// asked are the lifetimes that are being asked whether they listen.
-	asked map[string]bool
+	probing map[string]bool
 	// untold strikes and cleared requests, for datagrams.
-	untold        []quarantine.Strike
-	untoldCleared []quarantine.Fingerprint
+	unsent        []quarantine.Strike
+	unsentCleared []quarantine.Fingerprint
 	// unwritten rows by their keys; false: to be removed.
-	unwritten map[string]bool
+	unwrittenRows map[string]bool
 }
 
 // maxUnwritten rows wait for the store. Others count only with those who were told.
-const maxUnwritten = 4096
+const maxUnwrittenRows = 4096
 
 func newSuspects() *suspects {
 	return &suspects{
-		book: quarantine.NewBook(quarantine.DefaultSettings()), breaks: quarantine.NewBreaks(),
-		asked: map[string]bool{}, unwritten: map[string]bool{}, wake: make(chan struct{}, 1),
+		book: quarantine.NewBook(quarantine.DefaultSettings()), interruptions: quarantine.NewBreaks(),
+		probing: map[string]bool{}, unwrittenRows: map[string]bool{}, publish: make(chan struct{}, 1),
 	}
 }
 
 // broke takes in that a run broke off early.
-func (s *suspects) broke(now time.Time, run quarantine.Strike) {
+func (s *suspects) runInterrupted(now time.Time, run quarantine.Strike) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.breaks.Broke(now, run) {
-		s.struckLocked(now, []quarantine.Strike{run})
+	if s.interruptions.Broke(now, run) {
+		s.recordOwnCrashesLocked(now, []quarantine.Strike{run})
 	}
-	s.countLocked()
+	s.updateTrackedLocked()
 }
 
-func (s *suspects) countLocked() { s.known.Store(int64(s.book.Len() + s.breaks.Len())) }
+func (s *suspects) updateTrackedLocked() {
+	s.tracked.Store(int64(s.book.Len() + s.interruptions.Len()))
+}
 
 // crashed takes in the proof that a lifetime of a server crashed.
-func (s *suspects) crashed(now time.Time, server string) {
+func (s *suspects) serverCrashed(now time.Time, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.struckLocked(now, s.breaks.Crashed(now, server))
-	s.countLocked()
+	s.recordOwnCrashesLocked(now, s.interruptions.Crashed(now, server))
+	s.updateTrackedLocked()
 }
 
 // left takes in that a lifetime ended as planned.
-func (s *suspects) left(server string) {
+func (s *suspects) serverEnded(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.breaks.Left(server)
-	s.countLocked()
+	s.interruptions.Left(server)
+	s.updateTrackedLocked()
 }
 
 // mayAsk tells whether a server is to be asked if it listens; nobody else here
 // does so at the moment. answered ends that.
-func (s *suspects) mayAsk(server string) bool {
+func (s *suspects) beginProbe(server string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.asked[server] {
+	if s.probing[server] {
 		return false
 	}
-	s.asked[server] = true
+	s.probing[server] = true
 	return true
 }
 
-func (s *suspects) answered(now time.Time, server string, alive bool) {
+func (s *suspects) endProbe(now time.Time, server string, alive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.asked, server)
+	delete(s.probing, server)
 	if alive {
-		s.breaks.Alive(now, server)
+		s.interruptions.Alive(now, server)
 	}
 }
 
 // struckLocked takes in strikes that this entry saw.
-func (s *suspects) struckLocked(now time.Time, strikes []quarantine.Strike) {
+func (s *suspects) recordOwnCrashesLocked(now time.Time, strikes []quarantine.Strike) {
 	if len(strikes) == 0 {
 		return
 	}
-	s.addLocked(now, strikes, "own")
+	s.addCrashesLocked(now, strikes, "own")
 	for _, strike := range strikes {
-		s.untold = append(s.untold, strike)
-		s.writeLocked(strikeKey(strike), true)
+		s.unsent = append(s.unsent, strike)
+		s.queueRowLocked(crashKey(strike), true)
 	}
-	s.wakeUp()
+	s.signalPublish()
 }
 
 // addLocked takes in strikes from any source. Most come from several.
-func (s *suspects) addLocked(now time.Time, strikes []quarantine.Strike, source string) {
+func (s *suspects) addCrashesLocked(now time.Time, strikes []quarantine.Strike, source string) {
 	strikes = slices.DeleteFunc(slices.Clone(strikes), s.book.Knows)
 	held := s.book.Add(now, strikes)
-	s.countLocked()
+	s.updateTrackedLocked()
 	for _, strike := range strikes {
 		klog.InfoS("Server crashed under request", "fingerprint", strike.Request.String(), "server", strike.Server, "source", source)
 	}
@@ -120,10 +122,10 @@
 }
 
 // heard takes in the words of another entry.
-func (s *suspects) heard(now time.Time, strikes []quarantine.Strike, cleared []quarantine.Fingerprint, source string) {
+func (s *suspects) receive(now time.Time, strikes []quarantine.Strike, cleared []quarantine.Fingerprint, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.addLocked(now, strikes, source)
+	s.addCrashesLocked(now, strikes, source)
 	for _, f := range cleared {
 		s.clearLocked(f, source)
 	}
@@ -134,22 +136,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if row.trial > 0 {
-		s.book.Tried(now, row.strike.Request, row.trial)
-		s.countLocked()
+		s.book.Tried(now, row.crash.Request, row.trial)
+		s.updateTrackedLocked()
 		return
 	}
-	s.addLocked(now, []quarantine.Strike{row.strike}, source)
+	s.addCrashesLocked(now, []quarantine.Strike{row.crash}, source)
 }
 
-func (s *suspects) rowGone(row suspectRow) {
+func (s *suspects) rowRemoved(row suspectRow) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if row.trial > 0 {
-		s.book.TrialReleased(row.strike.Request, row.trial)
+		s.book.TrialReleased(row.crash.Request, row.trial)
 	} else {
-		s.book.Remove(time.Now(), row.strike)
+		s.book.Remove(time.Now(), row.crash)
 	}
-	s.countLocked()
+	s.updateTrackedLocked()
 }
 
 // clear forgets a request everywhere: it ran whole, or an operator frees it.
@@ -162,20 +164,20 @@
 		return false
 	}
 	s.removeRowsLocked(request)
-	s.untoldCleared = append(s.untoldCleared, f)
-	s.wakeUp()
+	s.unsentCleared = append(s.unsentCleared, f)
+	s.signalPublish()
 	return true
 }
 
 func (s *suspects) clearLocked(f quarantine.Fingerprint, why string) (quarantine.Request, bool) {
-	s.breaks.RanWhole(f)
-	defer s.countLocked()
+	s.interruptions.RanWhole(f)
+	defer s.updateTrackedLocked()
 	request, ok := s.book.Clear(time.Now(), f)
 	if !ok {
 		return request, false
 	}
-	for _, strike := range strikesOf(request) {
-		delete(s.unwritten, strikeKey(strike))
+	for _, strike := range crashesOf(request) {
+		delete(s.unwrittenRows, crashKey(strike))
 	}
 	klog.InfoS("Request cleared", "fingerprint", f.String(), "why", why, "held", request.Held, "servers", request.Servers, "trials", request.Trials)
 	return request, true
@@ -183,38 +185,38 @@
 
 // removeRowsLocked has all rows of a request removed from the store.
 func (s *suspects) removeRowsLocked(request quarantine.Request) {
-	for _, strike := range strikesOf(request) {
-		s.writeLocked(strikeKey(strike), false)
+	for _, strike := range crashesOf(request) {
+		s.queueRowLocked(crashKey(strike), false)
 	}
 	for trial := 1; trial <= request.Trials; trial++ {
-		s.writeLocked(trialKey(request.Fingerprint, trial), false)
+		s.queueRowLocked(trialKey(request.Fingerprint, trial), false)
 	}
 }
 
-func (s *suspects) writeLocked(key string, put bool) {
-	if len(s.unwritten) >= maxUnwritten {
+func (s *suspects) queueRowLocked(key string, put bool) {
+	if len(s.unwrittenRows) >= maxUnwrittenRows {
 		klog.InfoS("Row of a suspected request not written: too many wait", "row", key)
 		return
 	}
-	s.unwritten[key] = put
+	s.unwrittenRows[key] = put
 }
 
-func (s *suspects) wakeUp() {
+func (s *suspects) signalPublish() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.publish <- struct{}{}:
 	default:
 	}
 }
 
 // mayKnow tells, without hashing a body, whether something may be known of a request.
-func (s *suspects) mayKnow(hashes *quarantine.Hashes) bool {
-	if s.known.Load() == 0 {
+func (s *suspects) mayBeSuspect(hashes *quarantine.Hashes) bool {
+	if s.tracked.Load() == 0 {
 		return false
 	}
 	head := hashes.Head()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.MayKnow(head) || s.breaks.MayKnow(head)
+	return s.book.MayKnow(head) || s.interruptions.MayKnow(head)
 }
 
 func (s *suspects) verdict(now time.Time, f quarantine.Fingerprint) quarantine.Verdict {
@@ -223,7 +225,7 @@
 	return s.book.Verdict(now, f)
 }
 
-func (s *suspects) strikes(f quarantine.Fingerprint) int {
+func (s *suspects) crashCount(f quarantine.Fingerprint) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Strikes(f)
@@ -236,18 +238,18 @@
 }
 
 // tried takes in that this entry claimed a trial, released that it did not run.
-func (s *suspects) tried(now time.Time, f quarantine.Fingerprint, trial int) {
+func (s *suspects) trialClaimed(now time.Time, f quarantine.Fingerprint, trial int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.Tried(now, f, trial)
 }
 
-func (s *suspects) released(f quarantine.Fingerprint, trial int) {
+func (s *suspects) trialReleased(f quarantine.Fingerprint, trial int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.TrialReleased(f, trial)
-	s.writeLocked(trialKey(f, trial), false)
-	s.wakeUp()
+	s.queueRowLocked(trialKey(f, trial), false)
+	s.signalPublish()
 }
 
 // list is for operators; counts for metrics.
@@ -267,14 +269,14 @@
 func (s *suspects) tick(now time.Time, removes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.breaks.Tick(now)
+	s.interruptions.Tick(now)
 	forgotten := s.book.Tick(now)
-	s.countLocked()
+	s.updateTrackedLocked()
 	for _, request := range forgotten {
 		klog.InfoS("Request forgotten", "fingerprint", request.Fingerprint.String(), "held", request.Held, "servers", request.Servers)
 		if removes {
 			s.removeRowsLocked(request)
-			s.wakeUp()
+			s.signalPublish()
 		}
 	}
 }
@@ -282,15 +284,15 @@
 // takeUntold returns what others are still to be told by datagrams. Of more than
 // most strikes only those of requests that have another one are told: the store
 // tells the rest in time.
-func (s *suspects) takeUntold(most int) ([]quarantine.Strike, []quarantine.Fingerprint) {
+func (s *suspects) takeUnsent(most int) ([]quarantine.Strike, []quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	strikes := s.untold
+	strikes := s.unsent
 	if len(strikes) > most {
 		strikes = slices.DeleteFunc(strikes, func(one quarantine.Strike) bool { return s.book.Strikes(one.Request) < 2 })
 	}
-	cleared := s.untoldCleared
-	s.untold, s.untoldCleared = nil, nil
+	cleared := s.unsentCleared
+	s.unsent, s.unsentCleared = nil, nil
 	return strikes, cleared
 }
 
@@ -299,28 +301,28 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rows := map[string]bool{}
-	for key, put := range s.unwritten {
+	for key, put := range s.unwrittenRows {
 		if len(rows) == most {
 			break
 		}
 		rows[key] = put
-		delete(s.unwritten, key)
+		delete(s.unwrittenRows, key)
 	}
 	return rows
 }
 
 // giveBack puts rows that were not written back, unless newer words wait.
-func (s *suspects) giveBack(rows map[string]bool) {
+func (s *suspects) requeueRows(rows map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, put := range rows {
-		if _, ok := s.unwritten[key]; !ok {
-			s.writeLocked(key, put)
+		if _, ok := s.unwrittenRows[key]; !ok {
+			s.queueRowLocked(key, put)
 		}
 	}
 }
 
-func strikesOf(request quarantine.Request) []quarantine.Strike {
+func crashesOf(request quarantine.Request) []quarantine.Strike {
 	strikes := make([]quarantine.Strike, 0, len(request.Servers))
 	for _, server := range request.Servers {
 		strikes = append(strikes, quarantine.Strike{Request: request.Fingerprint, Server: server})
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -18,12 +18,12 @@
 	"github.com/jayproxy/jayproxy/internal/quarantine"
 )
 
-func suspect(n int) quarantine.Fingerprint {
+func suspectFingerprint(n int) quarantine.Fingerprint {
 	return (&quarantine.Identity{Target: fmt.Sprint("/", n)}).Fingerprint()
 }
 
 // entryOn is an entry that shares a table with others.
-func entryOn(table platform.Table, node string) *Gateway {
+func newTableEntry(table platform.Table, node string) *Gateway {
 	settings := Settings{Node: node}
 	g := &Gateway{settings: settings, state: newState(settings, func(string) {}), metrics: metrics.New(8), peers: newPeers(settings)}
 	g.datagrams = &datagrams{gateway: g}
@@ -32,15 +32,15 @@
 }
 
 // crash takes in that servers crashed while the request began to run there.
-func (g *Gateway) crash(f quarantine.Fingerprint, servers ...string) {
+func (g *Gateway) simulateCrash(f quarantine.Fingerprint, servers ...string) {
 	for _, server := range servers {
-		g.state.suspects.broke(time.Now(), quarantine.Strike{Request: f, Server: server})
-		g.state.suspects.crashed(time.Now(), server)
+		g.state.suspects.runInterrupted(time.Now(), quarantine.Strike{Request: f, Server: server})
+		g.state.suspects.serverCrashed(time.Now(), server)
 	}
 }
 
 // read applies all rows of the table, as an entry that starts does.
-func (g *Gateway) read(t *testing.T) {
+func (g *Gateway) loadSuspects(t *testing.T) {
 	t.Helper()
 	rows, err := g.ports.Table.Range(t.Context(), suspectPrefix, "", 0)
 	require.NoError(t, err)
@@ -52,23 +52,23 @@
 }
 
 // Guards against entries that start anew and send what the others hold.
-func TestAnEntryThatStartsLearnsWhatIsHeldFromTheStore(t *testing.T) {
+func TestStartingEntryReadsQuarantineFromStore(t *testing.T) {
 	table := platformtest.New()
-	one, two, late := entryOn(table, "gw1"), entryOn(table, "gw2"), entryOn(table, "gw3")
-	one.crash(suspect(1), "a", "b")
-	two.crash(suspect(1), "c")
+	one, two, late := newTableEntry(table, "gw1"), newTableEntry(table, "gw2"), newTableEntry(table, "gw3")
+	one.simulateCrash(suspectFingerprint(1), "a", "b")
+	two.simulateCrash(suspectFingerprint(1), "c")
 	require.True(t, one.writeSuspects(t.Context()))
 	require.True(t, two.writeSuspects(t.Context()))
-	late.read(t)
-	assert.True(t, late.state.suspects.verdict(time.Now(), suspect(1)).Held)
-	require.True(t, late.state.suspects.clear(suspect(1), "operator"))
+	late.loadSuspects(t)
+	assert.True(t, late.state.suspects.verdict(time.Now(), suspectFingerprint(1)).Held)
+	require.True(t, late.state.suspects.clear(suspectFingerprint(1), "operator"))
 	require.True(t, late.writeSuspects(t.Context()))
-	again := entryOn(table, "gw4")
-	again.read(t)
+	again := newTableEntry(table, "gw4")
+	again.loadSuspects(t)
 	assert.Empty(t, again.state.suspects.list())
 }
 
-func TestRowsWaitForTheStore(t *testing.T) {
+func TestSuspectRowsAreWrittenAfterStoreOutage(t *testing.T) {
 	table := platformtest.New()
 	down := true
 	table.OnCommit(func(platform.Txn) platformtest.Fault {
@@ -77,40 +77,40 @@
 		}
 		return platformtest.Pass
 	})
-	g := entryOn(table, "gw1")
-	g.crash(suspect(1), "a", "b", "c")
-	g.crash(suspect(2), "d")
+	g := newTableEntry(table, "gw1")
+	g.simulateCrash(suspectFingerprint(1), "a", "b", "c")
+	g.simulateCrash(suspectFingerprint(2), "d")
 	assert.False(t, g.writeSuspects(t.Context()))
-	g.state.suspects.clear(suspect(2), "ran whole")
+	g.state.suspects.clear(suspectFingerprint(2), "ran whole")
 	down = false
 	assert.True(t, g.writeSuspects(t.Context()))
-	other := entryOn(table, "gw2")
-	other.read(t)
+	other := newTableEntry(table, "gw2")
+	other.loadSuspects(t)
 	assert.Len(t, other.state.suspects.list(), 1, "what was cleared meanwhile is not written")
 }
 
 // Guards against a trial of a held request at several entries at once.
-func TestATrialIsClaimedByOneEntry(t *testing.T) {
+func TestTrialIsClaimedByOneEntry(t *testing.T) {
 	table := platformtest.New()
-	one, two := entryOn(table, "gw1"), entryOn(table, "gw2")
-	assert.True(t, one.claimTrial(t.Context(), suspect(1), 1))
-	assert.False(t, two.claimTrial(t.Context(), suspect(1), 1))
-	one.state.suspects.released(suspect(1), 1)
+	one, two := newTableEntry(table, "gw1"), newTableEntry(table, "gw2")
+	assert.True(t, one.claimTrial(t.Context(), suspectFingerprint(1), 1))
+	assert.False(t, two.claimTrial(t.Context(), suspectFingerprint(1), 1))
+	one.state.suspects.trialReleased(suspectFingerprint(1), 1)
 	require.True(t, one.writeSuspects(t.Context()))
-	assert.True(t, two.claimTrial(t.Context(), suspect(1), 1))
+	assert.True(t, two.claimTrial(t.Context(), suspectFingerprint(1), 1))
 	table.OnCommit(func(platform.Txn) platformtest.Fault { return platformtest.Unavailable })
-	assert.False(t, one.claimTrial(t.Context(), suspect(2), 1), "no store, no trial")
+	assert.False(t, one.claimTrial(t.Context(), suspectFingerprint(2), 1), "no store, no trial")
 }
 
-func TestWordsOnStrikesFitTheirDatagrams(t *testing.T) {
-	g := entryOn(platformtest.New(), "gw1")
+func TestCrashUpdatesFitDatagrams(t *testing.T) {
+	g := newTableEntry(platformtest.New(), "gw1")
 	var strikes []quarantine.Strike
 	var cleared []quarantine.Fingerprint
 	for n := range 45 {
-		strikes = append(strikes, quarantine.Strike{Request: suspect(n), Server: strings.Repeat("s", 24)})
-		cleared = append(cleared, suspect(100+n))
+		strikes = append(strikes, quarantine.Strike{Request: suspectFingerprint(n), Server: strings.Repeat("s", 24)})
+		cleared = append(cleared, suspectFingerprint(100+n))
 	}
-	words := strikeWords(strikes, cleared)
+	words := crashDatagrams(strikes, cleared)
 	assert.Len(t, words, 5)
 	told := 0
 	for _, word := range words {
@@ -123,32 +123,32 @@
 }
 
 // Guards against a datagram for each of all the runs at a rack of servers.
-func TestOfManyStrikesALargeFleetIsToldTheRepeatedOnes(t *testing.T) {
-	g := entryOn(platformtest.New(), "gw1")
-	g.crash(suspect(2), "b", "c")
-	for n := range largeFleetStrikes {
-		g.crash(suspect(10+n), "a")
+func TestLargeFleetReceivesOnlyRepeatedCrashes(t *testing.T) {
+	g := newTableEntry(platformtest.New(), "gw1")
+	g.simulateCrash(suspectFingerprint(2), "b", "c")
+	for n := range maxLargeFleetCrashes {
+		g.simulateCrash(suspectFingerprint(10+n), "a")
 	}
-	strikes, _ := g.state.suspects.takeUntold(largeFleetStrikes)
+	strikes, _ := g.state.suspects.takeUnsent(maxLargeFleetCrashes)
 	assert.Len(t, strikes, 2)
 	for _, strike := range strikes {
-		assert.Equal(t, suspect(2), strike.Request)
+		assert.Equal(t, suspectFingerprint(2), strike.Request)
 	}
-	g.crash(suspect(3), "d")
-	strikes, _ = g.state.suspects.takeUntold(largeFleetStrikes)
+	g.simulateCrash(suspectFingerprint(3), "d")
+	strikes, _ = g.state.suspects.takeUnsent(maxLargeFleetCrashes)
 	assert.Len(t, strikes, 1, "a few are told as they are")
 }
 
-func TestARowThatIsNotUnderstoodIsPassedOver(t *testing.T) {
-	f := suspect(1).String()
+func TestMalformedSuspectRowIsSkipped(t *testing.T) {
+	f := suspectFingerprint(1).String()
 	for _, key := range []string{"", f, f + "/strike", f + "/other/a", f + "/trial/x", f + "/trial/0", "zz/strike/a"} {
 		_, err := parseSuspectRow(key)
 		assert.Error(t, err, key)
 	}
 	row, err := parseSuspectRow(f + "/strike/i-1@x/y")
 	require.NoError(t, err)
-	assert.Equal(t, "i-1@x/y", row.strike.Server)
-	g := entryOn(platformtest.New(), "gw1")
+	assert.Equal(t, "i-1@x/y", row.crash.Server)
+	g := newTableEntry(platformtest.New(), "gw1")
 	g.applySuspects(time.Now(), []mirror.Row{{Key: "nonsense"}, {Key: f + "/strike/a"}, {Key: f + "/trial/2"}}, sourceStore)
 	require.Len(t, g.state.suspects.list(), 1)
 	assert.Equal(t, 2, g.state.suspects.list()[0].Trials)
@@ -157,11 +157,11 @@
 }
 
 // Guards against a planned end of a server that counts against the requests it ran.
-func TestALeavingServerThatEndsIsNoCrash(t *testing.T) {
+func TestPlannedEndIsNotCountedAsCrash(t *testing.T) {
 	s := newSuspects()
-	s.broke(time.Now(), quarantine.Strike{Request: suspect(1), Server: "a"})
-	s.left("a")
-	s.crashed(time.Now(), "a")
+	s.runInterrupted(time.Now(), quarantine.Strike{Request: suspectFingerprint(1), Server: "a"})
+	s.serverEnded("a")
+	s.serverCrashed(time.Now(), "a")
 	assert.Empty(t, s.list())
 }
 
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -15,40 +15,40 @@
 // a server that had taken new weights was filled by all of them at once before.
 // In the model, with new weights at 5 times 37 long prompts a second, requests
 // put back 115 with looks each 20 ms and no word, 63 with the word, 46 so.
-const serveTick = 100 * time.Millisecond
+const waitQueueInterval = 100 * time.Millisecond
 
 // errTurnedAway ends a request that must not wait.
-var errTurnedAway = errors.New("no memory free at backend servers, and none soon")
+var errRejected = errors.New("no memory free at backend servers, and none soon")
 
 // placed is what a waiting request hears.
-type placed struct {
+type grant struct {
 	choice routing.DirectChoice
 	err    error
 	// after is when to come back, of one that is turned away.
-	after time.Duration
+	retryAfter time.Duration
 }
 
 // waiter is a job in the room. granted has room for one answer, so that whoever
 // serves the room never waits for the job.
 type waiter struct {
 	job     *job
-	granted chan placed
+	granted chan grant
 	// asking the owners of shards now, askedAt when that last began, offer what
 	// they offered; under the state's lock.
 	asking  bool
 	askedAt time.Time
-	offer   *offered
+	offer   *ownerOffer
 	// alone: no owner answered, so that this entry looks for room by itself.
-	alone bool
+	ownersUnavailable bool
 }
 
 // ask asks the owners for a server with room, for a request that waits.
-func (w *waiter) ask() {
+func (w *waiter) askOwners() {
 	offer, err := w.job.bestOffer(true)
 	s := w.job.gateway.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w.asking, w.alone = false, errors.Is(err, errNoOffer)
+	w.asking, w.ownersUnavailable = false, errors.Is(err, errNoOffer)
 	switch {
 	case err != nil:
 		klog.V(1).InfoS("No room yet", "request", w.job.head.ID, "err", err)
@@ -56,39 +56,39 @@
 		w.offer = offer
 	default:
 		// It was sent, or its caller left, while the owners were asked.
-		go w.job.gateway.placing.giveBack(offer, nil)
+		go w.job.gateway.placements.releaseOffer(offer, nil)
 	}
 }
 
 // placeLocked places a request that waits, if there is room for it.
 func (w *waiter) placeLocked(now time.Time, anyway bool) (routing.DirectChoice, error) {
-	if !w.job.gateway.sharded() || w.offer == nil && (anyway || w.alone) {
-		w.alone = false
+	if !w.job.gateway.sharded() || w.offer == nil && (anyway || w.ownersUnavailable) {
+		w.ownersUnavailable = false
 		return w.job.placeLocked(now, !anyway)
 	}
 	if offer := w.offer; offer != nil {
 		w.offer = nil
-		if choice, ok := w.job.acceptLocked(now, offer); ok {
+		if choice, ok := w.job.acceptOfferLocked(now, offer); ok {
 			return choice, nil
 		}
-		go w.job.gateway.placing.giveBack(offer, nil)
+		go w.job.gateway.placements.releaseOffer(offer, nil)
 		return w.job.placeLocked(now, !anyway)
 	}
-	if !w.asking && now.Sub(w.askedAt) >= reaskPause {
+	if !w.asking && now.Sub(w.askedAt) >= ownerRetryInterval {
 		w.asking, w.askedAt = true, now
-		go w.ask()
+		go w.askOwners()
 	}
 	return routing.DirectChoice{}, routing.ErrNoRoom
 }
 
 // await lets a request wait until a server has memory for it.
-func (j *job) await(reading time.Duration) (routing.DirectChoice, error) {
+func (j *job) waitForMemory(reading time.Duration) (routing.DirectChoice, error) {
 	s := j.gateway.state
 	now := time.Now()
-	w := &waiter{job: j, granted: make(chan placed, 1)}
+	w := &waiter{job: j, granted: make(chan grant, 1)}
 	request := waitroom.Request{
 		ID: j.head.ID, Urgency: j.table.Urgency(j.route, j.workspace), Arrived: j.arrived,
-		Reading: reading, InTimeUntil: j.arrived.Add(j.route.Target), Deadline: j.firstBy(),
+		Reading: reading, InTimeUntil: j.arrived.Add(j.route.Target), Deadline: j.firstEventDeadline(),
 	}
 	s.mu.Lock()
 	// A second send may come when there is no time left to wait. And where a
@@ -105,10 +105,10 @@
 	s.mu.Unlock()
 	if !ok {
 		klog.InfoS("Turned away", "request", j.head.ID, "waiting", waiting, "comeBackMS", after.Milliseconds())
-		j.after = after
-		return routing.DirectChoice{}, errTurnedAway
+		j.retryAfter = after
+		return routing.DirectChoice{}, errRejected
 	}
-	j.gateway.metrics.Count("waited_for_memory", j.class(), 1)
+	j.gateway.metrics.Count("waited_for_memory", j.routeLabel(), 1)
 	klog.InfoS("Waits for memory", "request", j.head.ID, "urgency", request.Urgency, "waiting", waiting, "sendAt", request.Until())
 	return j.awaitGrant(w)
 }
@@ -116,7 +116,7 @@
 // firstBy is until when the caller waits for a sign of an answer. Callers leave
 // a stream that shows nothing long before their deadline: requests that waited
 // for their share of the deadline were sent when nobody waited for them.
-func (j *job) firstBy() time.Time {
+func (j *job) firstEventDeadline() time.Time {
 	if j.route.QuietLimit <= 0 {
 		return j.deadline
 	}
@@ -131,9 +131,9 @@
 	begun := time.Now()
 	select {
 	case p := <-w.granted:
-		j.gateway.metrics.Time("waited", j.class(), time.Since(begun))
-		if j.after = p.after; p.after > 0 {
-			klog.InfoS("Turned away", "request", j.head.ID, "waitedMS", time.Since(begun).Milliseconds(), "comeBackMS", p.after.Milliseconds())
+		j.gateway.metrics.Time("waited", j.routeLabel(), time.Since(begun))
+		if j.retryAfter = p.retryAfter; p.retryAfter > 0 {
+			klog.InfoS("Turned away", "request", j.head.ID, "waitedMS", time.Since(begun).Milliseconds(), "comeBackMS", p.retryAfter.Milliseconds())
 		}
 		return p.choice, p.err
 	case <-j.ctx.Done():
@@ -144,20 +144,20 @@
 	if s.room.Leave(j.head.ID) {
 		delete(s.waiters, j.head.ID)
 		if w.offer != nil {
-			go j.gateway.placing.giveBack(w.offer, nil)
+			go j.gateway.placements.releaseOffer(w.offer, nil)
 		}
 		return routing.DirectChoice{}, j.ctx.Err()
 	}
 	// It was placed at the same moment: the server must not count it.
 	if p := <-w.granted; p.err == nil {
 		s.router.Finished(time.Now(), j.head.ID, false)
-		go j.gateway.placing.giveBack(j.offer, nil)
+		go j.gateway.placements.releaseOffer(j.offer, nil)
 	}
 	return routing.DirectChoice{}, j.ctx.Err()
 }
 
 // serveRoom places what waits, as far as memory is free.
-func (g *Gateway) serveRoom(now time.Time) {
+func (g *Gateway) serveWaitQueue(now time.Time) {
 	s := g.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,11 +169,11 @@
 			return false
 		}
 		delete(s.waiters, id)
-		w.granted <- placed{choice: choice, err: err}
+		w.granted <- grant{choice: choice, err: err}
 		return true
 	})
 	for _, id := range away {
-		s.waiters[id].granted <- placed{err: errTurnedAway, after: waitroom.ComeBack}
+		s.waiters[id].granted <- grant{err: errRejected, retryAfter: waitroom.ComeBack}
 		delete(s.waiters, id)
 	}
 }
--- a/internal/gateway/waiting_test.go
+++ b/internal/gateway/waiting_test.go
@@ -12,7 +12,7 @@
 // Long prompts waited in the entry for six tenths of their deadline, and 493 of
 // them were sent when their callers had left: a stream that shows nothing is
 // left long before its deadline.
-func TestAStreamWaitsAsLongAsItsCallerStays(t *testing.T) {
+func TestFirstEventDeadlineIsBoundedByQuietLimit(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	deadline := arrived.Add(15 * time.Second)
 	for name, c := range map[string]struct {
@@ -23,6 +23,6 @@
 		"no stream":                {0, 15 * time.Second},
 	} {
 		j := &job{arrived: arrived, deadline: deadline, route: &routetable.Route{QuietLimit: c.quiet}}
-		assert.Equal(t, arrived.Add(c.want), j.firstBy(), name)
+		assert.Equal(t, arrived.Add(c.want), j.firstEventDeadline(), name)
 	}
 }
