--- a/cmd/jay-gateway/main.go
+++ b/cmd/jay-gateway/main.go
@@ -1,5 +1,5 @@
-// Command jay-gateway runs an entry on the users' platform: callers' HTTP calls
-// in front of backend servers that register themselves in the platform's store.
+// Command jay-gateway runs an entry: it forwards callers' HTTP requests to
+// backend servers that register themselves in the platform's store.
 package main
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/jayproxy/jayproxy/platform"
 )
 
-// memoryShare of the process's limit from which the collector works harder:
-// a process over its limit is killed.
+// memoryShare of the process's memory limit is the soft limit of the garbage
+// collector: a process that exceeds its own limit is killed.
 const memoryShare = 0.6
 
 func main() {
 	cmd := &cobra.Command{
 		Use:          "jay-gateway",
-		Short:        "Forward callers' calls to the backend servers of the platform",
+		Short:        "Forward callers' HTTP requests to the backend servers of the platform",
 		Args:         cobra.NoArgs,
 		SilenceUsage: true,
 		RunE:         func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context()) },
@@ -36,11 +36,11 @@
 	}
 }
 
-// checkCommand reports all that is wrong with a settings file.
+// checkCommand reports all errors in a settings file.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a settings file and report all findings",
+		Short: "Check a settings file and report all errors",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, err := platform.LoadSettings(args[0])
@@ -55,7 +55,7 @@
 	path := platform.SettingsPath()
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
-		klog.ErrorS(err, "Settings not usable", "file", path)
+		klog.ErrorS(err, "Settings not loaded", "file", path)
 		return err
 	}
 	if settings.MemoryBytes > 0 {
@@ -67,7 +67,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	g, err := gateway.Start(ctx, settingsOf(settings), platform.Ports(settings))
 	if err != nil {
-		klog.ErrorS(err, "Not started")
+		klog.ErrorS(err, "Gateway not started")
 		return err
 	}
 	for {
@@ -75,7 +75,7 @@
 		case <-reload:
 			again, err := platform.LoadSettings(path)
 			if err != nil {
-				klog.ErrorS(err, "Settings not reloaded; the last good ones stay", "file", path)
+				klog.ErrorS(err, "Settings not reloaded, keeping the previous ones", "file", path)
 				continue
 			}
 			g.Reload(settingsOf(again))
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -15,11 +15,11 @@
 	"github.com/jayproxy/jayproxy/internal/upstream"
 )
 
-// heldBytes of an answer are read before the caller gets any of it: an answer
-// that breaks off before can still be replaced.
+// maxBufferedBytes of a response are read before the caller gets any of it: a
+// response interrupted before that can still be replaced.
 const maxBufferedBytes = 256 << 10
 
-// finishedAnswer is a whole answer of a server.
+// bufferedResponse is a complete response of a server.
 type bufferedResponse struct {
 	status int
 	header http.Header
@@ -28,7 +28,8 @@
 
 const eventStreamType = "text/event-stream"
 
-// take decides what becomes of an answer.
+// handleResponse forwards a server's response, or discards it if another send
+// may succeed.
 func (j *job) handleResponse(choice *routing.DirectChoice, response *upstream.Response, answer *call.Answer) sendOutcome {
 	server := choice.Server.ID
 	j.load, j.hasLoad = answer.Load, answer.HasLoad
@@ -38,6 +39,8 @@
 		j.handleRefusal(choice, answer)
 		return notRun
 	case answer.Status < http.StatusMultipleChoices && (!answer.Sealed || answer.Encoded):
+		// The response lacks the backend server's signature, or its body is not as the
+		// server sent it.
 		klog.InfoS("Answer not sealed", "request", j.head.ID, "server", server, "status", answer.Status)
 		j.recordServerFailure(server)
 		return indeterminate
@@ -55,8 +58,8 @@
 	s.members.Failed(time.Now(), server)
 }
 
-// refusedBy learns from a refusal: another instance at the address, other
-// weights than believed, or a full queue.
+// handleRefusal updates the state after a refusal: the server may be another
+// incarnation, have other weights than expected, or be overloaded.
 func (j *job) handleRefusal(choice *routing.DirectChoice, answer *call.Answer) {
 	klog.InfoS("Refused by server", "request", j.head.ID, "server", choice.Server.ID, "status", answer.Status,
 		"instance", answer.Instance, "version", answer.Version, "expected", choice.Server.Version, "running", answer.Load.Running, "waiting", answer.Load.Waiting)
@@ -66,29 +69,31 @@
 	switch {
 	case answer.Instance != "" && answer.Instance != server.Instance:
 		j.gateway.pool.Forget(server.Address)
-		j.gateway.state.lifetimeOver(now, server.ID, "answer of "+answer.Instance)
+		j.gateway.state.lifetimeOver(now, server.ID, "response from instance "+answer.Instance)
 		j.evidence.otherLifetime = true
 	case answer.Version > server.Version,
 		answer.Status == http.StatusMisdirectedRequest && j.gateway.state.otherWeights(server.ID, j.modelName(), server.Version):
-		// Our belief was old, the server is fine: it may be asked again for what it
-		// has. Left out, it was missed when all others took new weights just then.
+		// Only this entry's view of the weights was outdated, so the server may be
+		// asked again. While the others take new weights it may be the only one left.
 		j.tried = j.tried[:len(j.tried)-1]
 		j.evidence.model, j.evidence.version = j.modelName(), j.gateway.state.versionOf(server.ID, j.modelName())
 	case j.deadline.Sub(now) < minResendTime:
-		// The request waited there until its time was over: that says nothing of
-		// the server. Left alone for it, the busiest servers in an overload drove
-		// their work to fewer and fewer others.
+		// The request waited at the server until its time was over, which says nothing
+		// about the server. Avoiding it would concentrate an overload on fewer and
+		// fewer servers.
 	case server.Version != 0:
-		// Most likely it is taking new weights: leave it alone until that shows.
+		// The server is probably taking new weights: avoid it until that shows.
 		j.gateway.state.announceSwitch(server.ID, server.Version+1, now.Add(refusalPause))
 		j.evidence.refused = true
 	}
 }
 
-// refusedRest is how long a server that refused is left alone.
+// refusalPause is how long a server that refused is avoided.
 const refusalPause = 500 * time.Millisecond
 
-// takeWhole reads a plain answer to its end before the caller gets it.
+// handleBuffered reads a response other than a stream to its end before the
+// caller gets it. Responses longer than maxBufferedBytes are forwarded as they
+// arrive.
 func (j *job) handleBuffered(choice *routing.DirectChoice, response *upstream.Response, answer *call.Answer) sendOutcome {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
 	if err != nil {
@@ -97,18 +102,18 @@
 	if len(body) == maxBufferedBytes {
 		return j.forwardLong(choice, response, body)
 	}
-	whole := &bufferedResponse{status: answer.Status, header: j.gateway.ports.Dialect.ResponseHeader(response.Header), body: body}
+	buffered := &bufferedResponse{status: answer.Status, header: j.gateway.ports.Dialect.ResponseHeader(response.Header), body: body}
 	if answer.Status >= http.StatusInternalServerError && j.route.Repeatable() && j.indeterminateSends+1 < j.route.MaxAttempts {
-		// The server's own failure: another may do better. It is passed on if not.
+		// Another server may succeed. If none does, this response is passed on.
 		klog.InfoS("Server failed", "request", j.head.ID, "server", choice.Server.ID, "status", answer.Status)
-		j.serverFailure = whole
+		j.serverFailure = buffered
 		return indeterminate
 	}
 	if answer.Status >= http.StatusInternalServerError {
 		j.recordServerFailure(choice.Server.ID)
 	}
 	j.complete = true
-	j.writeBuffered(whole)
+	j.writeBuffered(buffered)
 	return delivered
 }
 
@@ -123,18 +128,18 @@
 	return indeterminate
 }
 
-// pass gives the caller a whole answer.
-func (j *job) writeBuffered(whole *bufferedResponse) {
-	j.copyHeader(whole.header)
-	j.writer.Header().Set("Content-Length", strconv.Itoa(len(whole.body)))
-	j.writer.WriteHeader(whole.status)
+// writeBuffered sends the caller a complete response.
+func (j *job) writeBuffered(response *bufferedResponse) {
+	j.copyHeader(response.header)
+	j.writer.Header().Set("Content-Length", strconv.Itoa(len(response.body)))
+	j.writer.WriteHeader(response.status)
 	if j.inbound.Method != http.MethodHead {
-		if _, err := j.writer.Write(whole.body); err != nil {
-			j.outcome = "answer not written: " + err.Error()
+		if _, err := j.writer.Write(response.body); err != nil {
+			j.outcome = "response not written: " + err.Error()
 			return
 		}
 	}
-	j.outcome = "answered " + strconv.Itoa(whole.status)
+	j.outcome = "answered " + strconv.Itoa(response.status)
 }
 
 func (j *job) copyHeader(from http.Header) {
@@ -143,27 +148,28 @@
 		to[name] = values
 	}
 	if _, ok := from["Content-Type"]; !ok {
-		// Stops the library from guessing one.
+		// Keeps net/http from guessing a content type.
 		to["Content-Type"] = nil
 	}
 }
 
-// passLong forwards an answer that is too long to be held.
-func (j *job) forwardLong(choice *routing.DirectChoice, response *upstream.Response, begun []byte) sendOutcome {
+// forwardLong forwards a response that is too long to be buffered.
+func (j *job) forwardLong(choice *routing.DirectChoice, response *upstream.Response, buffered []byte) sendOutcome {
 	j.copyHeader(j.gateway.ports.Dialect.ResponseHeader(response.Header))
 	if response.Header.Get("Content-Length") != "" {
 		j.writer.Header().Set("Content-Length", response.Header.Get("Content-Length"))
 	}
 	j.writer.WriteHeader(response.Status)
-	_, err := j.writer.Write(begun)
+	_, err := j.writer.Write(buffered)
 	if err == nil {
 		_, err = io.Copy(j.writer, response.Body)
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		// The head is out: only the end of the connection can tell that it is not whole.
+		// The header is already sent: only closing the connection shows that the
+		// response is incomplete.
 		j.responseInterrupted(choice, err)
 		j.sendFinished(choice, indeterminate)
-		j.outcome = "long answer broken off"
+		j.outcome = "long response interrupted"
 		j.logOutcome()
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -16,52 +16,59 @@
 )
 
 const (
-	// freshOnce and freshAny are how idle a kept connection may have been for a
-	// request that must not run twice, and for any other. A connection that the
-	// server closes while the request is under way leaves it unknown.
+	// maxIdleNonRepeatable and maxIdleRepeatable bound how long a reused connection
+	// may have been idle. If the server closes it while a request is in flight, the
+	// outcome is indeterminate, so requests that must not run twice use recently
+	// used connections only.
 	maxIdleNonRepeatable = 700 * time.Millisecond
 	maxIdleRepeatable    = 10 * time.Second
-	// keepUnsaid is how long a connection is kept when the server names no
-	// time: it tells whole seconds, so it is below one.
+	// defaultKeepAlive is how long a connection is kept if the server announces no
+	// keep-alive time. Servers announce whole seconds, so one that announces none
+	// may close in less than a second.
 	defaultKeepAlive = 400 * time.Millisecond
-	// keepShare of the time that a server names is used.
+	// keepAliveShare is the part of an announced keep-alive time that is used.
 	keepAliveShare = 0.7
-	// connShare of the connections that a server takes is used by all entries
-	// together, leastConns by each in any case.
+	// connectionShare of a server's connection limit is divided among all entries;
+	// each may use at least minConnections.
 	connectionShare = 0.9
 	minConnections  = 4
-	// serverMargin of a request's time is kept for the server's last word to
-	// arrive: a few round trips, and a process that waits for its processor.
+	// serverResponseMargin is the part of a request's time kept for a server's
+	// final response to arrive: a few round trips and scheduling delays.
 	serverResponseMargin = 30 * time.Millisecond
-	// spreadSteps of the map from ids to shares.
+	// hashFractionSteps is the number of different values of hashFraction.
 	hashFractionSteps = 1 << 20
 )
 
-// result is how one send ended.
+// sendOutcome is how one send ended.
 type sendOutcome int
 
 const (
-	// delivered: the caller has its final answer, or as much as it can get.
+	// delivered: the caller has its final response, or as much of it as can be
+	// sent.
 	delivered sendOutcome = iota
-	// notSent: no byte reached a server; the request may go elsewhere.
+	// notSent: no byte reached a server; the request may be sent to another.
 	notSent
-	// notRun: the server proved it; the request may go elsewhere.
+	// notRun: the server proved that it did not run the request, which may be sent
+	// to another.
 	notRun
-	// unknown: it may have run.
+	// indeterminate: the server may have run the request.
 	indeterminate
-	// ended: the caller has left or its time is over.
+	// canceled: the caller disconnected or the deadline passed; the server may have
+	// run the request.
 	canceled
 )
 
-// spread maps a request's id to [0, 1), alike at every entry.
+// hashFraction maps a request ID to [0, 1), with the same result at every
+// entry.
 func hashFraction(id string) float64 {
 	return float64(xxh3.HashString(id)%hashFractionSteps) / hashFractionSteps
 }
 
-// run sends the request until it is answered.
+// run sends the request, to several servers if needed, until the caller has a
+// response.
 func (j *job) run() {
-	if after, held := j.checkQuarantine(); held {
-		j.respondQuarantined(after)
+	if retryAfter, quarantined := j.checkQuarantine(); quarantined {
+		j.respondQuarantined(retryAfter)
 		return
 	}
 	for {
@@ -71,13 +78,13 @@
 			return
 		}
 		if err != nil {
-			j.giveUp("no backend server: " + err.Error())
+			j.giveUp("no backend server available: " + err.Error())
 			return
 		}
-		// It may have waited for long.
-		if after, held := j.checkQuarantine(); held {
+		// The request may have been quarantined while it waited for a server.
+		if retryAfter, quarantined := j.checkQuarantine(); quarantined {
 			j.sendFinished(&choice, notSent)
-			j.respondQuarantined(after)
+			j.respondQuarantined(retryAfter)
 			return
 		}
 		switch j.send(&choice) {
@@ -98,91 +105,96 @@
 			}
 		case canceled:
 			j.indeterminateSends++
-			j.giveUp("time over or caller gone")
+			j.giveUp("deadline passed or caller disconnected")
 			return
 		}
 	}
 }
 
-// mayTryAnother decides after a send that reached no server: it arrived
-// nowhere, so it takes nothing from the budget. Without that difference a few
-// dead servers used the budget up, and requests were refused beside idle ones.
-func (j *job) mayResendUnsent(why string) bool {
+// mayResendUnsent decides whether to send again after a send that reached no
+// server. Such sends take nothing from the retry budget: a few dead servers
+// would exhaust it, and requests would be refused although other servers are
+// idle.
+func (j *job) mayResendUnsent(reason string) bool {
 	if j.ctx.Err() == nil && j.sends < maxSends {
 		return true
 	}
-	j.giveUp(why + ", no further send")
+	j.giveUp(reason + ", no further send")
 	return false
 }
 
-// mayGoOn decides after a send that did not run. Refused arrivals count in the
-// budget as well.
-func (j *job) mayResendRefused(why string) bool {
+// mayResendRefused decides whether to send again after a server refused the
+// request. Refused sends count against the retry budget.
+func (j *job) mayResendRefused(reason string) bool {
 	now := time.Now()
 	if j.ctx.Err() == nil && j.sends < maxSends && j.gateway.state.mayResend(now, j.service.Name, j.deadline) {
 		return true
 	}
-	j.giveUp(why + ", no further send")
+	j.giveUp(reason + ", no further send")
 	return false
 }
 
-// maxSends of one request, refused ones included.
+// maxSends bounds the sends of one request, refused ones included.
 const maxSends = 4
 
-// mayRepeat decides after a send that may have run.
+// mayRepeat decides whether to send a request again that may have run.
 func (j *job) mayRepeat() bool {
-	may := j.route.Repeatable() && j.indeterminateSends < j.route.MaxAttempts && j.ctx.Err() == nil && j.crashesAllowRepeat()
-	if may && j.sends < maxSends && j.gateway.state.mayResend(time.Now(), j.service.Name, j.deadline) {
+	allowed := j.route.Repeatable() && j.indeterminateSends < j.route.MaxAttempts && j.ctx.Err() == nil && j.crashesAllowRepeat()
+	if allowed && j.sends < maxSends && j.gateway.state.mayResend(time.Now(), j.service.Name, j.deadline) {
 		return true
 	}
 	j.giveUp("outcome unknown, not repeated")
 	return false
 }
 
-// giveUp gives the final answer at once: a refusal that says when to come back
-// when nothing ran, else a failure that promises nothing.
-func (j *job) giveUp(why string) {
+// giveUp ends the request without another send: with a retry delay if nothing
+// ran, else with an error that leaves the outcome open. It panics with
+// http.ErrAbortHandler if a stream has begun or the caller has disconnected.
+func (j *job) giveUp(reason string) {
 	switch {
 	case j.stream.delivered > 0:
-		// The answer has begun: ending the connection shows that it is not whole.
-		j.outcome = "stream broken off: " + why
+		// The response has begun: closing the connection shows that it is incomplete.
+		j.outcome = "stream broken off: " + reason
 		j.logOutcome()
 		panic(http.ErrAbortHandler)
 	case errors.Is(j.ctx.Err(), context.Canceled):
-		// Nobody reads an answer. Returning without one would be sent as an empty
-		// success, if the connection is open after all.
-		j.outcome = "caller left"
+		// Nobody reads a response. Returning without one would send an empty 200
+		// response if the connection is open after all.
+		j.outcome = "caller disconnected"
 		j.logOutcome()
 		panic(http.ErrAbortHandler)
 	case j.indeterminateSends > 0 && j.serverFailure != nil:
 		j.writeBuffered(j.serverFailure)
 	case j.indeterminateSends > 0:
-		j.respondFailed(why)
+		j.respondFailed(reason)
 	default:
-		j.respondUnavailable(why, j.retryDelay())
+		j.respondUnavailable(reason, j.retryDelay())
 	}
 }
 
-// turnAway ends a request that would wait for nothing. It may have been sent
-// before: then it can't be said that it has not run.
+// rejectForCapacity ends a request that the wait queue rejected. If an earlier
+// send may have run, the response must not say that the request has not run.
 func (j *job) rejectForCapacity(err error) {
 	if j.indeterminateSends > 0 {
 		j.giveUp(err.Error())
 		return
 	}
 	j.gateway.metrics.Count("turned_away", j.routeLabel(), 1)
-	// Callers come back spread over as long again, not all at one moment.
+	// Spreads retries between one and two delays, so that callers do not return at
+	// the same moment.
 	j.respondUnavailable(err.Error(), j.retryAfter+time.Duration(hashFraction(j.head.ID)*float64(j.retryAfter)))
 }
 
-// comeBack is when a refused request is worth another try.
+// retryDelay is the time after which a refused request may be retried, spread
+// by request ID.
 func (j *job) retryDelay() time.Duration {
 	base := 250 * time.Millisecond
 	return base + time.Duration(hashFraction(j.head.ID)*float64(base))
 }
 
-// choose asks the router for the next server, and waits where none has room. A
-// stream that has begun does not wait: its caller counts the pause.
+// chooseServer asks the router for the next server, and waits while none has
+// free memory. A stream that has begun does not wait, since its caller would
+// see the pause.
 func (j *job) chooseServer() (routing.DirectChoice, error) {
 	if j.separation = j.separationKey(); j.separation != 0 {
 		return j.place(false)
@@ -194,8 +206,8 @@
 	return choice, err
 }
 
-// place asks the router for a server. mayWait: rather none than one at which
-// the request would wait for memory.
+// place asks the router for a server. With mayWait it returns routing.ErrNoRoom
+// rather than a server at which the request would wait for memory.
 func (j *job) place(mayWait bool) (routing.DirectChoice, error) {
 	s := j.gateway.state
 	s.mu.Lock()
@@ -212,7 +224,8 @@
 	return s.router.Choose(now, &request, servers, j.tried)
 }
 
-// routed is the request as the router sees it; the state is locked.
+// routingRequest returns the request as the router needs it. The state must be
+// locked.
 func (j *job) routingRequest(s *state) routing.DirectRequest {
 	request := routing.DirectRequest{ID: j.head.ID, Apart: j.separation}
 	if j.modelName() == "" {
@@ -227,15 +240,16 @@
 	return request
 }
 
-// markFull marks the servers at which this entry has its share of connections.
+// markFullServers marks the servers at which this entry has used its share of
+// connections.
 func (j *job) markFullServers(servers []routing.DirectServer) {
 	for i := range servers {
 		servers[i].Full = j.isFull(&servers[i])
 	}
 }
 
-// isFull tells whether this entry has its share of a server's connections; the
-// state is locked.
+// isFull reports whether this entry has used its share of a server's
+// connections. The state must be locked.
 func (j *job) isFull(server *routing.DirectServer) bool {
 	if j.service.MaxConns <= 0 {
 		return false
@@ -244,13 +258,14 @@
 	return j.gateway.pool.Busy(server.Address) >= share
 }
 
-// leftFor is the time that a server is given of what is left. With all of it
-// the server's word that it did not run a request, which waited there until its
-// time was over, came at the moment at which the entry gave up by itself: what
-// was proven not to have run ended as unknown, and the server as one that failed.
+// serverTimeout returns the part of the remaining time that a server is given.
+// The rest lets the server's notice that it did not run an expired request
+// arrive before the entry's own deadline. Without it such a request would count
+// as indeterminate, and its server as failed.
 func serverTimeout(left time.Duration) time.Duration { return max(left-serverResponseMargin, left/2) }
 
-// directions for the chosen server.
+// directions returns the instructions sent to the chosen server with the
+// request.
 func (j *job) directions(choice *routing.DirectChoice) call.Directions {
 	d := call.Directions{
 		Instance: choice.Server.Instance, Left: serverTimeout(time.Until(j.deadline)), Priority: -1,
@@ -307,15 +322,16 @@
 	return upstream.Freshness{MaxIdle: maxIdleNonRepeatable}
 }
 
-func keepAliveFor(told time.Duration) time.Duration {
-	if told <= 0 {
+func keepAliveFor(announced time.Duration) time.Duration {
+	if announced <= 0 {
 		return defaultKeepAlive
 	}
-	return time.Duration(float64(told) * keepAliveShare)
+	return time.Duration(float64(announced) * keepAliveShare)
 }
 
-// belongs tells whether an answer is ours. On a connection that carried other
-// requests an answer without an id may be a late one of theirs.
+// matchesRequest reports whether a response belongs to this request. On a
+// reused connection a response without an ID may be a late one to an earlier
+// request.
 func (j *job) matchesRequest(h http.Header, reused bool) bool {
 	answer := j.gateway.ports.Dialect.Answer(0, h)
 	if answer.ID == "" {
@@ -351,8 +367,8 @@
 	return outcome
 }
 
-// finished tells the routers how the send ended: ours, and the owner of the
-// server's shard.
+// sendFinished reports how the send ended to this entry's router and to the
+// owner of the server's shard.
 func (j *job) sendFinished(choice *routing.DirectChoice, outcome sendOutcome) {
 	j.notifyOwner(j.evidence.end(outcome == delivered))
 	j.offer, j.evidence = nil, evidence{}
--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/callerconn.go
@@ -8,24 +8,23 @@
 	"time"
 )
 
-// The library closes idle connections of callers when a process stops. It takes
-// a connection for idle until it has read the head of a request, and looks at
-// that some time before it closes: where the process does not get its processor
-// in between, the request has been sent on by then. It ran with nobody left to
-// hear its answer; its caller saw the connection end and could not know. Three
-// rules keep that from happening:
+// net/http closes callers' idle connections when a process stops. It counts a
+// connection as idle until it has read the header of a request, and checks that
+// some time before it closes. If the process is descheduled in between, the
+// request may have been forwarded by then: it runs, but its caller sees the
+// connection end without a response. Three rules prevent that:
 //
-//   - From the moment at which bytes of a request were read, a close from outside
-//     is ignored.
-//   - A close that comes while a read is under way does not touch the socket: the
-//     read may have bytes that the kernel has handed over already. It ends the
-//     read's wait, and the reader closes when it came back without any.
-//   - A request that is found on a connection that was closed before, among bytes
-//     read earlier, is not sent on: callerListens.
+//   - Once bytes of a request were read, Close has no effect until its response
+//     was sent.
+//   - A Close during a Read does not close the socket, as the Read may already
+//     have bytes from the kernel. It expires the read deadline instead; if the
+//     Read returns no bytes, the goroutine that serves the connection closes it.
+//   - A request that is found among bytes read before the connection was closed
+//     is not forwarded; see callerReachable.
 //
-// The goroutine that serves the connection closes it as well when it ends, and
-// says so by the state that follows: that one counts. Bytes that nobody has read
-// yet are lost with the close, and with them a request that nobody ran.
+// When that goroutine ends, the state change to http.StateClosed closes the
+// socket in any case. Bytes that were not read yet are lost then, and with them
+// a request that no server has run.
 
 // callerListener accepts callers' connections.
 type callerListener struct{ net.Listener }
@@ -44,16 +43,16 @@
 	net.Conn
 
 	mu sync.Mutex
-	// begun: bytes were read that no request was made of yet. busy: a request is
-	// being answered. reading: a read is under way.
+	// unparsed: bytes were read that belong to no request yet. serving: a request
+	// is being served. reading: a Read is in progress.
 	unparsed, serving, reading bool
-	// closing: a close came while a read waited. closed: the socket is closed.
+	// closePending: Close was called during a Read. closed: the socket is closed.
 	closePending, closed bool
-	// readBy is the deadline of reads that the library asked for.
+	// readDeadline is the read deadline that net/http has set.
 	readDeadline time.Time
 }
 
-// past ends a read that waits.
+// expiredDeadline ends a blocked Read.
 var expiredDeadline = time.Unix(1, 0)
 
 // Read implements net.Conn.
@@ -76,7 +75,7 @@
 	return true
 }
 
-// endRead takes back a close that came too late.
+// endRead cancels a pending close if the Read returned bytes.
 func (c *callerConn) endRead(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +86,7 @@
 	c.unparsed = true
 	if c.closePending {
 		c.closePending = false
-		// An error shows with the next read.
+		// The next Read returns the error, if any.
 		_ = c.Conn.SetReadDeadline(c.readDeadline)
 	}
 }
@@ -118,24 +117,25 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite ends the answers only, so that a caller can read the last one
-// while it still sends. The library asks for it by this name.
+// CloseWrite closes the connection for writing only, so that a caller can read
+// the last response while it still sends. net/http looks for a method of this
+// name.
 func (c *callerConn) CloseWrite() error {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
+	closer, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
 		return nil
 	}
-	return half.CloseWrite()
+	return closer.CloseWrite()
 }
 
-// isClosed tells whether nobody can be answered any more.
+// isClosed reports whether no response can be sent any more.
 func (c *callerConn) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed
 }
 
-// noteCallerState is the server's hook on the states of its connections.
+// trackCallerState is the http.Server's ConnState hook.
 func trackCallerState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*callerConn)
 	if !ok {
@@ -149,23 +149,25 @@
 	case http.StateIdle, http.StateHijacked:
 		c.serving = false
 	case http.StateClosed:
-		// Served to its end: an error would say that it is closed already.
+		// net/http is done with the connection. The socket may be closed already.
 		c.closed = true
 		_ = c.Conn.Close()
 	case http.StateNew:
 	}
 }
 
-// callerConnKey of a request's context holds its connection.
+// callerConnKey is the context key of a request's connection.
 type callerConnKey struct{}
 
-// withCallerConn is the server's hook that keeps the connection with its requests.
+// withCallerConn is the http.Server's ConnContext hook. It gives requests
+// access to their connection.
 func withCallerConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, callerConnKey{}, conn)
 }
 
-// callerListens tells whether a request's connection can carry its answer. It
-// holds from then on, as no close from outside ends a busy connection.
+// callerReachable reports whether a request's connection can carry its
+// response. That stays true, since Close does not close a connection that
+// serves a request.
 func callerReachable(ctx context.Context) bool {
 	c, ok := ctx.Value(callerConnKey{}).(*callerConn)
 	return !ok || !c.isClosed()
--- a/internal/gateway/callerconn_test.go
+++ b/internal/gateway/callerconn_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stopInRead calls stop when the second request's bytes have been read and
-// nobody has looked at them yet.
+// stopAfterRead calls stop when the second request's bytes have been read and
+// are not parsed yet.
 type stopAfterRead struct {
 	net.Listener
 	stop func()
@@ -34,7 +34,7 @@
 func (c *stoppingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if c.reads++; n > 1 && c.reads > 1 && c.stop != nil {
-		// The close comes from another goroutine, and waits for nothing of ours.
+		// As in a shutdown, the close comes from another goroutine.
 		stop := c.stop
 		c.stop = nil
 		time.AfterFunc(20*time.Millisecond, stop)
@@ -42,8 +42,8 @@
 	return n, err
 }
 
-// slowConn holds bytes back after they were read, as a process does that is not
-// given its processor.
+// slowConn delays bytes after they were read, as in a process that is
+// descheduled.
 type slowConn struct{ *callerConn }
 
 func (c *slowConn) Read(p []byte) (int, error) {
@@ -64,12 +64,11 @@
 	return &slowConn{c.(*callerConn)}, nil
 }
 
-// A booking is run and its caller sees the connection end without an answer.
-// The process was told to stop between reading the booking's bytes and finding
-// a request in them, and closed the connection as an idle one.
+// A shutdown between reading a request's bytes and parsing them must not close
+// the connection as idle: the request would run without a response.
 func TestShutdownAnswersRequestsAlreadyRead(t *testing.T) {
 	var server *http.Server
-	base, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ran := make(chan string, 2)
 	server = &http.Server{
@@ -84,9 +83,9 @@
 		},
 	}
 	stop := func() { server.SetKeepAlivesEnabled(false) }
-	go func() { _ = server.Serve(slowListener{callerListener{stopAfterRead{base, stop}}}) }()
+	go func() { _ = server.Serve(slowListener{callerListener{stopAfterRead{listener, stop}}}) }()
 	defer server.Close()
-	caller, err := net.Dial("tcp", base.Addr().String())
+	caller, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
 	defer caller.Close()
 	reader := bufio.NewReader(caller)
@@ -94,16 +93,16 @@
 		_, err = io.WriteString(caller, "GET "+path+" HTTP/1.1\r\nHost: a\r\n\r\n")
 		require.NoError(t, err)
 		response, err := http.ReadResponse(reader, nil)
-		require.NoError(t, err, "what was read is answered: %s", path)
+		require.NoError(t, err, "a request already read gets its response: %s", path)
 		require.NoError(t, response.Body.Close())
 		assert.Equal(t, path, <-ran)
 	}
 	_, err = reader.ReadByte()
-	assert.ErrorIs(t, err, io.EOF, "and the connection ends after it")
+	assert.ErrorIs(t, err, io.EOF, "the connection closes after the last response")
 }
 
-// The same with the process stopped a moment later: the library had found the
-// connection idle, and closed it when the booking was under way.
+// A connection found idle just before a request began must not be closed until
+// the request has its response.
 func TestCloseDuringRequestWaitsForResponse(t *testing.T) {
 	caller, _ := serveOne(t, func(w http.ResponseWriter, r *http.Request) {
 		conn, ok := r.Context().Value(testConnKey{}).(net.Conn)
@@ -114,17 +113,18 @@
 	})
 	_, err := io.WriteString(caller, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	require.NoError(t, err)
-	answer, err := io.ReadAll(caller)
-	require.NoError(t, err, "and the connection ends")
-	assert.Contains(t, string(answer), "ran")
+	response, err := io.ReadAll(caller)
+	require.NoError(t, err, "the connection closes after the response")
+	assert.Contains(t, string(response), "ran")
 }
 
-// A head that can't be read, or never ends, holds no connection open.
+// A header that is malformed or never complete must not keep its connection
+// open.
 func TestInvalidHeaderClosesConnection(t *testing.T) {
-	for name, head := range map[string]string{"malformed": "GET\r\n\r\n", "unfinished": "GET / HTTP/1.1\r\nHo"} {
+	for name, header := range map[string]string{"malformed": "GET\r\n\r\n", "unfinished": "GET / HTTP/1.1\r\nHo"} {
 		t.Run(name, func(t *testing.T) {
 			caller, closed := serveOne(t, func(http.ResponseWriter, *http.Request) {})
-			_, err := io.WriteString(caller, head)
+			_, err := io.WriteString(caller, header)
 			require.NoError(t, err)
 			_, err = io.ReadAll(caller)
 			require.NoError(t, err)
@@ -135,11 +135,11 @@
 
 type testConnKey struct{}
 
-// serveOne serves one caller; closed tells what a write to its connection gives
-// after it was served.
+// serveOne serves one caller. closed receives the result of a write to its
+// connection once that is closed.
 func serveOne(t *testing.T, handle http.HandlerFunc) (caller net.Conn, closed chan error) {
 	t.Helper()
-	base, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	closed = make(chan error, 1)
 	server := &http.Server{
@@ -153,58 +153,57 @@
 			}
 		},
 	}
-	go func() { _ = server.Serve(callerListener{base}) }()
+	go func() { _ = server.Serve(callerListener{listener}) }()
 	t.Cleanup(func() { _ = server.Close() })
-	caller, err = net.Dial("tcp", base.Addr().String())
+	caller, err = net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = caller.Close() })
 	require.NoError(t, caller.SetDeadline(time.Now().Add(3*time.Second)))
 	return caller, closed
 }
 
-// closedInRead is a socket whose bytes have left the kernel when the connection
-// is closed from outside, and have not come back to the reader yet.
-type closeDuringRead struct {
+// socketStub is a socket that calls duringRead while a Read has bytes from the
+// kernel and has not returned them yet.
+type socketStub struct {
 	net.Conn
-	outside func()
-	closed  bool
+	duringRead func()
+	closed     bool
 }
 
-func (c *closeDuringRead) Read(p []byte) (int, error) {
-	c.outside()
+func (c *socketStub) Read(p []byte) (int, error) {
+	c.duringRead()
 	return copy(p, "POST"), nil
 }
 
-func (c *closeDuringRead) Close() error {
+func (c *socketStub) Close() error {
 	c.closed = true
 	return nil
 }
 
-func (c *closeDuringRead) SetReadDeadline(time.Time) error { return nil }
+func (c *socketStub) SetReadDeadline(time.Time) error { return nil }
 
-// A booking was run and its caller saw the connection end 1 ms before. The
-// close of idle connections at a stop came when the booking's first bytes had
-// left the kernel, but the reader had not yet said so.
+// A Close while a Read returns the first bytes of a request must not close the
+// socket: the request would run without a response.
 func TestCloseDuringReadKeepsReceivedBytes(t *testing.T) {
-	socket := &closeDuringRead{}
+	socket := &socketStub{}
 	conn := &callerConn{Conn: socket}
-	socket.outside = func() { require.NoError(t, conn.Close()) }
+	socket.duringRead = func() { require.NoError(t, conn.Close()) }
 	n, err := conn.Read(make([]byte, 16))
 	require.NoError(t, err)
 	assert.Equal(t, 4, n)
-	assert.False(t, socket.closed, "what was read is answered on an open connection")
+	assert.False(t, socket.closed, "the socket stays open for the bytes already read")
 }
 
-// A close from outside must end a connection on which nothing comes, at once
-// and not when its idle time is over.
+// A Close must end a Read of an idle connection at once, not when its idle
+// timeout expires.
 func TestCloseInterruptsIdleRead(t *testing.T) {
-	base, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer base.Close()
-	caller, err := net.Dial("tcp", base.Addr().String())
+	defer listener.Close()
+	caller, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
 	defer caller.Close()
-	accepted, err := callerListener{base}.Accept()
+	accepted, err := callerListener{listener}.Accept()
 	require.NoError(t, err)
 	require.NoError(t, accepted.SetReadDeadline(time.Now().Add(time.Hour)))
 	ended := make(chan error, 1)
@@ -218,17 +217,17 @@
 	case err := <-ended:
 		require.Error(t, err)
 	case <-time.After(time.Second):
-		t.Fatal("the reader still waits")
+		t.Fatal("Read still blocks one second after Close")
 	}
 	_, err = accepted.Read(make([]byte, 1))
-	assert.ErrorIs(t, err, net.ErrClosed, "it does not wait again")
+	assert.ErrorIs(t, err, net.ErrClosed, "a later Read fails without blocking")
 }
 
-// Two requests came in one packet. The connection was closed as idle between
-// the first answer and the look at the second request, which was sent on then
-// with nobody left to hear its answer.
+// Two pipelined requests arrive together, and the connection is closed as idle
+// after the first response. The second must not be forwarded, as its response
+// can't be sent.
 func TestPipelinedRequestOnClosedConnectionIsNotSent(t *testing.T) {
-	socket := &closeDuringRead{outside: func() {}}
+	socket := &socketStub{duringRead: func() {}}
 	conn := &callerConn{Conn: socket}
 	trackCallerState(conn, http.StateActive)
 	trackCallerState(conn, http.StateIdle)
@@ -236,8 +235,8 @@
 	require.True(t, socket.closed)
 	trackCallerState(conn, http.StateActive)
 	assert.False(t, callerReachable(withCallerConn(context.Background(), conn)))
-	open := &callerConn{Conn: &closeDuringRead{outside: func() {}}}
+	open := &callerConn{Conn: &socketStub{duringRead: func() {}}}
 	trackCallerState(open, http.StateActive)
-	require.NoError(t, open.Close(), "ignored: a request is being answered")
+	require.NoError(t, open.Close(), "Close has no effect while a request is served")
 	assert.True(t, callerReachable(withCallerConn(context.Background(), open)))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,34 +18,38 @@
 )
 
 const (
-	// connectTime bounds the opening of a connection to a backend server.
+	// connectTimeout bounds opening a connection to a backend server.
 	connectTimeout = 250 * time.Millisecond
-	// silenceTime is how long bytes sent to one may stay unacknowledged.
+	// ackTimeout is how long sent bytes may stay unacknowledged before the
+	// connection fails.
 	ackTimeout = 1200 * time.Millisecond
-	// stateTick lets beliefs lapse and closes idle connections.
+	// stateTickInterval is the pause between two removals of expired state and idle
+	// connections.
 	stateTickInterval = 250 * time.Millisecond
-	// firstConfigWait: callers are let in without a configuration after this
-	// time, and hear 503 until there is one.
+	// firstConfigTimeout is how long Start waits for a first configuration. After
+	// that callers are accepted and receive 503 until a configuration arrives.
 	firstConfigTimeout = 5 * time.Second
-	// maxMetricLabels bounds the names of routes in metrics.
+	// maxMetricLabels bounds the number of distinct route names in metrics.
 	maxMetricLabels = 256
-	// headerBytes and headerTime bound heads until a configuration says otherwise.
+	// Limits of the internal servers, and of callers' connections until a
+	// configuration sets them.
 	defaultHeaderBytes   = 16 << 10
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = 60 * time.Second
-	// The balancer asks once a second and needs two refusals; then no new
-	// callers come, and what is on its way arrives within drainOnWay.
+	// The load balancer probes readiness once a second and removes an entry after
+	// two failed probes. Requests already on their way arrive within
+	// drainArrivalTime.
 	minNotReadyProbes = 2
 	drainArrivalTime  = 500 * time.Millisecond
-	// drainAtMost is when connections are closed though the balancer has not
-	// asked: its questions may be lost.
+	// maxProbeWait bounds the wait for these probes, which may get lost.
 	maxProbeWait = 3500 * time.Millisecond
-	// drainReserve of the grace time is kept for the end of the process.
+	// shutdownReserve is the part of the grace period left for the end of the
+	// process.
 	shutdownReserve   = 700 * time.Millisecond
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// Gateway is one running process. Stop it with Shutdown.
+// Gateway is one running entry process. Stop it with Shutdown.
 type Gateway struct {
 	settings Settings
 	ports    Ports
@@ -54,7 +58,8 @@
 	metrics  *metrics.Registry
 	peers    *peers
 	hints    *hints
-	// datagrams between entries, placing what it asks of them.
+	// datagrams carries messages between entries; placements sends placement
+	// requests over it.
 	datagrams  *datagrams
 	placements *placementClient
 	feeds      []*feed
@@ -64,16 +69,17 @@
 	internalServers []*http.Server
 	active          atomic.Int64
 	stopping        atomic.Bool
-	// open: callers' address is listened on.
+	// callersListening: the callers' address is open.
 	callersListening atomic.Bool
-	// notReadyAnswers counts answers to the balancer since the signal to stop.
+	// notReadyResponses counts readiness probes answered with 503 since shutdown
+	// began.
 	notReadyResponses atomic.Int64
 
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 }
 
-// Start opens the process's addresses and begins to follow the tables.
+// Start opens the process's addresses and begins to follow the store's tables.
 func Start(ctx context.Context, settings Settings, ports Ports) (*Gateway, error) {
 	pool := upstream.NewPool(connectTimeout, ackTimeout)
 	g := &Gateway{
@@ -97,7 +103,7 @@
 	return g, nil
 }
 
-// spawn runs a task until the process stops.
+// spawn runs task in a goroutine that g.tasks counts.
 func (g *Gateway) spawn(task func()) {
 	g.tasks.Add(1)
 	go func() {
@@ -106,11 +112,11 @@
 	}()
 }
 
-// awaitConfig waits a little for the first configuration, which sets the
-// limits of callers' connections.
+// awaitConfig waits up to firstConfigTimeout for the first configuration, which
+// sets the limits of callers' connections.
 func (g *Gateway) awaitConfig(ctx context.Context) {
-	until := time.Now().Add(firstConfigTimeout)
-	for !g.state.ready() && time.Now().Before(until) && ctx.Err() == nil {
+	deadline := time.Now().Add(firstConfigTimeout)
+	for !g.state.ready() && time.Now().Before(deadline) && ctx.Err() == nil {
 		time.Sleep(drainPollInterval)
 	}
 }
@@ -144,12 +150,12 @@
 func (g *Gateway) serve(server *http.Server, listener net.Listener) {
 	g.spawn(func() {
 		if err := server.Serve(listener); err != nil && !eris.Is(err, http.ErrServerClosed) {
-			klog.ErrorS(err, "Server ended", "address", listener.Addr())
+			klog.ErrorS(err, "HTTP server failed", "address", listener.Addr())
 		}
 	})
 }
 
-// listenInner opens what the balancer, other entries and operators ask.
+// listenInternal opens the readiness, control and metrics addresses.
 func (g *Gateway) listenInternal() error {
 	handlers := map[string]http.Handler{}
 	if g.settings.ReadyAddress != "" {
@@ -175,7 +181,7 @@
 	return nil
 }
 
-// giveMetrics writes all metrics as text, gauges as of now.
+// serveMetrics updates the gauges and writes all metrics as text.
 func (g *Gateway) serveMetrics(c echo.Context) error {
 	g.updateGauges(time.Now())
 	c.Response().Header().Set(echo.HeaderContentType, echo.MIMETextPlainCharsetUTF8)
@@ -184,7 +190,8 @@
 	return nil
 }
 
-// gauges shows how old each belief is, and what is left of each budget.
+// updateGauges sets the gauges of current state, such as the age of each table
+// and what is left of each retry budget.
 func (g *Gateway) updateGauges(now time.Time) {
 	for _, f := range g.feeds {
 		g.metrics.Gauge("belief_version", f.table, int64(f.version())) //nolint:gosec // a count
@@ -202,15 +209,15 @@
 	for _, model := range s.book.Models() {
 		g.metrics.Gauge("weights_named", model, int64(s.book.Newest(model))) //nolint:gosec // a count
 	}
-	known, held := s.suspects.counts()
-	g.metrics.Gauge("suspected_requests", "known", int64(known))
-	g.metrics.Gauge("suspected_requests", "held", int64(held))
+	suspects, quarantined := s.suspects.counts()
+	g.metrics.Gauge("suspected_requests", "known", int64(suspects))
+	g.metrics.Gauge("suspected_requests", "held", int64(quarantined))
 	g.metrics.Gauge("requests_active", "all", g.active.Load())
 	g.metrics.Gauge("requests_waiting", "memory", int64(s.room.Len()))
 	g.metrics.Gauge("connections_opened", "all", g.pool.Opened())
 }
 
-// answerReady tells the balancer whether callers may come.
+// serveReady answers the load balancer's readiness probes.
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if g.stopping.Load() {
 		g.notReadyResponses.Add(1)
@@ -224,14 +231,15 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Shutdown ends without cutting a request: it stops being ready, goes on to
-// answer until the balancer has seen that, closes the listener and idle
-// connections, and waits for what is under way. It does not wait for a moment
-// without requests: while others stop too, callers would come until the end,
-// and the last of them would be cut.
+// Shutdown stops the process without interrupting requests. It reports not
+// ready, keeps serving until the load balancer has noticed, closes the listener
+// and idle connections, and waits for running requests until the grace period
+// ends. It does not wait for a moment without requests before it closes the
+// listener: while other entries stop too, callers may keep arriving until the
+// end, and the last requests would be cut off.
 func (g *Gateway) Shutdown(ctx context.Context) error {
-	begun := time.Now()
-	end := begun.Add(g.settings.Grace - shutdownReserve)
+	started := time.Now()
+	end := started.Add(g.settings.Grace - shutdownReserve)
 	klog.InfoS("Stopping", "active", g.active.Load(), "until", end)
 	g.stopping.Store(true)
 	if g.keeper != nil {
@@ -239,18 +247,19 @@
 	}
 	g.unregister(ctx)
 	g.callerServer.SetKeepAlivesEnabled(false)
-	for time.Since(begun) < maxProbeWait && ctx.Err() == nil && g.notReadyResponses.Load() < minNotReadyProbes {
+	for time.Since(started) < maxProbeWait && ctx.Err() == nil && g.notReadyResponses.Load() < minNotReadyProbes {
 		time.Sleep(drainPollInterval)
 	}
 	sleep(ctx, drainArrivalTime)
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	err := g.callerServer.Shutdown(ctx)
-	// Shutdown no longer counts a connection whose close a callerConn ignored.
+	// http.Server.Shutdown does not wait for connections whose Close a callerConn
+	// ignored.
 	for g.active.Load() > 0 && ctx.Err() == nil {
 		sleep(ctx, drainPollInterval)
 	}
-	klog.InfoS("Stopped", "active", g.active.Load(), "tookMS", time.Since(begun).Milliseconds(), "err", err)
+	klog.InfoS("Stopped", "active", g.active.Load(), "tookMS", time.Since(started).Milliseconds(), "err", err)
 	g.cancel()
 	for _, server := range g.internalServers {
 		_ = server.Close()
@@ -258,7 +267,7 @@
 	return nil
 }
 
-// Reload takes in settings that may change while the process runs.
+// Reload applies the settings that may change at run time: the seeds.
 func (g *Gateway) Reload(settings Settings) {
 	g.peers.setSeeds(settings.Seeds)
 	klog.InfoS("Settings reloaded", "seeds", settings.Seeds)
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -13,7 +13,7 @@
 	"github.com/jayproxy/jayproxy/internal/upstream"
 )
 
-// identity of the request across its caller's attempts.
+// identity returns what identifies the request across its caller's attempts.
 func (j *job) identity() quarantine.Identity {
 	identity := quarantine.Identity{
 		Host: j.inbound.Host, Method: j.outbound.Method, Target: j.outbound.Target, Body: j.outbound.Body,
@@ -26,7 +26,8 @@
 
 func (j *job) fingerprint() quarantine.Fingerprint { return j.hashes.Fingerprint() }
 
-// fingerprintOf a send that may have run, for logs; empty for others.
+// fingerprintOf returns the fingerprint for the log of a send that may have
+// run; empty for others.
 func (j *job) fingerprintOf(outcome sendOutcome) string {
 	if outcome == notSent {
 		return ""
@@ -34,41 +35,44 @@
 	return j.fingerprint().String()
 }
 
-// suspected tells whether anything is known of the request.
+// isSuspect reports whether crashes or interrupted runs of the request may be
+// recorded.
 func (j *job) isSuspect() bool {
 	return j.gateway.state.suspects.mayBeSuspect(&j.hashes)
 }
 
-// isHeld tells whether the request must not be sent, and when its caller may
-// come back. A trial that is due is claimed first.
-func (j *job) checkQuarantine() (retryAfter time.Duration, held bool) {
+// checkQuarantine reports whether the request must not be sent, and when its
+// caller may retry. It first claims a trial that is due.
+func (j *job) checkQuarantine() (retryAfter time.Duration, quarantined bool) {
 	if j.trial > 0 || !j.isSuspect() {
 		return 0, false
 	}
 	g := j.gateway
-	v := g.state.suspects.verdict(time.Now(), j.fingerprint())
-	if v.Trial > 0 && g.claimTrial(j.ctx, j.fingerprint(), v.Trial) {
-		j.trial = v.Trial
+	verdict := g.state.suspects.verdict(time.Now(), j.fingerprint())
+	if verdict.Trial > 0 && g.claimTrial(j.ctx, j.fingerprint(), verdict.Trial) {
+		j.trial = verdict.Trial
 		return 0, false
 	}
-	return v.RetryAfter, v.Held
+	return verdict.RetryAfter, verdict.Held
 }
 
-// turnBack answers a request that is held.
-func (j *job) respondQuarantined(after time.Duration) {
+// respondQuarantined ends a quarantined request.
+func (j *job) respondQuarantined(retryAfter time.Duration) {
 	j.gateway.metrics.Count("held_back", j.routeLabel(), 1)
-	klog.InfoS("Request held back", "request", j.head.ID, "fingerprint", j.fingerprint().String(), "retryAfterMS", after.Milliseconds(), "ranOn", j.indeterminateSends)
-	const why = "held: servers crashed under it"
+	klog.InfoS("Request held back", "request", j.head.ID, "fingerprint", j.fingerprint().String(), "retryAfterMS", retryAfter.Milliseconds(), "ranOn", j.indeterminateSends)
+	const reason = "held: servers crashed under it"
 	if j.indeterminateSends > 0 {
-		j.giveUp(why)
+		j.giveUp(reason)
 		return
 	}
-	j.respondUnavailable(why, after)
+	j.respondUnavailable(reason, retryAfter)
 }
 
-// apartKey is what keeps a suspected request from others; 0: it is none. It
-// changes with each crash, so that two that met once part. By their prefix they
-// would all go to its home, and no crash could tell which is at fault.
+// separationKey returns the key that keeps a suspect request apart from other
+// suspects; 0: it is none. The key changes with each crash, so that two
+// suspects that met at a server are separated. By their prefix they would all
+// go to the same preferred server, and a crash could not be attributed to one
+// of them.
 func (j *job) separationKey() uint64 {
 	crashes := len(j.interruptedEarly)
 	if j.isSuspect() {
@@ -81,8 +85,8 @@
 	return routing.Rendezvous(binary.BigEndian.Uint64(f[len(f)-8:]), uint64(crashes)) | 1 //nolint:gosec // positive
 }
 
-// suspectsAllowRepeat tells whether a run that broke off may be repeated as far
-// as its server's end is concerned.
+// crashesAllowRepeat reports whether an interrupted run may be repeated, as far
+// as possible crashes of its servers are concerned.
 func (j *job) crashesAllowRepeat() bool {
 	if j.trial > 0 {
 		return false
@@ -93,8 +97,9 @@
 	return j.gateway.state.suspects.mayRepeat(j.fingerprint(), j.interruptedEarly)
 }
 
-// noteEarlyEnd takes in that a run ended with its connection. Where it had just
-// begun, the server is asked whether it still listens.
+// recordEarlyInterruption records a run that ended with its connection. If that
+// was before or soon after its first event, the server is probed to find out
+// whether it still listens.
 func (j *job) recordEarlyInterruption(choice *routing.DirectChoice) {
 	now := time.Now()
 	if !quarantine.JustBegun(now, j.firstEventAt) {
@@ -111,7 +116,8 @@
 	}
 }
 
-// isDraining tells whether a server is listed as leaving: its end is planned.
+// isDraining reports whether a server is listed as draining, so that its end is
+// planned.
 func (s *state) isDraining(server string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,8 +125,9 @@
 	return b != nil && b.Draining
 }
 
-// askListens finds out whether a server's process has ended. Waiting for the next
-// request that is sent there would let the caller's next attempt go first.
+// probeServer finds out whether a server's process has ended. If that were left
+// to the next request sent there, the caller's next attempt could be sent
+// before the crash is known.
 func (g *Gateway) probeServer(server, address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
@@ -132,7 +139,8 @@
 	}
 }
 
-// settle takes in how the request ended, for what is believed of it.
+// settleSuspect clears the records of a request that completed, and releases a
+// trial that did not run.
 func (j *job) settleSuspect() {
 	s := j.gateway.state.suspects
 	switch {
--- a/internal/gateway/logs.go
+++ b/internal/gateway/logs.go
@@ -5,6 +5,6 @@
 	"log"
 )
 
-// quietLog drops what net/http says of callers' broken connections: a line for
-// each would let callers fill the log.
+// discardLog drops net/http's messages on callers' broken connections: a line
+// for each would let callers flood the log.
 func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -16,23 +16,26 @@
 )
 
 const (
-	// askTime is how long an owner's answer is waited for: some round trips
-	// between data centres, and a process that waits for its processor. Then the
-	// entry decides alone: late knowledge is worth less than the caller's time.
+	// ownerTimeout bounds the wait for an owner's offer: some round trips between
+	// data centres and scheduling delays. After it the entry chooses a server
+	// itself, since a late offer is worth less than the caller's time.
 	ownerTimeout = 40 * time.Millisecond
-	// reaskPause between two questions for a request that waits for memory, which
-	// becomes free with the end of requests that take hundreds of milliseconds.
+	// ownerRetryInterval is the pause between two placement requests for a request
+	// that waits for memory, which is freed when requests of some hundreds of
+	// milliseconds end.
 	ownerRetryInterval = 100 * time.Millisecond
 )
 
-// sharded tells whether owners are asked. A few entries tell each other all that
-// they do; from some number on that no longer fits what words may take, and each
-// would decide by a small part of what goes on.
+// sharded reports whether owners are asked for servers. A few entries send each
+// other all their placements. With more entries these updates exceed their
+// bandwidth limit, and each entry would decide by a small part of all
+// placements.
 func (g *Gateway) sharded() bool {
 	return g.peers.count() > tellAllAtMost && g.datagrams.conn != nil
 }
 
-// deciders is how many entries decide by what they know of all servers.
+// decidingEntries is the number of entries that place requests by their own
+// view of all servers.
 func (g *Gateway) decidingEntries() int {
 	if g.sharded() {
 		return g.peers.strong()
@@ -40,22 +43,25 @@
 	return g.peers.count()
 }
 
-// decides tells whether this entry is one of them.
+// isDeciding reports whether this entry places requests by its own view of all
+// servers.
 func (g *Gateway) isDeciding() bool {
 	return !g.sharded() || g.peers.isStrong()
 }
 
-// offered is a server that an owner offered, and counts our request at.
+// ownerOffer is a server that an owner offered. The owner counts the request
+// there.
 type ownerOffer struct {
 	owner shard.Entry
 	*jayv1.PlacementOffer
 }
 
-// placing asks owners where to send requests.
+// placementClient asks owners for servers to send requests to.
 type placementClient struct {
 	gateway *Gateway
 	mu      sync.Mutex
-	// open questions by key; each channel has room for its one answer.
+	// pending holds a channel for each unanswered placement request, by its key;
+	// each has room for the one answer.
 	pending map[uint64]chan *jayv1.PlacementOffer
 }
 
@@ -63,26 +69,27 @@
 	return &placementClient{gateway: g, pending: map[uint64]chan *jayv1.PlacementOffer{}}
 }
 
-// ask asks one owner; nil when it does not answer in time.
-func (p *placementClient) askOwner(ctx context.Context, owner shard.Entry, question *jayv1.PlacementAsk) *jayv1.PlacementOffer {
+// askOwner asks one owner for a server. It returns nil if no answer arrives in
+// time.
+func (p *placementClient) askOwner(ctx context.Context, owner shard.Entry, ask *jayv1.PlacementAsk) *jayv1.PlacementOffer {
 	g := p.gateway
 	if owner.Name == g.settings.Node {
-		return g.state.offer(time.Now(), question)
+		return g.state.offer(time.Now(), ask)
 	}
-	begun := time.Now()
+	started := time.Now()
 	answer := make(chan *jayv1.PlacementOffer, 1)
 	p.mu.Lock()
-	p.pending[question.GetKey()] = answer
+	p.pending[ask.GetKey()] = answer
 	p.mu.Unlock()
-	err := g.datagrams.send(g.datagrams.addressOf(owner.Address), &jayv1.Datagram{Body: &jayv1.Datagram_Ask{Ask: question}})
+	err := g.datagrams.send(g.datagrams.addressOf(owner.Address), &jayv1.Datagram{Body: &jayv1.Datagram_Ask{Ask: ask}})
 	if err != nil {
-		klog.V(1).InfoS("Owner not asked", "owner", owner.Name, "err", err)
+		klog.V(1).InfoS("Placement request not sent to owner", "owner", owner.Name, "err", err)
 	}
-	offer := p.awaitOffer(ctx, question.GetKey(), answer)
+	offer := p.awaitOffer(ctx, ask.GetKey(), answer)
 	now := time.Now()
 	switch {
 	case offer != nil:
-		g.metrics.Time("placement", "answered", now.Sub(begun))
+		g.metrics.Time("placement", "answered", now.Sub(started))
 		g.state.ownerAnswered(owner.Name)
 	case ctx.Err() == nil:
 		g.metrics.Count("placement_unanswered", owner.Name, 1)
@@ -91,7 +98,8 @@
 	return offer
 }
 
-// addressOf a listed server; empty when it is not listed.
+// addressOf returns the address of the listed server with this name hash;
+// empty: none is listed.
 func (s *state) addressOf(server uint32) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +109,8 @@
 	return ""
 }
 
-// await waits for an owner's answer; nil: there is none in time.
+// awaitOffer waits for an owner's answer. It returns nil if none arrives in
+// time.
 func (p *placementClient) awaitOffer(ctx context.Context, key uint64, answer chan *jayv1.PlacementOffer) *jayv1.PlacementOffer {
 	timer := time.NewTimer(ownerTimeout)
 	defer timer.Stop()
@@ -122,8 +131,9 @@
 	}
 }
 
-// answered takes in an owner's answer. One that comes too late is given back, so
-// that the owner does not count a request that went elsewhere.
+// receiveOffer delivers an owner's answer to the request that waits for it. An
+// offer that arrives too late is released, so that the owner does not count a
+// request that went elsewhere.
 func (p *placementClient) receiveOffer(offer *jayv1.PlacementOffer, from *net.UDPAddr) {
 	p.mu.Lock()
 	answer, ok := p.pending[offer.GetKey()]
@@ -143,46 +153,48 @@
 	return &jayv1.Datagram{Body: &jayv1.Datagram_Progress{Progress: p}}
 }
 
-// report tells the owner of an offer how the request goes on.
+// sendProgress reports the progress of an offered request to its owner.
 func (p *placementClient) sendProgress(owner shard.Entry, progress *jayv1.PlacementProgress) {
 	g := p.gateway
 	if owner.Name != g.settings.Node {
 		g.datagrams.tell(g.datagrams.addressOf(owner.Address), progressDatagram(progress))
 		return
 	}
-	// Evidence on the server is known here already.
+	// Evidence about the server is left out: this entry has recorded it already.
 	g.state.progress(time.Now(), &jayv1.PlacementProgress{
 		Key: progress.GetKey(), First: progress.GetFirst(), Ended: progress.GetEnded(), Elsewhere: progress.GetElsewhere(),
 		HasLoad: progress.GetHasLoad(), Running: progress.GetRunning(), Waiting: progress.GetWaiting(),
 	})
 }
 
-// giveBack tells an owner that its offer is not used. instead is the offer that
-// is; nil: none.
-func (p *placementClient) releaseOffer(one, instead *ownerOffer) {
-	if one == nil {
+// releaseOffer notifies an owner that its offer is not used. replacement is the
+// offer used instead; nil: none.
+func (p *placementClient) releaseOffer(unused, replacement *ownerOffer) {
+	if unused == nil {
 		return
 	}
-	progress := &jayv1.PlacementProgress{Key: one.GetKey(), Ended: true}
-	if instead != nil && instead.GetVersion() == one.GetVersion() {
-		progress.Elsewhere = p.futureHolder(instead)
+	progress := &jayv1.PlacementProgress{Key: unused.GetKey(), Ended: true}
+	if replacement != nil && replacement.GetVersion() == unused.GetVersion() {
+		progress.Elsewhere = p.futureHolder(replacement)
 	}
-	p.sendProgress(one.owner, progress)
+	p.sendProgress(unused.owner, progress)
 }
 
-// heldBy an offered server from when it has read the prefix.
-func (p *placementClient) futureHolder(one *ownerOffer) *jayv1.Held {
+// futureHolder describes the offered server as holder of the prefix, with the
+// time until it will have read it.
+func (p *placementClient) futureHolder(offer *ownerOffer) *jayv1.Held {
 	return &jayv1.Held{
-		Address: p.gateway.state.addressOf(one.GetServer()), Version: one.GetVersion(),
-		ReadyMs: one.GetQueueMs() + one.GetMemoryMs() + one.GetReadMs(),
+		Address: p.gateway.state.addressOf(offer.GetServer()), Version: offer.GetVersion(),
+		ReadyMs: offer.GetQueueMs() + offer.GetMemoryMs() + offer.GetReadMs(),
 	}
 }
 
-// holderOf the prefix by an offer, for the next owner that is asked.
-func (p *placementClient) prefixHolder(one *ownerOffer) *jayv1.Held {
+// prefixHolder returns the server that holds the prefix according to an offer,
+// for the next owner asked; nil: none is known.
+func (p *placementClient) prefixHolder(received *ownerOffer) *jayv1.Held {
 	offer := routing.Offer{
-		Server:    routing.DirectServer{Address: p.gateway.state.addressOf(one.GetServer()), Version: one.GetVersion()},
-		FetchFrom: one.GetFetchFrom(), Source: routing.SourceOfCode(one.GetSource()),
+		Server:    routing.DirectServer{Address: p.gateway.state.addressOf(received.GetServer()), Version: received.GetVersion()},
+		FetchFrom: received.GetFetchFrom(), Source: routing.SourceOfCode(received.GetSource()),
 	}
 	holding, ok := offer.Holder()
 	if !ok || holding.Address == "" {
@@ -191,28 +203,30 @@
 	return &jayv1.Held{Address: holding.Address, Version: holding.Version}
 }
 
-// errNoOffer tells that no owner offered a server: the entry decides alone.
+// errNoOffer means that no owner offered a server: the entry chooses one
+// itself.
 var errNoOffer = errors.New("no owner offered a server")
 
 // bestOffer asks the owners in turn until one offers a server with a short
-// queue, and returns the best. routing.ErrNoRoom when all that answered have no
-// memory free, errNoOffer when there is nothing to compare.
+// queue, and returns the best offer. Without an offer it returns
+// routing.ErrNoRoom if an owner answered that no memory is free, else
+// errNoOffer.
 func (j *job) bestOffer(mayWait bool) (*ownerOffer, error) {
 	p := j.gateway.placements
-	question, owners := j.buildAsk(mayWait)
+	ask, owners := j.buildAsk(mayWait)
 	err := errNoOffer
 	var best *ownerOffer
 	for _, owner := range owners {
-		question.Key = rand.Uint64() //nolint:gosec // told apart, not secret
-		offer := p.askOwner(j.ctx, owner, question)
+		ask.Key = rand.Uint64() //nolint:gosec // unique, not secret
+		offer := p.askOwner(j.ctx, owner, ask)
 		switch offer.GetOutcome() {
 		case jayv1.PlacementOffer_OUTCOME_SERVER:
-			one := &ownerOffer{owner: owner, PlacementOffer: offer}
-			if best == nil || one.GetTotalMs() < best.GetTotalMs() {
-				best, one = one, best
+			candidate := &ownerOffer{owner: owner, PlacementOffer: offer}
+			if best == nil || candidate.GetTotalMs() < best.GetTotalMs() {
+				best, candidate = candidate, best
 			}
-			p.releaseOffer(one, best)
-			question.Held = p.prefixHolder(best)
+			p.releaseOffer(candidate, best)
+			ask.Held = p.prefixHolder(best)
 		case jayv1.PlacementOffer_OUTCOME_NO_ROOM:
 			err = routing.ErrNoRoom
 		}
@@ -226,7 +240,7 @@
 	return best, nil
 }
 
-// question is what the owners need to know of the request, and who they are.
+// buildAsk returns the placement request and the owners to send it to.
 func (j *job) buildAsk(mayWait bool) (*jayv1.PlacementAsk, []shard.Entry) {
 	s := j.gateway.state
 	s.mu.Lock()
@@ -255,24 +269,24 @@
 	return ask, s.divisionLocked(now, j.service.Name).Asked(request.HomeKey(s.book.Newest(ask.Model)))
 }
 
-// accept sends the request where it was offered, and counts it there. False: by
-// what this entry knows of the server it can't.
-func (j *job) acceptOffer(now time.Time, one *ownerOffer) (routing.DirectChoice, bool) {
+// acceptOffer places the request at the offered server and counts it there. It
+// returns false if the server can't be used according to this entry's view.
+func (j *job) acceptOffer(now time.Time, offer *ownerOffer) (routing.DirectChoice, bool) {
 	s := j.gateway.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return j.acceptOfferLocked(now, one)
+	return j.acceptOfferLocked(now, offer)
 }
 
-func (j *job) acceptOfferLocked(now time.Time, one *ownerOffer) (routing.DirectChoice, bool) {
+func (j *job) acceptOfferLocked(now time.Time, offer *ownerOffer) (routing.DirectChoice, bool) {
 	s := j.gateway.state
-	b := s.list.ByHash(nameHash)[one.GetServer()]
+	b := s.list.ByHash(nameHash)[offer.GetServer()]
 	if b == nil || b.Service != j.service.Name || !s.mayServe(now, b) || !s.members.Usable(b.ID) {
 		return routing.DirectChoice{}, false
 	}
 	model := j.modelName()
 	if model != "" {
-		s.sawVersionLocked(b.ID, model, one.GetVersion(), "owner")
+		s.sawVersionLocked(b.ID, model, offer.GetVersion(), "owner")
 	}
 	server := s.serverLocked(now, j.service, model, b)
 	if j.isFull(&server) || server.VersionAge > s.settings.VersionBound-versionMargin {
@@ -280,15 +294,16 @@
 	}
 	request := j.routingRequest(s)
 	choice := s.router.Adopt(now, &request, &routing.Offer{
-		Server: server, FetchFrom: one.GetFetchFrom(), SaveTo: one.GetSaveTo(), Source: routing.SourceOfCode(one.GetSource()),
-		QueueMS: float64(one.GetQueueMs()), MemoryMS: float64(one.GetMemoryMs()), ReadMS: float64(one.GetReadMs()),
+		Server: server, FetchFrom: offer.GetFetchFrom(), SaveTo: offer.GetSaveTo(), Source: routing.SourceOfCode(offer.GetSource()),
+		QueueMS: float64(offer.GetQueueMs()), MemoryMS: float64(offer.GetMemoryMs()), ReadMS: float64(offer.GetReadMs()),
 	})
-	j.offer = one
+	j.offer = offer
 	return choice, true
 }
 
-// placeShared lets the owners of the prefix's shards choose; the entry decides
-// alone where they don't answer, or offer what it can't use.
+// placeByOwners lets the owners of the prefix's shards choose a server. The
+// entry chooses one itself if they do not answer, or offer one that it can't
+// use.
 func (j *job) placeByOwners(mayWait bool) (routing.DirectChoice, error) {
 	if !j.gateway.sharded() {
 		return j.place(mayWait)
@@ -307,7 +322,7 @@
 	return j.place(mayWait)
 }
 
-// tellOwner reports on the request to the owner that offered its server, if any.
+// notifyOwner reports progress to the owner that offered the server, if any.
 func (j *job) notifyOwner(progress *jayv1.PlacementProgress) {
 	if j.offer == nil {
 		return
@@ -316,7 +331,7 @@
 	j.gateway.placements.sendProgress(j.offer.owner, progress)
 }
 
-// ownerName is who chose the server; empty: this entry.
+// ownerName is the owner that chose the server; empty: this entry chose it.
 func (j *job) ownerName() string {
 	if j.offer == nil {
 		return ""
@@ -324,7 +339,7 @@
 	return j.offer.owner.Name
 }
 
-// ownerMissed takes in that an owner did not answer in time.
+// ownerTimedOut records that an owner did not answer in time.
 func (s *state) ownerTimedOut(now time.Time, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -1,7 +1,7 @@
-// Package gateway is the shell that forwards callers' HTTP calls to backend
-// servers that are called directly: it reads and writes sockets, feeds and
-// lists, and asks the pure packages for every decision (routetable, routing,
-// membership, retry, weights, rollout, mirror, lease).
+// Package gateway forwards callers' HTTP requests to backend servers that it
+// calls directly. It does the I/O on sockets, tables and datagrams; packages
+// without I/O make the decisions (routetable, routing, membership, retry,
+// weights, rollout, mirror, lease).
 package gateway
 
 import (
@@ -17,61 +17,65 @@
 	"github.com/jayproxy/jayproxy/internal/weights"
 )
 
-// Dialect decodes and encodes the heads of calls.
+// Dialect translates between HTTP headers and the types of package call.
 type Dialect interface {
-	// Decode reads a caller's head; call.ErrMalformed when it can't be understood.
+	// Decode reads a caller's header; call.ErrMalformed if that is malformed.
 	Decode(h http.Header) (call.Head, error)
-	// RequestHeader makes the head for a backend server.
+	// RequestHeader returns the header of a request to a backend server.
 	RequestHeader(from http.Header, d call.Directions) http.Header
-	// Answer reads the head of a backend server's answer, Back makes the caller's.
+	// Answer reads the header of a backend server's response; ResponseHeader
+	// returns the one for the caller.
 	Answer(status int, h http.Header) call.Answer
 	ResponseHeader(from http.Header) http.Header
-	// Refuse writes the head of a refusal of our own.
+	// Refuse writes the header of a response by the entry itself. after is the
+	// retry delay; 0: none.
 	Refuse(h http.Header, requestID string, after time.Duration)
 }
 
 // Tables reads the tables that operators and backend servers write.
 type Tables interface {
-	// Snapshot reads a table; Changes waits for what changed after a version, and
-	// is ErrHistory when that is too long ago.
+	// Snapshot reads a complete table. Changes waits for changes after a version;
+	// its error is Ports.HistoryGone if that version is too old.
 	Snapshot(ctx context.Context, table string) (mirror.Batch, error)
 	Changes(ctx context.Context, table string, after uint64, wait time.Duration) (mirror.Batch, error)
 }
 
-// Decoder turns rows into what they declare.
+// Decoder decodes the rows of the tables.
 type Decoder struct {
 	// OperatorTable and BackendTable are the names of the tables.
 	OperatorTable string
 	BackendTable  string
-	// EntryTable is where entries write their addresses.
+	// EntryTable is the table of the entries' addresses.
 	EntryTable string
-	// SuspectTable is where entries write under which requests servers crashed.
+	// SuspectTable is the table of the requests under which servers crashed.
 	SuspectTable string
-	// IsConfig tells whether a key of the operator's table holds the configuration.
+	// IsConfig reports whether a key of the operator's table holds the
+	// configuration.
 	IsConfig func(key string) bool
 	Config   func(value []byte) (*routetable.Table, error)
-	// Named reads a row that names weights; ok is false when it is none.
+	// Named decodes a row that names weights; ok is false for any other row.
 	Named   func(key string, value []byte) (named weights.Named, ok bool, err error)
 	Backend func(id string, value []byte) (*fleet.Backend, error)
-	// SameBackend tells whether two values of an entry of the list differ in
-	// nothing but its heartbeat.
+	// SameBackend reports whether two values of a backend server's row differ in
+	// nothing but the heartbeat.
 	SameBackend func(old, new []byte) bool
 }
 
-// Engines calls model engines beside the requests.
+// Engines makes control calls to model engines, independent of callers'
+// requests.
 type Engines interface {
 	Report(ctx context.Context, instance, address string) (call.Report, error)
 	Order(ctx context.Context, order call.LoadOrder) (call.OrderOutcome, error)
 }
 
-// KVCacheStores asks stores of kept cache what they hold.
+// KVCacheStores asks KV cache stores what they hold.
 type KVCacheStores interface {
-	// Changes since an earlier answer's Next; call.ErrBusy when the store is there
-	// but takes no such call now.
+	// Changes returns what changed since the Next of an earlier result;
+	// call.ErrBusy if the store runs but does not accept the call now.
 	Changes(ctx context.Context, address string, since uint64) (call.StoreChanges, error)
 }
 
-// Ports are the outside systems.
+// Ports are the external systems that a Gateway uses.
 type Ports struct {
 	Dialect Dialect
 	Tables  Tables
@@ -79,14 +83,14 @@
 	Engines Engines
 	// KVCacheStores may be nil.
 	KVCacheStores KVCacheStores
-	// Table holds our own rows: leases, the entries' addresses and the requests
-	// under which servers crashed.
+	// Table holds the entries' own rows: leases, the entries' addresses and the
+	// requests under which servers crashed.
 	Table platform.Table
-	// HistoryGone is the error of Tables.Changes for a version too long ago.
+	// HistoryGone is the error of Tables.Changes for a version that is too old.
 	HistoryGone error
 }
 
-// Settings of one process.
+// Settings configure one process.
 type Settings struct {
 	Node       string
 	DataCentre string
@@ -96,22 +100,27 @@
 	ControlAddress string
 	// MetricsAddress may be empty.
 	MetricsAddress string
-	// HintAddress for datagrams between entries; empty: none. All entries use one port.
+	// HintAddress is for datagrams between entries; empty: none. All entries use
+	// the same port.
 	HintAddress string
 	// Seeds are control addresses of other entries.
 	Seeds []string
-	// Cores that the VM gives the process; 0: not known.
+	// Cores is the number of processor cores that the VM gives the process; 0:
+	// unknown.
 	Cores float64
-	// Grace between the signal to stop and the end of the process.
+	// Grace is the time between the signal to stop and the forced end of the
+	// process.
 	Grace time.Duration
-	// DrainBound: a leaving server gets no request later than this after its word.
+	// DrainBound: a draining server gets no request later than this after it
+	// announced its end.
 	DrainBound time.Duration
-	// LeaseTime within which two holders must not both act.
+	// LeaseTime is the time within which two holders of a lease must not both act.
 	LeaseTime time.Duration
-	// VersionBound: a request must not begin on weights replaced longer ago.
+	// VersionBound: a request must not start on weights that were replaced longer
+	// ago than this.
 	VersionBound time.Duration
-	// RetryRatio of the requests and RetrySlack more may be sent a second time
-	// in one window, over all entries.
+	// RetryRatio of the requests, plus RetrySlack more, may be sent a second time
+	// in each RetryWindow, counted over all entries.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -15,7 +15,7 @@
 	"github.com/jayproxy/jayproxy/internal/weights"
 )
 
-// restartSite is what one entry believes of one engine.
+// restartFixture is the state of an entry that knows one engine.
 type restartFixture struct {
 	*state
 	closedAddresses []string
@@ -23,13 +23,14 @@
 }
 
 func newRestartFixture() *restartFixture {
-	site := &restartFixture{service: &routetable.Service{Name: "engines", Engine: &routetable.Engine{Slots: 8, KVCapacityTokens: 100000}}}
+	fixture := &restartFixture{service: &routetable.Service{Name: "engines", Engine: &routetable.Engine{Slots: 8, KVCapacityTokens: 100000}}}
 	settings := Settings{Node: "gw1", DataCentre: "a", LeaseTime: 3 * time.Second, VersionBound: 10 * time.Second}
-	site.state = newState(settings, func(address string) { site.closedAddresses = append(site.closedAddresses, address) })
-	return site
+	fixture.state = newState(settings, func(address string) { fixture.closedAddresses = append(fixture.closedAddresses, address) })
+	return fixture
 }
 
-// engine is the entry of the engine's run that was born then.
+// engine returns the engine's entry in the server list for the incarnation that
+// started at born.
 func engine(born int64) *fleet.Backend {
 	return &fleet.Backend{
 		Lifetime: fleet.Lifetime{Instance: "e1", Born: born}, Service: "engines", Address: "10.0.0.1:1", Slots: 8,
@@ -37,97 +38,96 @@
 	}
 }
 
-func (site *restartFixture) choose(t *testing.T, now time.Time, id string) routing.DirectChoice {
+func (fixture *restartFixture) choose(t *testing.T, now time.Time, id string) routing.DirectChoice {
 	t.Helper()
-	site.mu.Lock()
-	defer site.mu.Unlock()
+	fixture.mu.Lock()
+	defer fixture.mu.Unlock()
 	request := &routing.DirectRequest{ID: id, Prefix: []call.Part{{ID: "aa", Tokens: 4000}}, Tokens: 5000, OutputTokens: 100}
-	choice, err := site.router.Choose(now, request, site.candidatesLocked(now, site.service, "m"), nil)
+	choice, err := fixture.router.Choose(now, request, fixture.candidatesLocked(now, fixture.service, "m"), nil)
 	require.NoError(t, err)
 	return choice
 }
 
-// An engine started again under its name. Entries took its memory for full of
-// prefixes, kept sending on connections of the run before, and passed it over
-// for what that run had failed.
+// When an engine restarts under the same name, the cached prefixes, connections
+// and failures of its previous incarnation must not count for the new one.
 func TestRestartResetsStateOfPreviousIncarnation(t *testing.T) {
-	site := newRestartFixture()
+	fixture := newRestartFixture()
 	now := time.Unix(1000, 0)
-	site.putBackend(now, engine(1000))
-	first := site.choose(t, now, "r1")
-	site.router.FirstToken(now, "r1")
-	require.Equal(t, routing.SourceHeld, site.choose(t, now, "r2").Source)
-	site.announceSwitch(first.Server.ID, 2, now.Add(time.Minute))
-	site.lifetimeOver(now, first.Server.ID, "test")
+	fixture.putBackend(now, engine(1000))
+	first := fixture.choose(t, now, "r1")
+	fixture.router.FirstToken(now, "r1")
+	require.Equal(t, routing.SourceHeld, fixture.choose(t, now, "r2").Source)
+	fixture.announceSwitch(first.Server.ID, 2, now.Add(time.Minute))
+	fixture.lifetimeOver(now, first.Server.ID, "test")
 	for range 20 {
-		site.sendFailed(now, first.Server.ID, errors.New("reset"))
+		fixture.sendFailed(now, first.Server.ID, errors.New("reset"))
 	}
-	require.Less(t, site.members.Weight(first.Server.ID), 1.0)
+	require.Less(t, fixture.members.Weight(first.Server.ID), 1.0)
 
-	site.putBackend(now.Add(time.Second), engine(2000))
-	next := site.choose(t, now.Add(time.Second), "r3")
+	fixture.putBackend(now.Add(time.Second), engine(2000))
+	next := fixture.choose(t, now.Add(time.Second), "r3")
 	assert.NotEqual(t, first.Server.ID, next.Server.ID)
 	assert.Equal(t, "e1", next.Server.Instance)
-	assert.NotEqual(t, routing.SourceHeld, next.Source, "it holds nothing")
+	assert.NotEqual(t, routing.SourceHeld, next.Source, "a new incarnation holds no prefixes")
 	assert.False(t, next.Server.Switching)
 	assert.InDelta(t, 1, next.Server.Weight, 0)
-	assert.Equal(t, 1, site.router.Running(next.Server.ID), "what was under way went with the run before")
-	assert.Equal(t, []string{"10.0.0.1:1"}, site.closedAddresses)
+	assert.Equal(t, 1, fixture.router.Running(next.Server.ID), "requests at the previous incarnation are not counted")
+	assert.Equal(t, []string{"10.0.0.1:1"}, fixture.closedAddresses)
 }
 
-// Words about the run before arrive after the restart: its requests end, other
-// entries tell of its weights, its report comes late. None may count for the new run.
+// Updates about the previous incarnation that arrive after a restart must not
+// count for the new one.
 func TestLateUpdatesOfPreviousIncarnationAreIgnored(t *testing.T) {
-	site := newRestartFixture()
+	fixture := newRestartFixture()
 	now := time.Unix(1000, 0)
-	site.putBackend(now, engine(1000))
-	first := site.choose(t, now, "r1").Server.ID
-	site.putBackend(now, engine(2000))
-	next := site.list.Named("e1").ID
+	fixture.putBackend(now, engine(1000))
+	first := fixture.choose(t, now, "r1").Server.ID
+	fixture.putBackend(now, engine(2000))
+	next := fixture.list.Named("e1").ID
 
-	site.router.FirstToken(now, "r1")
-	site.router.Finished(now, "r1", true)
-	site.sawVersion(first, "m", 7, "entry")
-	site.told(now, first, "m", &call.Answer{HasLoad: true, Load: call.Load{Running: 90}, Version: 7})
-	assert.False(t, site.ofLifetime(now, first, &call.Report{Born: 1000}), "asked of a run that is over")
-	assert.False(t, site.ofLifetime(now, next, &call.Report{Born: 1000}), "told by a run that is over")
-	assert.True(t, site.ofLifetime(now, next, &call.Report{Born: 2000}))
-	assert.True(t, site.ofLifetime(now, next, &call.Report{}), "not every report tells")
+	fixture.router.FirstToken(now, "r1")
+	fixture.router.Finished(now, "r1", true)
+	fixture.sawVersion(first, "m", 7, "entry")
+	fixture.told(now, first, "m", &call.Answer{HasLoad: true, Load: call.Load{Running: 90}, Version: 7})
+	assert.False(t, fixture.ofLifetime(now, first, &call.Report{Born: 1000}), "report requested from an ended incarnation")
+	assert.False(t, fixture.ofLifetime(now, next, &call.Report{Born: 1000}), "report sent by an ended incarnation")
+	assert.True(t, fixture.ofLifetime(now, next, &call.Report{Born: 2000}))
+	assert.True(t, fixture.ofLifetime(now, next, &call.Report{}), "reports without a start time are accepted")
 
-	assert.Equal(t, uint64(1), site.versionOf(next, "m"))
-	assert.NotEqual(t, routing.SourceHeld, site.choose(t, now, "r2").Source)
-	byHash := site.list.ByHash(nameHash)
-	assert.Nil(t, byHash[nameHash(first)], "hints name the run that they are about")
+	assert.Equal(t, uint64(1), fixture.versionOf(next, "m"))
+	assert.NotEqual(t, routing.SourceHeld, fixture.choose(t, now, "r2").Source)
+	byHash := fixture.list.ByHash(nameHash)
+	assert.Nil(t, byHash[nameHash(first)], "hints identify the incarnation")
 	assert.NotNil(t, byHash[nameHash(next)])
 }
 
-// The list lags a restart by a heartbeat. An engine that is asked for its state
-// tells of the restart itself.
+// The server list shows a restart one heartbeat late; the engine's own report
+// may show it first.
 func TestReportRevealsRestartBeforeServerList(t *testing.T) {
-	site := newRestartFixture()
+	fixture := newRestartFixture()
 	now := time.Unix(1000, 0)
-	site.putBackend(now, engine(1000))
-	first := site.list.Named("e1").ID
-	assert.False(t, site.ofLifetime(now, first, &call.Report{Born: 2000, Versions: map[string]uint64{"m": 1}}))
-	require.Nil(t, site.list.Get(first))
-	second := site.list.Named("e1").ID
-	site.putBackend(now, engine(1000))
-	assert.Equal(t, second, site.list.Named("e1").ID, "the list's older word does not bring it back")
-	site.putBackend(now, engine(2000))
-	assert.Equal(t, second, site.list.Named("e1").ID)
+	fixture.putBackend(now, engine(1000))
+	first := fixture.list.Named("e1").ID
+	assert.False(t, fixture.ofLifetime(now, first, &call.Report{Born: 2000, Versions: map[string]uint64{"m": 1}}))
+	require.Nil(t, fixture.list.Get(first))
+	second := fixture.list.Named("e1").ID
+	fixture.putBackend(now, engine(1000))
+	assert.Equal(t, second, fixture.list.Named("e1").ID, "an older list entry does not restore the previous incarnation")
+	fixture.putBackend(now, engine(2000))
+	assert.Equal(t, second, fixture.list.Named("e1").ID)
 }
 
-// Two entries gave orders to one engine by turns: the second had heard of the
-// first one's order, but the engine had started again in between.
+// An order that another lease holder gave an engine must delay this entry's
+// orders even if the engine restarts: otherwise both would order it in turns.
 func TestOrderOfAnotherLeaseHolderSurvivesRestart(t *testing.T) {
-	site := newRestartFixture()
-	site.table.Store(routetable.New(1, routetable.Limits{}, nil, []routetable.Service{*site.service}, nil))
+	fixture := newRestartFixture()
+	fixture.table.Store(routetable.New(1, routetable.Limits{}, nil, []routetable.Service{*fixture.service}, nil))
 	now := time.Unix(1000, 0)
-	site.putBackend(now, engine(1000))
-	site.nameVersion(now, weights.Named{Model: "m", Version: 1}, "test")
-	site.nameVersion(now, weights.Named{Model: "m", Version: 2}, "test")
-	site.heardOrder(now, site.list.Named("e1").ID)
-	site.putBackend(now, engine(2000))
-	assert.Empty(t, site.rollingModels(now.Add(time.Second))[0].servers)
-	assert.Len(t, site.rollingModels(now.Add(4 * time.Second))[0].servers, 1)
+	fixture.putBackend(now, engine(1000))
+	fixture.nameVersion(now, weights.Named{Model: "m", Version: 1}, "test")
+	fixture.nameVersion(now, weights.Named{Model: "m", Version: 2}, "test")
+	fixture.heardOrder(now, fixture.list.Named("e1").ID)
+	fixture.putBackend(now, engine(2000))
+	assert.Empty(t, fixture.rollingModels(now.Add(time.Second))[0].servers)
+	assert.Len(t, fixture.rollingModels(now.Add(4 * time.Second))[0].servers, 1)
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -17,21 +17,23 @@
 )
 
 const (
-	// minUsefulTime left, below which no further send is made: a server would be
-	// given half of it.
+	// minResendTime is the least time left for another send; a server gets half of
+	// it.
 	minResendTime = 2 * serverResponseMargin
-	// answerMargin is kept of a caller's time for the way of the final answer.
+	// responseMargin is subtracted from a caller's deadline so that the final
+	// response arrives in time.
 	responseMargin = 15 * time.Millisecond
-	// defaultPatience of a caller that names no deadline, on a route without one.
+	// defaultTimeout applies to callers that name no deadline.
 	defaultTimeout = 30 * time.Second
-	// bodyTime is how long a body may take at least, however short the caller's
-	// own deadline is.
+	// minBodyTimeout is the shortest read timeout of a request body, however short
+	// the caller's own deadline is.
 	minBodyTimeout = 2 * time.Second
-	// unknownYet is when to come back while nothing is known yet.
+	// notReadyRetryAfter is the retry delay sent to callers while the configuration
+	// or the service is missing.
 	notReadyRetryAfter = 400 * time.Millisecond
 )
 
-// job is one caller's request on its way.
+// job is the processing of one caller's request.
 type job struct {
 	gateway   *Gateway
 	writer    http.ResponseWriter
@@ -44,46 +46,53 @@
 	outbound  upstream.Request
 	arrived   time.Time
 	deadline  time.Time
-	// ctx ends when the caller leaves or the deadline passes.
+	// ctx ends when the caller disconnects or the deadline passes.
 	ctx context.Context
 
 	sends int
 	tried []string
 	// sentAt is when the last send began.
 	sentAt time.Time
-	// firstEventAt of the last send; zero: none came.
+	// firstEventAt is when the first event of the last send arrived; zero: none
+	// did.
 	firstEventAt time.Time
-	// brokeEarly are the servers at which a run broke off that had just begun.
+	// interruptedEarly lists the servers at which a run was interrupted before, or
+	// soon after, its first event.
 	interruptedEarly []string
-	// hashes of what all attempts of the request have in common.
+	// hashes identify the request across the caller's attempts.
 	hashes quarantine.Hashes
-	// apart from other suspects; 0: the request is none.
+	// separation keeps suspect requests on different servers; 0: the request is no
+	// suspect.
 	separation uint64
-	// trial that this attempt is, of a held request; 0: none.
+	// trial is the number of this attempt's trial run of a quarantined request; 0:
+	// the attempt is no trial.
 	trial int
-	// reached: a server may have begun to run the request; whole: one ran it to
-	// its end.
+	// mayHaveStarted: a server may have begun to run the request. complete: a
+	// server sent a complete response.
 	mayHaveStarted bool
 	complete       bool
-	// after is when to come back, of a request that was turned away.
+	// retryAfter is the retry delay of a request that the wait queue rejected.
 	retryAfter time.Duration
-	// ranOn counts the servers that may have run the request.
+	// indeterminateSends counts the sends after which a server may have run the
+	// request.
 	indeterminateSends int
-	// delivered events and the id of the last one, of a stream that broke off.
+	// stream is how much of a streamed response the caller has received.
 	stream streamState
-	// offer of an owner that the request was sent by; nil: this entry chose the
-	// server. evidence on that server is for the owner.
+	// offer is the owner's offer that the current send uses; nil: this entry chose
+	// the server. evidence about that server is reported to the owner.
 	offer    *ownerOffer
 	evidence evidence
-	// load that the last server told with its answer.
+	// load is what the last server reported with its response.
 	load    call.Load
 	hasLoad bool
-	// failure is the server's own failure that is passed on when nothing better comes.
+	// serverFailure is a server's 5xx response, passed on if no other send
+	// succeeds.
 	serverFailure *bufferedResponse
 	outcome       string
 }
 
-// ServeHTTP forwards one call.
+// ServeHTTP forwards one request. It panics with http.ErrAbortHandler to close
+// the connection where no complete response can be sent.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !callerReachable(r.Context()) {
 		g.metrics.Count("answers_own", "connection closed before", 1)
@@ -108,16 +117,17 @@
 	j.logOutcome()
 }
 
-// admit reads the request and finds out what it may do. False: it was answered.
+// admit decodes the request, finds its route, workspace and service, and reads
+// its body. It returns false if it has already responded.
 func (j *job) admit() bool {
 	g, r := j.gateway, j.inbound
 	var err error
 	if j.head, err = g.ports.Dialect.Decode(r.Header); err != nil {
-		return j.respondClientError(http.StatusBadRequest, "malformed: "+err.Error())
+		return j.respondClientError(http.StatusBadRequest, "malformed request header: "+err.Error())
 	}
 	j.table = g.state.table.Load()
 	if j.table == nil || !g.state.ready() {
-		return j.respondUnavailable("no configuration yet", notReadyRetryAfter)
+		return j.respondUnavailable("no configuration received yet", notReadyRetryAfter)
 	}
 	if j.route = j.table.Match(r.Host, rawPath(r)); j.route == nil {
 		return j.respondClientError(http.StatusNotFound, "no route")
@@ -129,7 +139,7 @@
 		}
 	}
 	if !j.chooseService() {
-		return j.respondUnavailable("service not declared", notReadyRetryAfter)
+		return j.respondUnavailable("no declared service for the route", notReadyRetryAfter)
 	}
 	j.setDeadline()
 	if !j.readBody() {
@@ -140,39 +150,39 @@
 	return true
 }
 
-// rawPath is the path as the caller wrote it, not decoded.
+// rawPath returns the path as the caller sent it, without percent-decoding.
 func rawPath(r *http.Request) string {
 	target := requestTarget(r)
 	path, _, _ := strings.Cut(target, "?")
 	return path
 }
 
-// requestTarget is the caller's target in origin form.
+// requestTarget returns the caller's request target in origin form.
 func requestTarget(r *http.Request) string {
 	target := r.RequestURI
 	if strings.HasPrefix(target, "/") {
 		return target
 	}
 	if _, rest, ok := strings.Cut(target, "://"); ok {
-		if at := strings.IndexByte(rest, '/'); at >= 0 {
-			return rest[at:]
+		if slash := strings.IndexByte(rest, '/'); slash >= 0 {
+			return rest[slash:]
 		}
 		return "/"
 	}
 	return target
 }
 
-// chooseService picks one of the route's targets by weight. The request's id
-// decides, so that every entry picks alike.
+// chooseService picks one of the route's targets by weight. It uses a hash of
+// the request ID, so that every entry picks the same target.
 func (j *job) chooseService() bool {
 	total := 0.0
 	for _, t := range j.route.Targets {
 		total += t.Weight
 	}
-	at := hashFraction(j.head.ID) * total
+	remaining := hashFraction(j.head.ID) * total
 	for _, t := range j.route.Targets {
-		at -= t.Weight
-		if at < 0 && t.Weight > 0 {
+		remaining -= t.Weight
+		if remaining < 0 && t.Weight > 0 {
 			j.service = j.table.Services[t.Service]
 			return j.service != nil
 		}
@@ -181,18 +191,19 @@
 }
 
 func (j *job) setDeadline() {
-	patience := j.head.Patience
-	if patience <= 0 {
-		patience = defaultTimeout
+	timeout := j.head.Patience
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
 	if j.route.Timeout > 0 {
-		patience = min(patience, j.route.Timeout)
+		timeout = min(timeout, j.route.Timeout)
 	}
-	j.deadline = j.arrived.Add(patience - responseMargin)
+	j.deadline = j.arrived.Add(timeout - responseMargin)
 }
 
-// readBody reads the whole body, so that the request can be sent again and is
-// never handed over in part. False: it was answered.
+// readBody reads the complete body, so that the request can be sent again and
+// no server receives only a part of it. It returns false if it has already
+// responded.
 func (j *job) readBody() bool {
 	r := j.inbound
 	j.outbound = upstream.Request{Method: r.Method, Target: requestTarget(r), Host: r.Host}
@@ -202,7 +213,7 @@
 	}
 	limit := j.table.Limits.BodyBytes
 	if limit > 0 && r.ContentLength > limit {
-		return j.respondClientError(http.StatusRequestEntityTooLarge, "body too large")
+		return j.respondClientError(http.StatusRequestEntityTooLarge, "request body larger than the configured limit")
 	}
 	if limit > 0 {
 		r.Body = http.MaxBytesReader(j.writer, r.Body, limit)
@@ -214,36 +225,39 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return j.respondClientError(http.StatusRequestEntityTooLarge, "body too large")
+		return j.respondClientError(http.StatusRequestEntityTooLarge, "request body larger than the configured limit")
 	case err != nil:
-		// After a failed read the library takes the caller of every later request
-		// on the connection to have left.
+		// After a failed read, net/http cancels the context of every later request on
+		// the connection.
 		j.writer.Header().Set("Connection", "close")
-		return j.respondClientError(http.StatusRequestTimeout, "body not read: "+err.Error())
+		return j.respondClientError(http.StatusRequestTimeout, "request body not read: "+err.Error())
 	}
 	j.outbound.Body, j.outbound.HasBody = body, true
 	return true
 }
 
-// reject ends a request that must not be sent again as it is.
-func (j *job) respondClientError(status int, why string) bool {
-	j.outcome = why
+// respondClientError ends a request that must not be sent again unchanged. It
+// always returns false.
+func (j *job) respondClientError(status int, reason string) bool {
+	j.outcome = reason
 	j.gateway.ports.Dialect.Refuse(j.writer.Header(), j.head.ID, 0)
 	j.respondEmpty(status)
 	return false
 }
 
-// refuse ends a request that has not run and never will, and says when to come back.
-func (j *job) respondUnavailable(why string, after time.Duration) bool {
-	j.outcome = why
-	j.gateway.ports.Dialect.Refuse(j.writer.Header(), j.head.ID, after)
+// respondUnavailable ends a request that has not run and never will, with 503
+// and a retry delay. It always returns false.
+func (j *job) respondUnavailable(reason string, retryAfter time.Duration) bool {
+	j.outcome = reason
+	j.gateway.ports.Dialect.Refuse(j.writer.Header(), j.head.ID, retryAfter)
 	j.respondEmpty(http.StatusServiceUnavailable)
 	return false
 }
 
-// fail ends a request that may have run.
-func (j *job) respondFailed(why string) {
-	j.outcome = why
+// respondFailed ends a request that may have run, with 504 after the deadline
+// and 502 otherwise.
+func (j *job) respondFailed(reason string) {
+	j.outcome = reason
 	j.gateway.ports.Dialect.Refuse(j.writer.Header(), j.head.ID, 0)
 	if errors.Is(j.ctx.Err(), context.DeadlineExceeded) {
 		j.respondEmpty(http.StatusGatewayTimeout)
@@ -258,7 +272,7 @@
 	j.gateway.metrics.Count("answers_own", http.StatusText(status), 1)
 }
 
-// class labels the request in metrics.
+// routeLabel is the request's route as a metric label.
 func (j *job) routeLabel() string {
 	if j.route == nil {
 		return "none"
@@ -266,7 +280,7 @@
 	return j.route.Name
 }
 
-// note writes the line that says what became of the request.
+// logOutcome records the request's duration and logs how it ended.
 func (j *job) logOutcome() {
 	took := time.Since(j.arrived)
 	j.gateway.metrics.Time("request", j.routeLabel(), took)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -18,28 +18,28 @@
 )
 
 const (
-	// maxEventBytes of one event.
+	// maxEventBytes bounds the size of one event.
 	maxEventBytes    = 1 << 20
 	eventReaderBytes = 4 << 10
 )
 
-var errEventTooLong = errors.New("event too long")
+var errEventTooLong = errors.New("event longer than 1 MiB")
 
-// streamState is how far the caller's stream has come.
+// streamState is how much of a streamed response the caller has received.
 type streamState struct {
-	// delivered counts the events that the caller was sent.
+	// delivered counts the events sent to the caller.
 	delivered int
-	// firstAfter is how long after the request the first event came.
+	// firstAfter is the time between the request and its first event.
 	firstAfter time.Duration
-	// lastID of them, as the server wrote it.
+	// lastID is the ID of the last event sent that had one, as the server wrote it.
 	lastID string
-	// lastAt is when the last of them came, longestGap the longest pause between
-	// two: a caller waits for the next event as for the first.
+	// lastAt is when the last event was sent, longestGap the longest time between
+	// two: callers limit the wait for the next event as well as for the first.
 	lastAt     time.Time
 	longestGap time.Duration
 }
 
-// noteGap takes in that an event came.
+// recordEvent updates lastAt and longestGap for an event sent now.
 func (s *streamState) recordEvent(now time.Time) {
 	if !s.lastAt.IsZero() {
 		s.longestGap = max(s.longestGap, now.Sub(s.lastAt))
@@ -47,53 +47,53 @@
 	s.lastAt = now
 }
 
-// event is one whole event, with the blank line that ends it.
+// event is one complete event, including the blank line that ends it.
 type event struct {
 	text []byte
 	id   string
 }
 
-// events reads whole events: a server that dies may leave half of one, which
-// must not reach the caller.
+// eventReader reads complete events: a server that crashes may leave a
+// truncated one, which must not reach the caller.
 type eventReader struct{ reader *bufio.Reader }
 
 func (e *eventReader) next() (event, error) {
-	var one event
+	var ev event
 	for {
 		line, err := e.reader.ReadSlice('\n')
-		one.text = append(one.text, line...)
-		if errors.Is(err, bufio.ErrBufferFull) && len(one.text) < maxEventBytes {
+		ev.text = append(ev.text, line...)
+		if errors.Is(err, bufio.ErrBufferFull) && len(ev.text) < maxEventBytes {
 			continue
 		}
 		if err != nil {
-			return one, eventReadError(one, err)
+			return ev, eventReadError(ev, err)
 		}
-		if len(one.text) > maxEventBytes {
-			return one, eris.Wrapf(errEventTooLong, "%d bytes", len(one.text))
+		if len(ev.text) > maxEventBytes {
+			return ev, eris.Wrapf(errEventTooLong, "read event: got %d bytes", len(ev.text))
 		}
-		whole := bytes.TrimRight(line, "\r\n")
-		if len(whole) == 0 {
-			return one, nil
+		trimmed := bytes.TrimRight(line, "\r\n")
+		if len(trimmed) == 0 {
+			return ev, nil
 		}
-		if id, ok := strings.CutPrefix(string(whole), "id:"); ok {
-			one.id = strings.TrimSpace(id)
+		if id, ok := strings.CutPrefix(string(trimmed), "id:"); ok {
+			ev.id = strings.TrimSpace(id)
 		}
 	}
 }
 
-func eventReadError(one event, err error) error {
-	if errors.Is(err, io.EOF) && len(one.text) > 0 {
+func eventReadError(ev event, err error) error {
+	if errors.Is(err, io.EOF) && len(ev.text) > 0 {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// relay forwards a stream event by event.
+// forwardStream forwards a stream event by event.
 func (j *job) forwardStream(choice *routing.DirectChoice, response *upstream.Response) sendOutcome {
-	source := eventReader{bufio.NewReaderSize(response.Body, eventReaderBytes)}
+	reader := eventReader{bufio.NewReaderSize(response.Body, eventReaderBytes)}
 	first := true
 	for {
-		one, err := source.next()
+		ev, err := reader.next()
 		if errors.Is(err, io.EOF) {
 			return j.streamEnded()
 		}
@@ -104,11 +104,11 @@
 			first = false
 			j.recordFirstToken()
 		}
-		if j.isDuplicate(one) {
+		if j.isDuplicate(ev) {
 			continue
 		}
-		if err := j.writeEvent(response, one); err != nil {
-			j.outcome = "caller not reached: " + err.Error()
+		if err := j.writeEvent(response, ev); err != nil {
+			j.outcome = "event not written: " + err.Error()
 			return delivered
 		}
 	}
@@ -116,7 +116,7 @@
 
 func (j *job) streamEnded() sendOutcome {
 	if j.stream.delivered == 0 {
-		// A stream without an event answers nothing.
+		// A stream without an event is no response.
 		return indeterminate
 	}
 	j.complete = true
@@ -138,29 +138,29 @@
 	j.gateway.metrics.Time("first_token", j.routeLabel(), j.stream.firstAfter)
 }
 
-// hadAlready tells whether the caller has the event: a run that goes on
-// elsewhere may begin with one that it had.
-func (j *job) isDuplicate(one event) bool {
-	if j.stream.lastID == "" || one.id == "" || j.sends == 1 {
+// isDuplicate reports whether the caller already has the event: a run that
+// resumes at another server may begin with events sent before.
+func (j *job) isDuplicate(ev event) bool {
+	if j.stream.lastID == "" || ev.id == "" || j.sends == 1 {
 		return false
 	}
-	had, errHad := strconv.ParseInt(j.stream.lastID, 10, 64)
-	id, errID := strconv.ParseInt(one.id, 10, 64)
-	return errHad == nil && errID == nil && id <= had
+	last, errLast := strconv.ParseInt(j.stream.lastID, 10, 64)
+	id, errID := strconv.ParseInt(ev.id, 10, 64)
+	return errLast == nil && errID == nil && id <= last
 }
 
-func (j *job) writeEvent(response *upstream.Response, one event) error {
+func (j *job) writeEvent(response *upstream.Response, ev event) error {
 	if j.stream.delivered == 0 {
 		j.copyHeader(j.gateway.ports.Dialect.ResponseHeader(response.Header))
 		j.writer.WriteHeader(response.Status)
 	}
-	if _, err := j.writer.Write(one.text); err != nil {
+	if _, err := j.writer.Write(ev.text); err != nil {
 		return err
 	}
 	j.stream.delivered++
 	j.stream.recordEvent(time.Now())
-	if one.id != "" {
-		j.stream.lastID = one.id
+	if ev.id != "" {
+		j.stream.lastID = ev.id
 	}
 	return http.NewResponseController(j.writer).Flush()
 }
--- a/internal/gateway/suspectadmin.go
+++ b/internal/gateway/suspectadmin.go
@@ -10,21 +10,22 @@
 	"github.com/jayproxy/jayproxy/internal/quarantine"
 )
 
-// suspectView is a suspected request as operators see it.
+// suspectView is a suspect request as shown to operators.
 type suspectView struct {
 	Fingerprint string `json:"fingerprint"`
 	Held        bool   `json:"held"`
-	// Servers are the lifetimes that crashed under it; Unexplained counts those
-	// that no other held request accounts for.
+	// Servers are the incarnations that crashed under it; Unexplained counts those
+	// that no other quarantined request accounts for.
 	Servers     []string `json:"servers"`
 	Unexplained int      `json:"unexplained"`
 	Trials      int      `json:"trials"`
-	Doubtful    bool     `json:"doubtful"`
-	// LastNewsMS is how long ago something new was learned of it.
+	// Doubtful: another quarantined request was running at each of its crashes.
+	Doubtful bool `json:"doubtful"`
+	// LastNewsMS is the time since the last crash or trial was recorded.
 	LastNewsMS int64 `json:"last_news_ms"`
 }
 
-// giveSuspects lists the requests under which servers crashed.
+// serveSuspects lists the requests under which servers crashed.
 func (g *Gateway) serveSuspects(c echo.Context) error {
 	now := time.Now()
 	views := []suspectView{}
@@ -37,14 +38,14 @@
 	return c.JSON(http.StatusOK, views)
 }
 
-// freeSuspect forgets one by an operator's word, at all entries.
+// serveClearSuspect clears a suspect request at all entries, for an operator.
 func (g *Gateway) serveClearSuspect(c echo.Context) error {
 	f, err := quarantine.ParseFingerprint(c.Param("fingerprint"))
 	if err != nil {
 		return c.String(http.StatusBadRequest, err.Error())
 	}
 	known := g.state.suspects.clear(f, "operator")
-	klog.InfoS("Operator frees a request", "fingerprint", f.String(), "known", known)
+	klog.InfoS("Operator clears a suspect request", "fingerprint", f.String(), "known", known)
 	if !known {
 		return c.NoContent(http.StatusNotFound)
 	}
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -17,51 +17,53 @@
 )
 
 const (
-	// suspectPrefix of the rows that hold strikes and trials. A row says all by
-	// its key: FINGERPRINT/strike/LIFETIME or FINGERPRINT/trial/NUMBER.
+	// suspectPrefix is the prefix of the rows that hold crashes and trials. The key
+	// holds all data: FINGERPRINT/strike/INCARNATION or FINGERPRINT/trial/NUMBER.
 	suspectPrefix = "suspects/"
 	crashKind     = "strike"
 	trialKind     = "trial"
-	// suspectRelayPause between two reads of the rows from another entry. Datagrams
-	// bring what is urgent; the rows are for those who missed them.
+	// suspectRelayInterval is the pause between two reads of the rows from another
+	// entry. Datagrams carry urgent updates; the rows are for entries that missed
+	// them.
 	suspectRelayInterval = 700 * time.Millisecond
-	// suspectsPerTxn rows are written at once.
+	// maxSuspectRowsPerTxn bounds the rows of one transaction.
 	maxSuspectRowsPerTxn = 90
-	// suspectRetry is the pause after a write that failed.
+	// suspectWriteRetryDelay is the pause after a failed write.
 	suspectWriteRetryDelay = 250 * time.Millisecond
-	// strikesPerWord keeps a datagram below maxDatagram.
+	// maxCrashesPerDatagram keeps a datagram below maxDatagram.
 	maxCrashesPerDatagram = 20
-	// largeFleetStrikes at once are told to all entries of a large fleet, whatever
-	// they are: those of all that ran at a rack of servers would go to hundreds.
+	// maxLargeFleetCrashes is how many crashes at once a large fleet receives
+	// unfiltered. When a rack of servers fails, the crashes of all their runs would
+	// go to hundreds of entries.
 	maxLargeFleetCrashes = 4
 )
 
-// suspectRow is the key of a row.
+// suspectRow is the parsed key of a row.
 type suspectRow struct {
 	crash quarantine.Strike
-	// trial number; 0: the row holds the strike.
+	// trial is the trial's number; 0: the row holds the crash.
 	trial int
 }
 
-// suspectValue says who wrote a row, for operators.
+// suspectValue names the entry that wrote a row, for operators.
 type suspectValue struct {
 	Entry string `json:"entry"`
 }
 
-func crashKey(strike quarantine.Strike) string {
-	return suspectPrefix + strike.Request.String() + "/" + crashKind + "/" + strike.Server
+func crashKey(crash quarantine.Strike) string {
+	return suspectPrefix + crash.Request.String() + "/" + crashKind + "/" + crash.Server
 }
 
 func trialKey(f quarantine.Fingerprint, trial int) string {
 	return suspectPrefix + f.String() + "/" + trialKind + "/" + strconv.Itoa(trial)
 }
 
-// parseSuspectRow reads the key of a row, without the table's name.
+// parseSuspectRow parses the key of a row, without suspectPrefix.
 func parseSuspectRow(key string) (suspectRow, error) {
 	var row suspectRow
 	fields := strings.SplitN(key, "/", 3)
 	if len(fields) != 3 {
-		return row, eris.Errorf("row %q has not three parts", key)
+		return row, eris.Errorf("suspect row %q: key must have three parts separated by slashes", key)
 	}
 	var err error
 	if row.crash.Request, err = quarantine.ParseFingerprint(fields[0]); err != nil {
@@ -74,18 +76,18 @@
 	case trialKind:
 		row.trial, err = strconv.Atoi(fields[2])
 		if err != nil || row.trial < 1 {
-			return row, eris.Errorf("row %q names no trial", key)
+			return row, eris.Errorf("suspect row %q: trial must be a positive number", key)
 		}
 		return row, nil
 	}
-	return row, eris.Errorf("row %q is of no known kind", key)
+	return row, eris.Errorf("suspect row %q: unknown kind", key)
 }
 
 func (g *Gateway) applySuspects(now time.Time, rows []mirror.Row, source string) {
 	for _, row := range rows {
 		parsed, err := parseSuspectRow(row.Key)
 		if err != nil {
-			klog.ErrorS(err, "Row of a suspected request not understood", "row", row.Key, "rowVersion", row.Version, "source", source)
+			klog.ErrorS(err, "Malformed row of a suspect request skipped", "row", row.Key, "rowVersion", row.Version, "source", source)
 			continue
 		}
 		if row.Removed {
@@ -96,8 +98,8 @@
 	}
 }
 
-// spreadSuspects tells other entries and the store what this one saw, until the
-// process stops.
+// publishSuspects sends what this entry recorded to other entries and writes it
+// to the store, until ctx ends.
 func (g *Gateway) publishSuspects(ctx context.Context) {
 	s := g.state.suspects
 	for {
@@ -114,63 +116,64 @@
 	}
 }
 
-// tellSuspects tells the other entries at once. A datagram that is lost costs a
-// server perhaps, until the rows are read.
+// sendSuspects sends the unsent records to the other entries. An entry that
+// misses a datagram may send the request to another server until it reads the
+// rows.
 func (g *Gateway) sendSuspects() {
-	most := maxUnwrittenRows
+	limit := maxUnwrittenRows
 	if g.sharded() {
-		most = maxLargeFleetCrashes
+		limit = maxLargeFleetCrashes
 	}
-	strikes, cleared := g.state.suspects.takeUnsent(most)
+	crashes, cleared := g.state.suspects.takeUnsent(limit)
 	targets := g.datagrams.addressesOf(g.peers.all())
 	if len(targets) == 0 {
 		return
 	}
-	for _, word := range crashDatagrams(strikes, cleared) {
-		g.datagrams.tellAll(targets, word)
+	for _, datagram := range crashDatagrams(crashes, cleared) {
+		g.datagrams.tellAll(targets, datagram)
 	}
 }
 
-func crashDatagrams(strikes []quarantine.Strike, cleared []quarantine.Fingerprint) []*jayv1.Datagram {
-	var words []*jayv1.Datagram
-	for len(strikes)+len(cleared) > 0 {
-		news := &jayv1.StrikeNews{}
-		n := min(len(strikes), maxCrashesPerDatagram)
-		for _, strike := range strikes[:n] {
-			news.Strikes = append(news.Strikes, &jayv1.RequestStrike{Request: strike.Request[:], Server: strike.Server})
+func crashDatagrams(crashes []quarantine.Strike, cleared []quarantine.Fingerprint) []*jayv1.Datagram {
+	var datagrams []*jayv1.Datagram
+	for len(crashes)+len(cleared) > 0 {
+		update := &jayv1.StrikeNews{}
+		n := min(len(crashes), maxCrashesPerDatagram)
+		for _, crash := range crashes[:n] {
+			update.Strikes = append(update.Strikes, &jayv1.RequestStrike{Request: crash.Request[:], Server: crash.Server})
 		}
 		m := min(len(cleared), maxCrashesPerDatagram-n)
 		for _, f := range cleared[:m] {
-			news.Cleared = append(news.Cleared, f[:])
+			update.Cleared = append(update.Cleared, f[:])
 		}
-		strikes, cleared = strikes[n:], cleared[m:]
-		words = append(words, &jayv1.Datagram{Body: &jayv1.Datagram_Strikes{Strikes: news}})
+		crashes, cleared = crashes[n:], cleared[m:]
+		datagrams = append(datagrams, &jayv1.Datagram{Body: &jayv1.Datagram_Strikes{Strikes: update}})
 	}
-	return words
+	return datagrams
 }
 
-// takeStrikes takes in a word of another entry.
-func (g *Gateway) receiveCrashes(news *jayv1.StrikeNews, source string) {
-	var strikes []quarantine.Strike
+// receiveCrashes applies another entry's update.
+func (g *Gateway) receiveCrashes(update *jayv1.StrikeNews, source string) {
+	var crashes []quarantine.Strike
 	var cleared []quarantine.Fingerprint
-	for _, one := range news.GetStrikes() {
-		if len(one.GetRequest()) != len(quarantine.Fingerprint{}) {
+	for _, crash := range update.GetStrikes() {
+		if len(crash.GetRequest()) != len(quarantine.Fingerprint{}) {
 			g.metrics.Count("datagrams", "malformed", 1)
 			return
 		}
-		strikes = append(strikes, quarantine.Strike{Request: quarantine.Fingerprint(one.GetRequest()), Server: one.GetServer()})
+		crashes = append(crashes, quarantine.Strike{Request: quarantine.Fingerprint(crash.GetRequest()), Server: crash.GetServer()})
 	}
-	for _, f := range news.GetCleared() {
+	for _, f := range update.GetCleared() {
 		if len(f) != len(quarantine.Fingerprint{}) {
 			g.metrics.Count("datagrams", "malformed", 1)
 			return
 		}
 		cleared = append(cleared, quarantine.Fingerprint(f))
 	}
-	g.state.suspects.receive(time.Now(), strikes, cleared, source)
+	g.state.suspects.receive(time.Now(), crashes, cleared, source)
 }
 
-// writeSuspects writes the rows that wait. False: some still do.
+// writeSuspects writes the queued rows. It returns false if some remain.
 func (g *Gateway) writeSuspects(ctx context.Context) bool {
 	s := g.state.suspects
 	for ctx.Err() == nil {
@@ -180,7 +183,7 @@
 		}
 		if err := g.commitSuspects(ctx, g.suspectTxn(rows)); err != nil {
 			g.metrics.Count("suspect_rows", "failed", int64(len(rows)))
-			klog.InfoS("Rows of suspected requests not written yet", "rows", len(rows), "err", err)
+			klog.InfoS("Rows of suspect requests not written, will retry", "rows", len(rows), "err", err)
 			s.requeueRows(rows)
 			return false
 		}
@@ -201,11 +204,11 @@
 	return txn
 }
 
-// suspectValue is what this entry's rows hold.
+// suspectValue returns the value of the rows that this entry writes.
 func (g *Gateway) suspectValue() []byte {
 	value, err := json.Marshal(suspectValue{Entry: g.settings.Node})
 	if err != nil {
-		klog.ErrorS(err, "Entry's name not encoded", "node", g.settings.Node)
+		klog.ErrorS(err, "Value of suspect rows not encoded", "node", g.settings.Node)
 	}
 	return value
 }
@@ -217,11 +220,12 @@
 	return err
 }
 
-// claimTime bounds the claim of a trial: its caller waits.
+// claimTimeout bounds the claim of a trial, for which the caller waits.
 const claimTimeout = 400 * time.Millisecond
 
-// claimTrial makes this entry the one that runs a held request once more. A claim
-// whose answer is lost counts as made by nobody: the trial is lost.
+// claimTrial claims a trial, so that only this entry runs the quarantined
+// request once more. If the response to the claim is lost, no entry runs the
+// trial.
 func (g *Gateway) claimTrial(ctx context.Context, f quarantine.Fingerprint, trial int) bool {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -11,29 +11,34 @@
 	"github.com/jayproxy/jayproxy/internal/quarantine"
 )
 
-// suspects is what an entry believes of requests under which servers crashed,
-// and what of it others are still to be told. It does no I/O. Its lock may be
-// taken while the state's is held, never the other way round.
+// suspects holds an entry's records of requests under which servers crashed,
+// and which of them are still to be sent to other entries and to the store. It
+// does no I/O. Its lock may be taken while the state's is held, never the other
+// way round.
 type suspects struct {
-	// known counts the requests in the book and the runs that wait for a proof:
-	// while it is 0 no request is hashed.
+	// tracked counts the suspect requests and the interrupted runs whose servers
+	// are not known to have crashed or survived. While it is 0 no request is
+	// hashed.
 	tracked atomic.Int64
-	// wake tells that there is something to spread.
+	// publish signals that there is something to send or to write.
 	publish chan struct{}
 
 	mu            sync.Mutex
 	book          *quarantine.Book
 	interruptions *quarantine.Breaks
-	// asked are the lifetimes that are being asked whether they listen.
+	// probing holds the server incarnations that are being probed.
 	probing map[string]bool
-	// untold strikes and cleared requests, for datagrams.
+	// unsent holds crashes, unsentCleared cleared requests that are still to be sent
+	// in datagrams.
 	unsent        []quarantine.Strike
 	unsentCleared []quarantine.Fingerprint
-	// unwritten rows by their keys; false: to be removed.
+	// unwrittenRows holds the keys of rows that are still to be written to the store
+	// (true) or deleted there (false).
 	unwrittenRows map[string]bool
 }
 
-// maxUnwritten rows wait for the store. Others count only with those who were told.
+// maxUnwrittenRows bounds the rows that wait for the store. Records beyond it
+// exist only at the entries that received their datagrams.
 const maxUnwrittenRows = 4096
 
 func newSuspects() *suspects {
@@ -43,7 +48,7 @@
 	}
 }
 
-// broke takes in that a run broke off early.
+// runInterrupted records a run that was interrupted early.
 func (s *suspects) runInterrupted(now time.Time, run quarantine.Strike) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +62,8 @@
 	s.tracked.Store(int64(s.book.Len() + s.interruptions.Len()))
 }
 
-// crashed takes in the proof that a lifetime of a server crashed.
+// serverCrashed records that an incarnation of a server is proven to have
+// crashed.
 func (s *suspects) serverCrashed(now time.Time, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +71,7 @@
 	s.updateTrackedLocked()
 }
 
-// left takes in that a lifetime ended as planned.
+// serverEnded records that an incarnation of a server ended as planned.
 func (s *suspects) serverEnded(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,8 +79,8 @@
 	s.updateTrackedLocked()
 }
 
-// mayAsk tells whether a server is to be asked if it listens; nobody else here
-// does so at the moment. answered ends that.
+// beginProbe reports whether to probe a server; false if another goroutine is
+// doing so. endProbe records the result and allows the next probe.
 func (s *suspects) beginProbe(server string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,44 +100,45 @@
 	}
 }
 
-// struckLocked takes in strikes that this entry saw.
-func (s *suspects) recordOwnCrashesLocked(now time.Time, strikes []quarantine.Strike) {
-	if len(strikes) == 0 {
+// recordOwnCrashesLocked adds crashes that this entry observed.
+func (s *suspects) recordOwnCrashesLocked(now time.Time, crashes []quarantine.Strike) {
+	if len(crashes) == 0 {
 		return
 	}
-	s.addCrashesLocked(now, strikes, "own")
-	for _, strike := range strikes {
-		s.unsent = append(s.unsent, strike)
-		s.queueRowLocked(crashKey(strike), true)
+	s.addCrashesLocked(now, crashes, "own")
+	for _, crash := range crashes {
+		s.unsent = append(s.unsent, crash)
+		s.queueRowLocked(crashKey(crash), true)
 	}
 	s.signalPublish()
 }
 
-// addLocked takes in strikes from any source. Most come from several.
-func (s *suspects) addCrashesLocked(now time.Time, strikes []quarantine.Strike, source string) {
-	strikes = slices.DeleteFunc(slices.Clone(strikes), s.book.Knows)
-	held := s.book.Add(now, strikes)
+// addCrashesLocked adds crashes from any source. Most arrive from several
+// sources and are added once.
+func (s *suspects) addCrashesLocked(now time.Time, crashes []quarantine.Strike, source string) {
+	crashes = slices.DeleteFunc(slices.Clone(crashes), s.book.Knows)
+	quarantined := s.book.Add(now, crashes)
 	s.updateTrackedLocked()
-	for _, strike := range strikes {
-		klog.InfoS("Server crashed under request", "fingerprint", strike.Request.String(), "server", strike.Server, "source", source)
+	for _, crash := range crashes {
+		klog.InfoS("Server crashed under request", "fingerprint", crash.Request.String(), "server", crash.Server, "source", source)
 	}
-	for _, f := range held {
+	for _, f := range quarantined {
 		v := s.book.Verdict(now, f)
 		klog.InfoS("Request held", "fingerprint", f.String(), "source", source, "trial", v.Trial, "retryAfterMS", v.RetryAfter.Milliseconds())
 	}
 }
 
-// heard takes in the words of another entry.
-func (s *suspects) receive(now time.Time, strikes []quarantine.Strike, cleared []quarantine.Fingerprint, source string) {
+// receive adds the records of another entry's update.
+func (s *suspects) receive(now time.Time, crashes []quarantine.Strike, cleared []quarantine.Fingerprint, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.addCrashesLocked(now, strikes, source)
+	s.addCrashesLocked(now, crashes, source)
 	for _, f := range cleared {
 		s.clearLocked(f, source)
 	}
 }
 
-// rowPut and rowGone take in rows of the store.
+// rowPut and rowRemoved apply changed rows of the store.
 func (s *suspects) rowPut(now time.Time, row suspectRow, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,12 +161,13 @@
 	s.updateTrackedLocked()
 }
 
-// clear forgets a request everywhere: it ran whole, or an operator frees it.
-// False: nothing was known of it.
-func (s *suspects) clear(f quarantine.Fingerprint, why string) bool {
+// clear deletes all records of a request, here, at other entries and in the
+// store: it completed, or an operator clears it. It returns false if there were
+// none.
+func (s *suspects) clear(f quarantine.Fingerprint, reason string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	request, ok := s.clearLocked(f, why)
+	request, ok := s.clearLocked(f, reason)
 	if !ok {
 		return false
 	}
@@ -169,24 +177,24 @@
 	return true
 }
 
-func (s *suspects) clearLocked(f quarantine.Fingerprint, why string) (quarantine.Request, bool) {
+func (s *suspects) clearLocked(f quarantine.Fingerprint, reason string) (quarantine.Request, bool) {
 	s.interruptions.RanWhole(f)
 	defer s.updateTrackedLocked()
 	request, ok := s.book.Clear(time.Now(), f)
 	if !ok {
 		return request, false
 	}
-	for _, strike := range crashesOf(request) {
-		delete(s.unwrittenRows, crashKey(strike))
+	for _, crash := range crashesOf(request) {
+		delete(s.unwrittenRows, crashKey(crash))
 	}
-	klog.InfoS("Request cleared", "fingerprint", f.String(), "why", why, "held", request.Held, "servers", request.Servers, "trials", request.Trials)
+	klog.InfoS("Request cleared", "fingerprint", f.String(), "why", reason, "held", request.Held, "servers", request.Servers, "trials", request.Trials)
 	return request, true
 }
 
-// removeRowsLocked has all rows of a request removed from the store.
+// removeRowsLocked queues the deletion of all rows of a request.
 func (s *suspects) removeRowsLocked(request quarantine.Request) {
-	for _, strike := range crashesOf(request) {
-		s.queueRowLocked(crashKey(strike), false)
+	for _, crash := range crashesOf(request) {
+		s.queueRowLocked(crashKey(crash), false)
 	}
 	for trial := 1; trial <= request.Trials; trial++ {
 		s.queueRowLocked(trialKey(request.Fingerprint, trial), false)
@@ -195,7 +203,7 @@
 
 func (s *suspects) queueRowLocked(key string, put bool) {
 	if len(s.unwrittenRows) >= maxUnwrittenRows {
-		klog.InfoS("Row of a suspected request not written: too many wait", "row", key)
+		klog.InfoS("Row of a suspect request dropped: too many rows wait for the store", "row", key)
 		return
 	}
 	s.unwrittenRows[key] = put
@@ -208,7 +216,8 @@
 	}
 }
 
-// mayKnow tells, without hashing a body, whether something may be known of a request.
+// mayBeSuspect reports, without hashing a body, whether crashes or interrupted
+// runs of a request may be recorded.
 func (s *suspects) mayBeSuspect(hashes *quarantine.Hashes) bool {
 	if s.tracked.Load() == 0 {
 		return false
@@ -231,13 +240,14 @@
 	return s.book.Strikes(f)
 }
 
-func (s *suspects) mayRepeat(f quarantine.Fingerprint, broken []string) bool {
+func (s *suspects) mayRepeat(f quarantine.Fingerprint, interruptedAt []string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.MayRepeat(f, broken)
+	return s.book.MayRepeat(f, interruptedAt)
 }
 
-// tried takes in that this entry claimed a trial, released that it did not run.
+// trialClaimed records that this entry claimed a trial, trialReleased that the
+// trial did not run.
 func (s *suspects) trialClaimed(now time.Time, f quarantine.Fingerprint, trial int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,57 +262,59 @@
 	s.signalPublish()
 }
 
-// list is for operators; counts for metrics.
+// list returns all suspect requests, for operators; counts returns their
+// numbers, for metrics.
 func (s *suspects) list() []quarantine.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.List()
 }
 
-func (s *suspects) counts() (known, held int) {
+func (s *suspects) counts() (suspects, quarantined int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Len(), s.book.Held()
 }
 
-// tick forgets what is too old. One entry removes its rows for all.
-func (s *suspects) tick(now time.Time, removes bool) {
+// tick deletes expired records. With deleteRows it also deletes their rows,
+// which one entry does for all.
+func (s *suspects) tick(now time.Time, deleteRows bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.interruptions.Tick(now)
-	forgotten := s.book.Tick(now)
+	expired := s.book.Tick(now)
 	s.updateTrackedLocked()
-	for _, request := range forgotten {
-		klog.InfoS("Request forgotten", "fingerprint", request.Fingerprint.String(), "held", request.Held, "servers", request.Servers)
-		if removes {
+	for _, request := range expired {
+		klog.InfoS("Records of a suspect request expired", "fingerprint", request.Fingerprint.String(), "held", request.Held, "servers", request.Servers)
+		if deleteRows {
 			s.removeRowsLocked(request)
 			s.signalPublish()
 		}
 	}
 }
 
-// takeUntold returns what others are still to be told by datagrams. Of more than
-// most strikes only those of requests that have another one are told: the store
-// tells the rest in time.
-func (s *suspects) takeUnsent(most int) ([]quarantine.Strike, []quarantine.Fingerprint) {
+// takeUnsent returns what is still to be sent in datagrams. If there are more
+// than limit crashes it returns only those of requests with at least two; the
+// other entries read the rest from the store.
+func (s *suspects) takeUnsent(limit int) ([]quarantine.Strike, []quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	strikes := s.unsent
-	if len(strikes) > most {
-		strikes = slices.DeleteFunc(strikes, func(one quarantine.Strike) bool { return s.book.Strikes(one.Request) < 2 })
+	crashes := s.unsent
+	if len(crashes) > limit {
+		crashes = slices.DeleteFunc(crashes, func(crash quarantine.Strike) bool { return s.book.Strikes(crash.Request) < 2 })
 	}
 	cleared := s.unsentCleared
 	s.unsent, s.unsentCleared = nil, nil
-	return strikes, cleared
+	return crashes, cleared
 }
 
-// takeUnwritten returns some of the rows that wait for the store.
-func (s *suspects) takeUnwritten(most int) map[string]bool {
+// takeUnwritten returns up to limit of the rows that wait for the store.
+func (s *suspects) takeUnwritten(limit int) map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rows := map[string]bool{}
 	for key, put := range s.unwrittenRows {
-		if len(rows) == most {
+		if len(rows) == limit {
 			break
 		}
 		rows[key] = put
@@ -311,7 +323,8 @@
 	return rows
 }
 
-// giveBack puts rows that were not written back, unless newer words wait.
+// requeueRows queues rows again that were not written, unless newer values
+// wait.
 func (s *suspects) requeueRows(rows map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -323,9 +336,9 @@
 }
 
 func crashesOf(request quarantine.Request) []quarantine.Strike {
-	strikes := make([]quarantine.Strike, 0, len(request.Servers))
+	crashes := make([]quarantine.Strike, 0, len(request.Servers))
 	for _, server := range request.Servers {
-		strikes = append(strikes, quarantine.Strike{Request: request.Fingerprint, Server: server})
+		crashes = append(crashes, quarantine.Strike{Request: request.Fingerprint, Server: server})
 	}
-	return strikes
+	return crashes
 }
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -22,7 +22,7 @@
 	return (&quarantine.Identity{Target: fmt.Sprint("/", n)}).Fingerprint()
 }
 
-// entryOn is an entry that shares a table with others.
+// newTableEntry returns an entry that shares a table with others.
 func newTableEntry(table platform.Table, node string) *Gateway {
 	settings := Settings{Node: node}
 	g := &Gateway{settings: settings, state: newState(settings, func(string) {}), metrics: metrics.New(8), peers: newPeers(settings)}
@@ -31,7 +31,8 @@
 	return g
 }
 
-// crash takes in that servers crashed while the request began to run there.
+// simulateCrash records that servers crashed soon after they began to run the
+// request.
 func (g *Gateway) simulateCrash(f quarantine.Fingerprint, servers ...string) {
 	for _, server := range servers {
 		g.state.suspects.runInterrupted(time.Now(), quarantine.Strike{Request: f, Server: server})
@@ -39,7 +40,7 @@
 	}
 }
 
-// read applies all rows of the table, as an entry that starts does.
+// loadSuspects applies all rows of the table, as a starting entry does.
 func (g *Gateway) loadSuspects(t *testing.T) {
 	t.Helper()
 	rows, err := g.ports.Table.Range(t.Context(), suspectPrefix, "", 0)
@@ -51,21 +52,21 @@
 	g.applySuspects(time.Now(), changed, sourceStore)
 }
 
-// Guards against entries that start anew and send what the others hold.
+// A starting entry must not send requests that the others have quarantined.
 func TestStartingEntryReadsQuarantineFromStore(t *testing.T) {
 	table := platformtest.New()
-	one, two, late := newTableEntry(table, "gw1"), newTableEntry(table, "gw2"), newTableEntry(table, "gw3")
+	one, two, starting := newTableEntry(table, "gw1"), newTableEntry(table, "gw2"), newTableEntry(table, "gw3")
 	one.simulateCrash(suspectFingerprint(1), "a", "b")
 	two.simulateCrash(suspectFingerprint(1), "c")
 	require.True(t, one.writeSuspects(t.Context()))
 	require.True(t, two.writeSuspects(t.Context()))
-	late.loadSuspects(t)
-	assert.True(t, late.state.suspects.verdict(time.Now(), suspectFingerprint(1)).Held)
-	require.True(t, late.state.suspects.clear(suspectFingerprint(1), "operator"))
-	require.True(t, late.writeSuspects(t.Context()))
-	again := newTableEntry(table, "gw4")
-	again.loadSuspects(t)
-	assert.Empty(t, again.state.suspects.list())
+	starting.loadSuspects(t)
+	assert.True(t, starting.state.suspects.verdict(time.Now(), suspectFingerprint(1)).Held)
+	require.True(t, starting.state.suspects.clear(suspectFingerprint(1), "operator"))
+	require.True(t, starting.writeSuspects(t.Context()))
+	restarted := newTableEntry(table, "gw4")
+	restarted.loadSuspects(t)
+	assert.Empty(t, restarted.state.suspects.list())
 }
 
 func TestSuspectRowsAreWrittenAfterStoreOutage(t *testing.T) {
@@ -86,10 +87,10 @@
 	assert.True(t, g.writeSuspects(t.Context()))
 	other := newTableEntry(table, "gw2")
 	other.loadSuspects(t)
-	assert.Len(t, other.state.suspects.list(), 1, "what was cleared meanwhile is not written")
+	assert.Len(t, other.state.suspects.list(), 1, "records cleared during the outage are not written")
 }
 
-// Guards against a trial of a held request at several entries at once.
+// Only one entry may run a trial of a quarantined request.
 func TestTrialIsClaimedByOneEntry(t *testing.T) {
 	table := platformtest.New()
 	one, two := newTableEntry(table, "gw1"), newTableEntry(table, "gw2")
@@ -99,44 +100,45 @@
 	require.True(t, one.writeSuspects(t.Context()))
 	assert.True(t, two.claimTrial(t.Context(), suspectFingerprint(1), 1))
 	table.OnCommit(func(platform.Txn) platformtest.Fault { return platformtest.Unavailable })
-	assert.False(t, one.claimTrial(t.Context(), suspectFingerprint(2), 1), "no store, no trial")
+	assert.False(t, one.claimTrial(t.Context(), suspectFingerprint(2), 1), "no trial without the store")
 }
 
 func TestCrashUpdatesFitDatagrams(t *testing.T) {
 	g := newTableEntry(platformtest.New(), "gw1")
-	var strikes []quarantine.Strike
+	var crashes []quarantine.Strike
 	var cleared []quarantine.Fingerprint
 	for n := range 45 {
-		strikes = append(strikes, quarantine.Strike{Request: suspectFingerprint(n), Server: strings.Repeat("s", 24)})
+		crashes = append(crashes, quarantine.Strike{Request: suspectFingerprint(n), Server: strings.Repeat("s", 24)})
 		cleared = append(cleared, suspectFingerprint(100+n))
 	}
-	words := crashDatagrams(strikes, cleared)
-	assert.Len(t, words, 5)
-	told := 0
-	for _, word := range words {
-		assert.Less(t, len(mustEncode(t, word)), maxDatagram)
-		told += len(word.GetStrikes().GetStrikes()) + len(word.GetStrikes().GetCleared())
-		g.datagrams.take(word, nil)
+	datagrams := crashDatagrams(crashes, cleared)
+	assert.Len(t, datagrams, 5)
+	sent := 0
+	for _, datagram := range datagrams {
+		assert.Less(t, len(mustEncode(t, datagram)), maxDatagram)
+		sent += len(datagram.GetStrikes().GetStrikes()) + len(datagram.GetStrikes().GetCleared())
+		g.datagrams.take(datagram, nil)
 	}
-	assert.Equal(t, 90, told)
+	assert.Equal(t, 90, sent)
 	assert.Len(t, g.state.suspects.list(), 45)
 }
 
-// Guards against a datagram for each of all the runs at a rack of servers.
+// When many servers end at once, the crashes of all their runs must not be sent
+// to every entry.
 func TestLargeFleetReceivesOnlyRepeatedCrashes(t *testing.T) {
 	g := newTableEntry(platformtest.New(), "gw1")
 	g.simulateCrash(suspectFingerprint(2), "b", "c")
 	for n := range maxLargeFleetCrashes {
 		g.simulateCrash(suspectFingerprint(10+n), "a")
 	}
-	strikes, _ := g.state.suspects.takeUnsent(maxLargeFleetCrashes)
-	assert.Len(t, strikes, 2)
-	for _, strike := range strikes {
-		assert.Equal(t, suspectFingerprint(2), strike.Request)
+	crashes, _ := g.state.suspects.takeUnsent(maxLargeFleetCrashes)
+	assert.Len(t, crashes, 2)
+	for _, crash := range crashes {
+		assert.Equal(t, suspectFingerprint(2), crash.Request)
 	}
 	g.simulateCrash(suspectFingerprint(3), "d")
-	strikes, _ = g.state.suspects.takeUnsent(maxLargeFleetCrashes)
-	assert.Len(t, strikes, 1, "a few are told as they are")
+	crashes, _ = g.state.suspects.takeUnsent(maxLargeFleetCrashes)
+	assert.Len(t, crashes, 1, "a few crashes are sent unfiltered")
 }
 
 func TestMalformedSuspectRowIsSkipped(t *testing.T) {
@@ -156,7 +158,8 @@
 	assert.Empty(t, g.state.suspects.list()[0].Servers)
 }
 
-// Guards against a planned end of a server that counts against the requests it ran.
+// A planned end of a server must not count as a crash against the requests it
+// ran.
 func TestPlannedEndIsNotCountedAsCrash(t *testing.T) {
 	s := newSuspects()
 	s.runInterrupted(time.Now(), quarantine.Strike{Request: suspectFingerprint(1), Server: "a"})
@@ -165,9 +168,9 @@
 	assert.Empty(t, s.list())
 }
 
-func mustEncode(t *testing.T, word *jayv1.Datagram) []byte {
+func mustEncode(t *testing.T, datagram *jayv1.Datagram) []byte {
 	t.Helper()
-	text, err := proto.Marshal(word)
+	encoded, err := proto.Marshal(datagram)
 	require.NoError(t, err)
-	return text
+	return encoded
 }
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -10,39 +10,39 @@
 	"github.com/jayproxy/jayproxy/internal/waitroom"
 )
 
-// serveTick between two tries to place the requests that wait. Entries look at
-// different moments and tell each other in between where they sent larger ones:
-// a server that had taken new weights was filled by all of them at once before.
-// In the model, with new weights at 5 times 37 long prompts a second, requests
-// put back 115 with looks each 20 ms and no word, 63 with the word, 46 so.
+// waitQueueInterval is the pause between two attempts to place waiting
+// requests. It leaves time for the updates on large placements to reach the
+// other entries, which would otherwise all send to a server whose memory has
+// just become free.
 const waitQueueInterval = 100 * time.Millisecond
 
-// errTurnedAway ends a request that must not wait.
-var errRejected = errors.New("no memory free at backend servers, and none soon")
+// errRejected ends a request that must not wait.
+var errRejected = errors.New("no memory free at backend servers, and none expected in time")
 
-// placed is what a waiting request hears.
+// grant is the result sent to a waiting request.
 type grant struct {
 	choice routing.DirectChoice
 	err    error
-	// after is when to come back, of one that is turned away.
+	// retryAfter is the retry delay of a rejected request.
 	retryAfter time.Duration
 }
 
-// waiter is a job in the room. granted has room for one answer, so that whoever
-// serves the room never waits for the job.
+// waiter is a job in the wait queue. granted has room for one result, so that
+// sending it never blocks.
 type waiter struct {
 	job     *job
 	granted chan grant
-	// asking the owners of shards now, askedAt when that last began, offer what
-	// they offered; under the state's lock.
+	// asking: owners are being asked; askedAt is when that last began, offer what
+	// they offered. The state's lock guards them.
 	asking  bool
 	askedAt time.Time
 	offer   *ownerOffer
-	// alone: no owner answered, so that this entry looks for room by itself.
+	// ownersUnavailable: no owner answered, so this entry looks for free memory
+	// itself.
 	ownersUnavailable bool
 }
 
-// ask asks the owners for a server with room, for a request that waits.
+// askOwners asks the owners for a server with free memory.
 func (w *waiter) askOwners() {
 	offer, err := w.job.bestOffer(true)
 	s := w.job.gateway.state
@@ -51,20 +51,22 @@
 	w.asking, w.ownersUnavailable = false, errors.Is(err, errNoOffer)
 	switch {
 	case err != nil:
-		klog.V(1).InfoS("No room yet", "request", w.job.head.ID, "err", err)
+		klog.V(1).InfoS("No server with free memory yet", "request", w.job.head.ID, "err", err)
 	case s.waiters[w.job.head.ID] == w:
 		w.offer = offer
 	default:
-		// It was sent, or its caller left, while the owners were asked.
+		// The request was sent, or its caller disconnected, while the owners were
+		// asked.
 		go w.job.gateway.placements.releaseOffer(offer, nil)
 	}
 }
 
-// placeLocked places a request that waits, if there is room for it.
-func (w *waiter) placeLocked(now time.Time, anyway bool) (routing.DirectChoice, error) {
-	if !w.job.gateway.sharded() || w.offer == nil && (anyway || w.ownersUnavailable) {
+// placeLocked places the waiting request if a server has memory for it. With
+// force it does not require free memory.
+func (w *waiter) placeLocked(now time.Time, force bool) (routing.DirectChoice, error) {
+	if !w.job.gateway.sharded() || w.offer == nil && (force || w.ownersUnavailable) {
 		w.ownersUnavailable = false
-		return w.job.placeLocked(now, !anyway)
+		return w.job.placeLocked(now, !force)
 	}
 	if offer := w.offer; offer != nil {
 		w.offer = nil
@@ -72,7 +74,7 @@
 			return choice, nil
 		}
 		go w.job.gateway.placements.releaseOffer(offer, nil)
-		return w.job.placeLocked(now, !anyway)
+		return w.job.placeLocked(now, !force)
 	}
 	if !w.asking && now.Sub(w.askedAt) >= ownerRetryInterval {
 		w.asking, w.askedAt = true, now
@@ -81,31 +83,31 @@
 	return routing.DirectChoice{}, routing.ErrNoRoom
 }
 
-// await lets a request wait until a server has memory for it.
-func (j *job) waitForMemory(reading time.Duration) (routing.DirectChoice, error) {
+// waitForMemory waits until a server has memory for the request.
+func (j *job) waitForMemory(readTime time.Duration) (routing.DirectChoice, error) {
 	s := j.gateway.state
 	now := time.Now()
 	w := &waiter{job: j, granted: make(chan grant, 1)}
 	request := waitroom.Request{
 		ID: j.head.ID, Urgency: j.table.Urgency(j.route, j.workspace), Arrived: j.arrived,
-		Reading: reading, InTimeUntil: j.arrived.Add(j.route.Target), Deadline: j.firstEventDeadline(),
+		Reading: readTime, InTimeUntil: j.arrived.Add(j.route.Target), Deadline: j.firstEventDeadline(),
 	}
 	s.mu.Lock()
-	// A second send may come when there is no time left to wait. And where a
-	// caller sent an id twice only one of the two can be told apart.
-	if _, twice := s.waiters[j.head.ID]; twice || !now.Before(request.Until()) {
+	// A second send may begin when no time is left to wait. And if a caller uses an
+	// ID twice, only one of the two requests can wait under it.
+	if _, duplicate := s.waiters[j.head.ID]; duplicate || !now.Before(request.Until()) {
 		s.mu.Unlock()
 		return j.place(false)
 	}
-	after, ok := s.room.Enter(now, request)
+	retryAfter, ok := s.room.Enter(now, request)
 	if ok {
 		s.waiters[j.head.ID] = w
 	}
 	waiting := s.room.Len()
 	s.mu.Unlock()
 	if !ok {
-		klog.InfoS("Turned away", "request", j.head.ID, "waiting", waiting, "comeBackMS", after.Milliseconds())
-		j.retryAfter = after
+		klog.InfoS("Turned away", "request", j.head.ID, "waiting", waiting, "comeBackMS", retryAfter.Milliseconds())
+		j.retryAfter = retryAfter
 		return routing.DirectChoice{}, errRejected
 	}
 	j.gateway.metrics.Count("waited_for_memory", j.routeLabel(), 1)
@@ -113,9 +115,9 @@
 	return j.awaitGrant(w)
 }
 
-// firstBy is until when the caller waits for a sign of an answer. Callers leave
-// a stream that shows nothing long before their deadline: requests that waited
-// for their share of the deadline were sent when nobody waited for them.
+// firstEventDeadline is until when the caller waits for the first event.
+// Callers abandon a stream without events after the route's quiet limit, long
+// before their deadline.
 func (j *job) firstEventDeadline() time.Time {
 	if j.route.QuietLimit <= 0 {
 		return j.deadline
@@ -128,14 +130,14 @@
 }
 
 func (j *job) awaitGrant(w *waiter) (routing.DirectChoice, error) {
-	begun := time.Now()
+	started := time.Now()
 	select {
-	case p := <-w.granted:
-		j.gateway.metrics.Time("waited", j.routeLabel(), time.Since(begun))
-		if j.retryAfter = p.retryAfter; p.retryAfter > 0 {
-			klog.InfoS("Turned away", "request", j.head.ID, "waitedMS", time.Since(begun).Milliseconds(), "comeBackMS", p.retryAfter.Milliseconds())
+	case result := <-w.granted:
+		j.gateway.metrics.Time("waited", j.routeLabel(), time.Since(started))
+		if j.retryAfter = result.retryAfter; result.retryAfter > 0 {
+			klog.InfoS("Turned away", "request", j.head.ID, "waitedMS", time.Since(started).Milliseconds(), "comeBackMS", result.retryAfter.Milliseconds())
 		}
-		return p.choice, p.err
+		return result.choice, result.err
 	case <-j.ctx.Done():
 	}
 	s := j.gateway.state
@@ -148,23 +150,23 @@
 		}
 		return routing.DirectChoice{}, j.ctx.Err()
 	}
-	// It was placed at the same moment: the server must not count it.
-	if p := <-w.granted; p.err == nil {
+	// The request was placed at the same moment: the server must not count it.
+	if result := <-w.granted; result.err == nil {
 		s.router.Finished(time.Now(), j.head.ID, false)
 		go j.gateway.placements.releaseOffer(j.offer, nil)
 	}
 	return routing.DirectChoice{}, j.ctx.Err()
 }
 
-// serveRoom places what waits, as far as memory is free.
+// serveWaitQueue places waiting requests as far as memory is free.
 func (g *Gateway) serveWaitQueue(now time.Time) {
 	s := g.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	away := s.room.Serve(now, func(id string, anyway bool) bool {
+	rejected := s.room.Serve(now, func(id string, force bool) bool {
 		w := s.waiters[id]
-		// A process that stops has no time to wait.
-		choice, err := w.placeLocked(now, anyway || g.stopping.Load())
+		// A stopping process has no time to wait.
+		choice, err := w.placeLocked(now, force || g.stopping.Load())
 		if errors.Is(err, routing.ErrNoRoom) {
 			return false
 		}
@@ -172,7 +174,7 @@
 		w.granted <- grant{choice: choice, err: err}
 		return true
 	})
-	for _, id := range away {
+	for _, id := range rejected {
 		s.waiters[id].granted <- grant{err: errRejected, retryAfter: waitroom.ComeBack}
 		delete(s.waiters, id)
 	}
