--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,34 +18,38 @@
 )
 
 const (
-	// connectTime bounds the opening of a connection to a backend server.
-	connectTime = 250 * time.Millisecond
-	// silenceTime is how long bytes sent to one may stay unacknowledged.
-	silenceTime = 1200 * time.Millisecond
-	// stateTick lets beliefs lapse and closes idle connections.
-	stateTick = 250 * time.Millisecond
-	// firstConfigWait: callers are let in without a configuration after this
-	// time, and hear 503 until there is one.
-	firstConfigWait = 5 * time.Second
-	// maxMetricLabels bounds the names of routes in metrics.
+	// connectTimeout bounds opening a connection to a backend server.
+	connectTimeout = 250 * time.Millisecond
+	// ackTimeout is how long sent bytes may stay unacknowledged before the
+	// connection fails.
+	ackTimeout = 1200 * time.Millisecond
+	// stateTickInterval is the pause between two removals of expired state and idle
+	// connections.
+	stateTickInterval = 250 * time.Millisecond
+	// firstConfigTimeout is how long Start waits for a first configuration. After
+	// that callers are accepted and receive 503 until a configuration arrives.
+	firstConfigTimeout = 5 * time.Second
+	// maxMetricLabels bounds the number of distinct route names in metrics.
 	maxMetricLabels = 256
-	// headerBytes and headerTime bound heads until a configuration says otherwise.
-	headerBytes = 16 << 10
-	headerTime  = 5 * time.Second
-	idleTime    = 60 * time.Second
-	// The balancer asks once a second and needs two refusals; then no new
-	// callers come, and what is on its way arrives within drainOnWay.
-	drainQuestions = 2
-	drainOnWay     = 500 * time.Millisecond
-	// drainAtMost is when connections are closed though the balancer has not
-	// asked: its questions may be lost.
-	drainAtMost = 3500 * time.Millisecond
-	// drainReserve of the grace time is kept for the end of the process.
-	drainReserve = 700 * time.Millisecond
-	drainStep    = 20 * time.Millisecond
+	// Limits of the internal servers, and of callers' connections until a
+	// configuration sets them.
+	defaultHeaderBytes   = 16 << 10
+	defaultHeaderTimeout = 5 * time.Second
+	defaultIdleTimeout   = 60 * time.Second
+	// The load balancer probes readiness once a second and removes an entry after
+	// two failed probes. Requests already on their way arrive within
+	// drainArrivalTime.
+	minNotReadyProbes = 2
+	drainArrivalTime  = 500 * time.Millisecond
+	// maxProbeWait bounds the wait for these probes, which may get lost.
+	maxProbeWait = 3500 * time.Millisecond
+	// shutdownReserve is the part of the grace period left for the end of the
+	// process.
+	shutdownReserve   = 700 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// Gateway is one running process. Stop it with Shutdown.
+// Gateway is one running entry process. Stop it with Shutdown.
 type Gateway struct {
 	settings Settings
 	ports    Ports
@@ -54,36 +58,38 @@
 	metrics  *metrics.Registry
 	peers    *peers
 	hints    *hints
-	// datagrams between entries, placing what it asks of them.
-	datagrams *datagrams
-	placing   *placing
-	feeds     []*feed
-	keeper    *lease.Keeper
+	// datagrams carries messages between entries; placements sends placement
+	// requests over it.
+	datagrams  *datagrams
+	placements *placementClient
+	feeds      []*feed
+	keeper     *lease.Keeper
 
-	callers  *http.Server
-	inner    []*http.Server
-	active   atomic.Int64
-	stopping atomic.Bool
-	// open: callers' address is listened on.
-	open atomic.Bool
-	// notReadyAnswers counts answers to the balancer since the signal to stop.
-	notReadyAnswers atomic.Int64
+	callerServer    *http.Server
+	internalServers []*http.Server
+	active          atomic.Int64
+	stopping        atomic.Bool
+	// callersListening: the callers' address is open.
+	callersListening atomic.Bool
+	// notReadyResponses counts readiness probes answered with 503 since shutdown
+	// began.
+	notReadyResponses atomic.Int64
 
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 }
 
-// Start opens the process's addresses and begins to follow the tables.
+// Start opens the process's addresses and begins to follow the store's tables.
 func Start(ctx context.Context, settings Settings, ports Ports) (*Gateway, error) {
-	pool := upstream.NewPool(connectTime, silenceTime)
+	pool := upstream.NewPool(connectTimeout, ackTimeout)
 	g := &Gateway{
 		settings: settings, ports: ports, pool: pool,
 		state: newState(settings, pool.Forget), metrics: metrics.New(maxMetricLabels),
 	}
 	g.peers = newPeers(settings)
-	g.placing = newPlacing(g)
+	g.placements = newPlacementClient(g)
 	ctx, g.cancel = context.WithCancel(ctx)
-	if err := g.listenInner(); err != nil {
+	if err := g.listenInternal(); err != nil {
 		return nil, err
 	}
 	g.startDatagrams(ctx)
@@ -97,7 +103,7 @@
 	return g, nil
 }
 
-// spawn runs a task until the process stops.
+// spawn runs task in a goroutine that g.tasks counts.
 func (g *Gateway) spawn(task func()) {
 	g.tasks.Add(1)
 	go func() {
@@ -106,12 +112,12 @@
 	}()
 }
 
-// awaitConfig waits a little for the first configuration, which sets the
-// limits of callers' connections.
+// awaitConfig waits up to firstConfigTimeout for the first configuration, which
+// sets the limits of callers' connections.
 func (g *Gateway) awaitConfig(ctx context.Context) {
-	until := time.Now().Add(firstConfigWait)
-	for !g.state.ready() && time.Now().Before(until) && ctx.Err() == nil {
-		time.Sleep(drainStep)
+	deadline := time.Now().Add(firstConfigTimeout)
+	for !g.state.ready() && time.Now().Before(deadline) && ctx.Err() == nil {
+		time.Sleep(drainPollInterval)
 	}
 }
 
@@ -120,47 +126,47 @@
 	if err != nil {
 		return eris.Wrap(err, "listen for callers")
 	}
-	g.callers = &http.Server{
-		Handler: g, MaxHeaderBytes: headerBytes, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime,
-		ErrorLog: quietLog(), ConnState: noteCallerState, ConnContext: withCallerConn,
+	g.callerServer = &http.Server{
+		Handler: g, MaxHeaderBytes: defaultHeaderBytes, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
+		ErrorLog: discardLog(), ConnState: trackCallerState, ConnContext: withCallerConn,
 	}
 	if table := g.state.table.Load(); table != nil {
 		limits := table.Limits
 		if limits.HeaderBytes > 0 {
-			g.callers.MaxHeaderBytes = limits.HeaderBytes
+			g.callerServer.MaxHeaderBytes = limits.HeaderBytes
 		}
 		if limits.HeaderTimeout > 0 {
-			g.callers.ReadHeaderTimeout = limits.HeaderTimeout
+			g.callerServer.ReadHeaderTimeout = limits.HeaderTimeout
 		}
 		if limits.IdleTimeout > 0 {
-			g.callers.IdleTimeout = limits.IdleTimeout
+			g.callerServer.IdleTimeout = limits.IdleTimeout
 		}
 	}
-	g.serve(g.callers, callerListener{listener})
-	g.open.Store(true)
+	g.serve(g.callerServer, callerListener{listener})
+	g.callersListening.Store(true)
 	return nil
 }
 
 func (g *Gateway) serve(server *http.Server, listener net.Listener) {
 	g.spawn(func() {
 		if err := server.Serve(listener); err != nil && !eris.Is(err, http.ErrServerClosed) {
-			klog.ErrorS(err, "Server ended", "address", listener.Addr())
+			klog.ErrorS(err, "HTTP server failed", "address", listener.Addr())
 		}
 	})
 }
 
-// listenInner opens what the balancer, other entries and operators ask.
-func (g *Gateway) listenInner() error {
+// listenInternal opens the readiness, control and metrics addresses.
+func (g *Gateway) listenInternal() error {
 	handlers := map[string]http.Handler{}
 	if g.settings.ReadyAddress != "" {
-		handlers[g.settings.ReadyAddress] = http.HandlerFunc(g.answerReady)
+		handlers[g.settings.ReadyAddress] = http.HandlerFunc(g.serveReady)
 	}
 	if g.settings.ControlAddress != "" {
 		handlers[g.settings.ControlAddress] = g.controlRoutes()
 	}
 	if g.settings.MetricsAddress != "" {
 		mux := echo.New()
-		mux.GET("/metrics", g.giveMetrics)
+		mux.GET("/metrics", g.serveMetrics)
 		handlers[g.settings.MetricsAddress] = mux
 	}
 	for address, handler := range handlers {
@@ -168,24 +174,25 @@
 		if err != nil {
 			return eris.Wrapf(err, "listen on %s", address)
 		}
-		server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ErrorLog: quietLog()}
-		g.inner = append(g.inner, server)
+		server := &http.Server{Handler: handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: discardLog()}
+		g.internalServers = append(g.internalServers, server)
 		g.serve(server, listener)
 	}
 	return nil
 }
 
-// giveMetrics writes all metrics as text, gauges as of now.
-func (g *Gateway) giveMetrics(c echo.Context) error {
-	g.gauges(time.Now())
+// serveMetrics updates the gauges and writes all metrics as text.
+func (g *Gateway) serveMetrics(c echo.Context) error {
+	g.updateGauges(time.Now())
 	c.Response().Header().Set(echo.HeaderContentType, echo.MIMETextPlainCharsetUTF8)
 	c.Response().WriteHeader(http.StatusOK)
 	g.metrics.WriteText(c.Response())
 	return nil
 }
 
-// gauges shows how old each belief is, and what is left of each budget.
-func (g *Gateway) gauges(now time.Time) {
+// updateGauges sets the gauges of current state, such as the age of each table
+// and what is left of each retry budget.
+func (g *Gateway) updateGauges(now time.Time) {
 	for _, f := range g.feeds {
 		g.metrics.Gauge("belief_version", f.table, int64(f.version())) //nolint:gosec // a count
 		g.metrics.Gauge("belief_age_ms", f.table, g.tableAge(now, f).Milliseconds())
@@ -202,63 +209,65 @@
 	for _, model := range s.book.Models() {
 		g.metrics.Gauge("weights_named", model, int64(s.book.Newest(model))) //nolint:gosec // a count
 	}
-	known, held := s.suspects.counts()
-	g.metrics.Gauge("suspected_requests", "known", int64(known))
-	g.metrics.Gauge("suspected_requests", "held", int64(held))
+	suspects, quarantined := s.suspects.counts()
+	g.metrics.Gauge("suspected_requests", "known", int64(suspects))
+	g.metrics.Gauge("suspected_requests", "held", int64(quarantined))
 	g.metrics.Gauge("requests_active", "all", g.active.Load())
 	g.metrics.Gauge("requests_waiting", "memory", int64(s.room.Len()))
 	g.metrics.Gauge("connections_opened", "all", g.pool.Opened())
 }
 
-// answerReady tells the balancer whether callers may come.
-func (g *Gateway) answerReady(w http.ResponseWriter, _ *http.Request) {
+// serveReady answers the load balancer's readiness probes.
+func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if g.stopping.Load() {
-		g.notReadyAnswers.Add(1)
+		g.notReadyResponses.Add(1)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if !g.open.Load() || !g.state.ready() {
+	if !g.callersListening.Load() || !g.state.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// Shutdown ends without cutting a request: it stops being ready, goes on to
-// answer until the balancer has seen that, closes the listener and idle
-// connections, and waits for what is under way. It does not wait for a moment
-// without requests: while others stop too, callers would come until the end,
-// and the last of them would be cut.
+// Shutdown stops the process without interrupting requests. It reports not
+// ready, keeps serving until the load balancer has noticed, closes the listener
+// and idle connections, and waits for running requests until the grace period
+// ends. It does not wait for a moment without requests before it closes the
+// listener: while other entries stop too, callers may keep arriving until the
+// end, and the last requests would be cut off.
 func (g *Gateway) Shutdown(ctx context.Context) error {
-	begun := time.Now()
-	end := begun.Add(g.settings.Grace - drainReserve)
+	started := time.Now()
+	end := started.Add(g.settings.Grace - shutdownReserve)
 	klog.InfoS("Stopping", "active", g.active.Load(), "until", end)
 	g.stopping.Store(true)
 	if g.keeper != nil {
 		g.keeper.Close(ctx)
 	}
 	g.unregister(ctx)
-	g.callers.SetKeepAlivesEnabled(false)
-	for time.Since(begun) < drainAtMost && ctx.Err() == nil && g.notReadyAnswers.Load() < drainQuestions {
-		time.Sleep(drainStep)
+	g.callerServer.SetKeepAlivesEnabled(false)
+	for time.Since(started) < maxProbeWait && ctx.Err() == nil && g.notReadyResponses.Load() < minNotReadyProbes {
+		time.Sleep(drainPollInterval)
 	}
-	sleep(ctx, drainOnWay)
+	sleep(ctx, drainArrivalTime)
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	err := g.callers.Shutdown(ctx)
-	// Shutdown no longer counts a connection whose close a callerConn ignored.
+	err := g.callerServer.Shutdown(ctx)
+	// http.Server.Shutdown does not wait for connections whose Close a callerConn
+	// ignored.
 	for g.active.Load() > 0 && ctx.Err() == nil {
-		sleep(ctx, drainStep)
+		sleep(ctx, drainPollInterval)
 	}
-	klog.InfoS("Stopped", "active", g.active.Load(), "tookMS", time.Since(begun).Milliseconds(), "err", err)
+	klog.InfoS("Stopped", "active", g.active.Load(), "tookMS", time.Since(started).Milliseconds(), "err", err)
 	g.cancel()
-	for _, server := range g.inner {
+	for _, server := range g.internalServers {
 		_ = server.Close()
 	}
 	return nil
 }
 
-// Reload takes in settings that may change while the process runs.
+// Reload applies the settings that may change at run time: the seeds.
 func (g *Gateway) Reload(settings Settings) {
 	g.peers.setSeeds(settings.Seeds)
 	klog.InfoS("Settings reloaded", "seeds", settings.Seeds)
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -13,10 +13,10 @@
 	"github.com/jayproxy/jayproxy/internal/upstream"
 )
 
-// identity of the request across its caller's attempts.
+// identity returns what identifies the request across its caller's attempts.
 func (j *job) identity() quarantine.Identity {
 	identity := quarantine.Identity{
-		Host: j.caller.Host, Method: j.message.Method, Target: j.message.Target, Body: j.message.Body,
+		Host: j.inbound.Host, Method: j.outbound.Method, Target: j.outbound.Target, Body: j.outbound.Body,
 	}
 	if j.workspace != nil {
 		identity.Caller = j.workspace.Name
@@ -26,53 +26,57 @@
 
 func (j *job) fingerprint() quarantine.Fingerprint { return j.hashes.Fingerprint() }
 
-// fingerprintOf a send that may have run, for logs; empty for others.
-func (j *job) fingerprintOf(outcome result) string {
+// fingerprintOf returns the fingerprint for the log of a send that may have
+// run; empty for others.
+func (j *job) fingerprintOf(outcome sendOutcome) string {
 	if outcome == notSent {
 		return ""
 	}
 	return j.fingerprint().String()
 }
 
-// suspected tells whether anything is known of the request.
-func (j *job) suspected() bool {
-	return j.gateway.state.suspects.mayKnow(&j.hashes)
+// isSuspect reports whether crashes or interrupted runs of the request may be
+// recorded.
+func (j *job) isSuspect() bool {
+	return j.gateway.state.suspects.mayBeSuspect(&j.hashes)
 }
 
-// isHeld tells whether the request must not be sent, and when its caller may
-// come back. A trial that is due is claimed first.
-func (j *job) isHeld() (retryAfter time.Duration, held bool) {
-	if j.trial > 0 || !j.suspected() {
+// checkQuarantine reports whether the request must not be sent, and when its
+// caller may retry. It first claims a trial that is due.
+func (j *job) checkQuarantine() (retryAfter time.Duration, quarantined bool) {
+	if j.trial > 0 || !j.isSuspect() {
 		return 0, false
 	}
 	g := j.gateway
-	v := g.state.suspects.verdict(time.Now(), j.fingerprint())
-	if v.Trial > 0 && g.claimTrial(j.ctx, j.fingerprint(), v.Trial) {
-		j.trial = v.Trial
+	verdict := g.state.suspects.verdict(time.Now(), j.fingerprint())
+	if verdict.Trial > 0 && g.claimTrial(j.ctx, j.fingerprint(), verdict.Trial) {
+		j.trial = verdict.Trial
 		return 0, false
 	}
-	return v.RetryAfter, v.Held
+	return verdict.RetryAfter, verdict.Held
 }
 
-// turnBack answers a request that is held.
-func (j *job) turnBack(after time.Duration) {
-	j.gateway.metrics.Count("held_back", j.class(), 1)
-	klog.InfoS("Request held back", "request", j.head.ID, "fingerprint", j.fingerprint().String(), "retryAfterMS", after.Milliseconds(), "ranOn", j.ranOn)
-	const why = "held: servers crashed under it"
-	if j.ranOn > 0 {
-		j.giveUp(why)
+// respondQuarantined ends a quarantined request.
+func (j *job) respondQuarantined(retryAfter time.Duration) {
+	j.gateway.metrics.Count("held_back", j.routeLabel(), 1)
+	klog.InfoS("Request held back", "request", j.head.ID, "fingerprint", j.fingerprint().String(), "retryAfterMS", retryAfter.Milliseconds(), "ranOn", j.indeterminateSends)
+	const reason = "held: servers crashed under it"
+	if j.indeterminateSends > 0 {
+		j.giveUp(reason)
 		return
 	}
-	j.refuse(why, after)
+	j.respondUnavailable(reason, retryAfter)
 }
 
-// apartKey is what keeps a suspected request from others; 0: it is none. It
-// changes with each crash, so that two that met once part. By their prefix they
-// would all go to its home, and no crash could tell which is at fault.
-func (j *job) apartKey() uint64 {
-	crashes := len(j.brokeEarly)
-	if j.suspected() {
-		crashes += j.gateway.state.suspects.strikes(j.fingerprint())
+// separationKey returns the key that keeps a suspect request apart from other
+// suspects; 0: it is none. The key changes with each crash, so that two
+// suspects that met at a server are separated. By their prefix they would all
+// go to the same preferred server, and a crash could not be attributed to one
+// of them.
+func (j *job) separationKey() uint64 {
+	crashes := len(j.interruptedEarly)
+	if j.isSuspect() {
+		crashes += j.gateway.state.suspects.crashCount(j.fingerprint())
 	}
 	if crashes == 0 {
 		return 0
@@ -81,21 +85,22 @@
 	return routing.Rendezvous(binary.BigEndian.Uint64(f[len(f)-8:]), uint64(crashes)) | 1 //nolint:gosec // positive
 }
 
-// suspectsAllowRepeat tells whether a run that broke off may be repeated as far
-// as its server's end is concerned.
-func (j *job) suspectsAllowRepeat() bool {
+// crashesAllowRepeat reports whether an interrupted run may be repeated, as far
+// as possible crashes of its servers are concerned.
+func (j *job) crashesAllowRepeat() bool {
 	if j.trial > 0 {
 		return false
 	}
-	if len(j.brokeEarly) == 0 {
+	if len(j.interruptedEarly) == 0 {
 		return true
 	}
-	return j.gateway.state.suspects.mayRepeat(j.fingerprint(), j.brokeEarly)
+	return j.gateway.state.suspects.mayRepeat(j.fingerprint(), j.interruptedEarly)
 }
 
-// noteEarlyEnd takes in that a run ended with its connection. Where it had just
-// begun, the server is asked whether it still listens.
-func (j *job) noteEarlyEnd(choice *routing.DirectChoice) {
+// recordEarlyInterruption records a run that ended with its connection. If that
+// was before or soon after its first event, the server is probed to find out
+// whether it still listens.
+func (j *job) recordEarlyInterruption(choice *routing.DirectChoice) {
 	now := time.Now()
 	if !quarantine.JustBegun(now, j.firstEventAt) {
 		return
@@ -104,14 +109,15 @@
 	if g.state.isDraining(server.ID) {
 		return
 	}
-	j.brokeEarly = append(j.brokeEarly, server.ID)
-	g.state.suspects.broke(now, quarantine.Strike{Request: j.fingerprint(), Server: server.ID})
-	if g.state.suspects.mayAsk(server.ID) {
-		g.spawn(func() { g.askListens(server.ID, server.Address) })
+	j.interruptedEarly = append(j.interruptedEarly, server.ID)
+	g.state.suspects.runInterrupted(now, quarantine.Strike{Request: j.fingerprint(), Server: server.ID})
+	if g.state.suspects.beginProbe(server.ID) {
+		g.spawn(func() { g.probeServer(server.ID, server.Address) })
 	}
 }
 
-// isDraining tells whether a server is listed as leaving: its end is planned.
+// isDraining reports whether a server is listed as draining, so that its end is
+// planned.
 func (s *state) isDraining(server string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,26 +125,28 @@
 	return b != nil && b.Draining
 }
 
-// askListens finds out whether a server's process has ended. Waiting for the next
-// request that is sent there would let the caller's next attempt go first.
-func (g *Gateway) askListens(server, address string) {
-	ctx, cancel := context.WithTimeout(context.Background(), connectTime)
+// probeServer finds out whether a server's process has ended. If that were left
+// to the next request sent there, the caller's next attempt could be sent
+// before the crash is known.
+func (g *Gateway) probeServer(server, address string) {
+	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
-	err := g.pool.Probe(ctx, address, keepUnsaid)
+	err := g.pool.Probe(ctx, address, defaultKeepAlive)
 	now := time.Now()
-	g.state.suspects.answered(now, server, err == nil)
+	g.state.suspects.endProbe(now, server, err == nil)
 	if errors.Is(err, upstream.ErrNoListener) {
 		g.state.sendFailed(now, server, err)
 	}
 }
 
-// settle takes in how the request ended, for what is believed of it.
-func (j *job) settle() {
+// settleSuspect clears the records of a request that completed, and releases a
+// trial that did not run.
+func (j *job) settleSuspect() {
 	s := j.gateway.state.suspects
 	switch {
-	case j.whole && j.suspected():
+	case j.complete && j.isSuspect():
 		s.clear(j.fingerprint(), "ran whole")
-	case j.trial > 0 && !j.reached:
-		s.released(j.fingerprint(), j.trial)
+	case j.trial > 0 && !j.mayHaveStarted:
+		s.trialReleased(j.fingerprint(), j.trial)
 	}
 }
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -16,82 +16,90 @@
 )
 
 const (
-	// askTime is how long an owner's answer is waited for: some round trips
-	// between data centres, and a process that waits for its processor. Then the
-	// entry decides alone: late knowledge is worth less than the caller's time.
-	askTime = 40 * time.Millisecond
-	// reaskPause between two questions for a request that waits for memory, which
-	// becomes free with the end of requests that take hundreds of milliseconds.
-	reaskPause = 100 * time.Millisecond
+	// ownerTimeout bounds the wait for an owner's offer: some round trips between
+	// data centres and scheduling delays. After it the entry chooses a server
+	// itself, since a late offer is worth less than the caller's time.
+	ownerTimeout = 40 * time.Millisecond
+	// ownerRetryInterval is the pause between two placement requests for a request
+	// that waits for memory, which is freed when requests of some hundreds of
+	// milliseconds end.
+	ownerRetryInterval = 100 * time.Millisecond
 )
 
-// sharded tells whether owners are asked. A few entries tell each other all that
-// they do; from some number on that no longer fits what words may take, and each
-// would decide by a small part of what goes on.
+// sharded reports whether owners are asked for servers. A few entries send each
+// other all their placements. With more entries these updates exceed their
+// bandwidth limit, and each entry would decide by a small part of all
+// placements.
 func (g *Gateway) sharded() bool {
 	return g.peers.count() > tellAllAtMost && g.datagrams.conn != nil
 }
 
-// deciders is how many entries decide by what they know of all servers.
-func (g *Gateway) deciders() int {
+// decidingEntries is the number of entries that place requests by their own
+// view of all servers.
+func (g *Gateway) decidingEntries() int {
 	if g.sharded() {
 		return g.peers.strong()
 	}
 	return g.peers.count()
 }
 
-// decides tells whether this entry is one of them.
-func (g *Gateway) decides() bool {
+// isDeciding reports whether this entry places requests by its own view of all
+// servers.
+func (g *Gateway) isDeciding() bool {
 	return !g.sharded() || g.peers.isStrong()
 }
 
-// offered is a server that an owner offered, and counts our request at.
-type offered struct {
+// ownerOffer is a server that an owner offered. The owner counts the request
+// there.
+type ownerOffer struct {
 	owner shard.Entry
 	*jayv1.PlacementOffer
 }
 
-// placing asks owners where to send requests.
-type placing struct {
+// placementClient asks owners for servers to send requests to.
+type placementClient struct {
 	gateway *Gateway
 	mu      sync.Mutex
-	// open questions by key; each channel has room for its one answer.
-	open map[uint64]chan *jayv1.PlacementOffer
+	// pending holds a channel for each unanswered placement request, by its key;
+	// each has room for the one answer.
+	pending map[uint64]chan *jayv1.PlacementOffer
 }
 
-func newPlacing(g *Gateway) *placing {
-	return &placing{gateway: g, open: map[uint64]chan *jayv1.PlacementOffer{}}
+func newPlacementClient(g *Gateway) *placementClient {
+	return &placementClient{gateway: g, pending: map[uint64]chan *jayv1.PlacementOffer{}}
 }
 
-// ask asks one owner; nil when it does not answer in time.
-func (p *placing) ask(ctx context.Context, owner shard.Entry, question *jayv1.PlacementAsk) *jayv1.PlacementOffer {
+// askOwner asks one owner for a server. It returns nil if no answer arrives in
+// time.
+func (p *placementClient) askOwner(ctx context.Context, owner shard.Entry, ask *jayv1.PlacementAsk) *jayv1.PlacementOffer {
 	g := p.gateway
 	if owner.Name == g.settings.Node {
-		return g.state.offer(time.Now(), question)
+		return g.state.offer(time.Now(), ask)
 	}
-	begun := time.Now()
+	started := time.Now()
 	answer := make(chan *jayv1.PlacementOffer, 1)
 	p.mu.Lock()
-	p.open[question.GetKey()] = answer
+	p.pending[ask.GetKey()] = answer
 	p.mu.Unlock()
-	err := g.datagrams.send(g.datagrams.addressOf(owner.Address), &jayv1.Datagram{Body: &jayv1.Datagram_Ask{Ask: question}})
+	err := g.datagrams.send(g.datagrams.addressOf(owner.Address), &jayv1.Datagram{Body: &jayv1.Datagram_Ask{Ask: ask}})
 	if err != nil {
-		klog.V(1).InfoS("Owner not asked", "owner", owner.Name, "err", err)
+		klog.V(1).InfoS("Placement request not sent to owner", "owner", owner.Name, "err", err)
 	}
-	offer := p.await(ctx, question.GetKey(), answer)
+	offer := p.awaitOffer(ctx, ask.GetKey(), answer)
 	now := time.Now()
 	switch {
 	case offer != nil:
-		g.metrics.Time("placement", "answered", now.Sub(begun))
+		g.metrics.Time("placement", "answered", now.Sub(started))
 		g.state.ownerAnswered(owner.Name)
 	case ctx.Err() == nil:
 		g.metrics.Count("placement_unanswered", owner.Name, 1)
-		g.state.ownerMissed(now, owner.Name)
+		g.state.ownerTimedOut(now, owner.Name)
 	}
 	return offer
 }
 
-// addressOf a listed server; empty when it is not listed.
+// addressOf returns the address of the listed server with this name hash;
+// empty: none is listed.
 func (s *state) addressOf(server uint32) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,9 +109,10 @@
 	return ""
 }
 
-// await waits for an owner's answer; nil: there is none in time.
-func (p *placing) await(ctx context.Context, key uint64, answer chan *jayv1.PlacementOffer) *jayv1.PlacementOffer {
-	timer := time.NewTimer(askTime)
+// awaitOffer waits for an owner's answer. It returns nil if none arrives in
+// time.
+func (p *placementClient) awaitOffer(ctx context.Context, key uint64, answer chan *jayv1.PlacementOffer) *jayv1.PlacementOffer {
+	timer := time.NewTimer(ownerTimeout)
 	defer timer.Stop()
 	select {
 	case offer := <-answer:
@@ -113,7 +122,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.open, key)
+	delete(p.pending, key)
 	select {
 	case offer := <-answer:
 		return offer
@@ -122,12 +131,13 @@
 	}
 }
 
-// answered takes in an owner's answer. One that comes too late is given back, so
-// that the owner does not count a request that went elsewhere.
-func (p *placing) answered(offer *jayv1.PlacementOffer, from *net.UDPAddr) {
+// receiveOffer delivers an owner's answer to the request that waits for it. An
+// offer that arrives too late is released, so that the owner does not count a
+// request that went elsewhere.
+func (p *placementClient) receiveOffer(offer *jayv1.PlacementOffer, from *net.UDPAddr) {
 	p.mu.Lock()
-	answer, ok := p.open[offer.GetKey()]
-	delete(p.open, offer.GetKey())
+	answer, ok := p.pending[offer.GetKey()]
+	delete(p.pending, offer.GetKey())
 	if ok {
 		answer <- offer
 	}
@@ -136,53 +146,55 @@
 		return
 	}
 	p.gateway.metrics.Count("placement_late", "given back", 1)
-	p.gateway.datagrams.tell(from, progressWord(&jayv1.PlacementProgress{Key: offer.GetKey(), Ended: true}))
+	p.gateway.datagrams.tell(from, progressDatagram(&jayv1.PlacementProgress{Key: offer.GetKey(), Ended: true}))
 }
 
-func progressWord(p *jayv1.PlacementProgress) *jayv1.Datagram {
+func progressDatagram(p *jayv1.PlacementProgress) *jayv1.Datagram {
 	return &jayv1.Datagram{Body: &jayv1.Datagram_Progress{Progress: p}}
 }
 
-// report tells the owner of an offer how the request goes on.
-func (p *placing) report(owner shard.Entry, progress *jayv1.PlacementProgress) {
+// sendProgress reports the progress of an offered request to its owner.
+func (p *placementClient) sendProgress(owner shard.Entry, progress *jayv1.PlacementProgress) {
 	g := p.gateway
 	if owner.Name != g.settings.Node {
-		g.datagrams.tell(g.datagrams.addressOf(owner.Address), progressWord(progress))
+		g.datagrams.tell(g.datagrams.addressOf(owner.Address), progressDatagram(progress))
 		return
 	}
-	// Evidence on the server is known here already.
+	// Evidence about the server is left out: this entry has recorded it already.
 	g.state.progress(time.Now(), &jayv1.PlacementProgress{
 		Key: progress.GetKey(), First: progress.GetFirst(), Ended: progress.GetEnded(), Elsewhere: progress.GetElsewhere(),
 		HasLoad: progress.GetHasLoad(), Running: progress.GetRunning(), Waiting: progress.GetWaiting(),
 	})
 }
 
-// giveBack tells an owner that its offer is not used. instead is the offer that
-// is; nil: none.
-func (p *placing) giveBack(one, instead *offered) {
-	if one == nil {
+// releaseOffer notifies an owner that its offer is not used. replacement is the
+// offer used instead; nil: none.
+func (p *placementClient) releaseOffer(unused, replacement *ownerOffer) {
+	if unused == nil {
 		return
 	}
-	progress := &jayv1.PlacementProgress{Key: one.GetKey(), Ended: true}
-	if instead != nil && instead.GetVersion() == one.GetVersion() {
-		progress.Elsewhere = p.heldBy(instead)
+	progress := &jayv1.PlacementProgress{Key: unused.GetKey(), Ended: true}
+	if replacement != nil && replacement.GetVersion() == unused.GetVersion() {
+		progress.Elsewhere = p.futureHolder(replacement)
 	}
-	p.report(one.owner, progress)
+	p.sendProgress(unused.owner, progress)
 }
 
-// heldBy an offered server from when it has read the prefix.
-func (p *placing) heldBy(one *offered) *jayv1.Held {
+// futureHolder describes the offered server as holder of the prefix, with the
+// time until it will have read it.
+func (p *placementClient) futureHolder(offer *ownerOffer) *jayv1.Held {
 	return &jayv1.Held{
-		Address: p.gateway.state.addressOf(one.GetServer()), Version: one.GetVersion(),
-		ReadyMs: one.GetQueueMs() + one.GetMemoryMs() + one.GetReadMs(),
+		Address: p.gateway.state.addressOf(offer.GetServer()), Version: offer.GetVersion(),
+		ReadyMs: offer.GetQueueMs() + offer.GetMemoryMs() + offer.GetReadMs(),
 	}
 }
 
-// holderOf the prefix by an offer, for the next owner that is asked.
-func (p *placing) holderOf(one *offered) *jayv1.Held {
+// prefixHolder returns the server that holds the prefix according to an offer,
+// for the next owner asked; nil: none is known.
+func (p *placementClient) prefixHolder(received *ownerOffer) *jayv1.Held {
 	offer := routing.Offer{
-		Server:    routing.DirectServer{Address: p.gateway.state.addressOf(one.GetServer()), Version: one.GetVersion()},
-		FetchFrom: one.GetFetchFrom(), Source: routing.SourceOfCode(one.GetSource()),
+		Server:    routing.DirectServer{Address: p.gateway.state.addressOf(received.GetServer()), Version: received.GetVersion()},
+		FetchFrom: received.GetFetchFrom(), Source: routing.SourceOfCode(received.GetSource()),
 	}
 	holding, ok := offer.Holder()
 	if !ok || holding.Address == "" {
@@ -191,28 +203,30 @@
 	return &jayv1.Held{Address: holding.Address, Version: holding.Version}
 }
 
-// errNoOffer tells that no owner offered a server: the entry decides alone.
+// errNoOffer means that no owner offered a server: the entry chooses one
+// itself.
 var errNoOffer = errors.New("no owner offered a server")
 
 // bestOffer asks the owners in turn until one offers a server with a short
-// queue, and returns the best. routing.ErrNoRoom when all that answered have no
-// memory free, errNoOffer when there is nothing to compare.
-func (j *job) bestOffer(mayWait bool) (*offered, error) {
-	p := j.gateway.placing
-	question, owners := j.question(mayWait)
+// queue, and returns the best offer. Without an offer it returns
+// routing.ErrNoRoom if an owner answered that no memory is free, else
+// errNoOffer.
+func (j *job) bestOffer(mayWait bool) (*ownerOffer, error) {
+	p := j.gateway.placements
+	ask, owners := j.buildAsk(mayWait)
 	err := errNoOffer
-	var best *offered
+	var best *ownerOffer
 	for _, owner := range owners {
-		question.Key = rand.Uint64() //nolint:gosec // told apart, not secret
-		offer := p.ask(j.ctx, owner, question)
+		ask.Key = rand.Uint64() //nolint:gosec // unique, not secret
+		offer := p.askOwner(j.ctx, owner, ask)
 		switch offer.GetOutcome() {
 		case jayv1.PlacementOffer_OUTCOME_SERVER:
-			one := &offered{owner: owner, PlacementOffer: offer}
-			if best == nil || one.GetTotalMs() < best.GetTotalMs() {
-				best, one = one, best
+			candidate := &ownerOffer{owner: owner, PlacementOffer: offer}
+			if best == nil || candidate.GetTotalMs() < best.GetTotalMs() {
+				best, candidate = candidate, best
 			}
-			p.giveBack(one, best)
-			question.Held = p.holderOf(best)
+			p.releaseOffer(candidate, best)
+			ask.Held = p.prefixHolder(best)
 		case jayv1.PlacementOffer_OUTCOME_NO_ROOM:
 			err = routing.ErrNoRoom
 		}
@@ -226,13 +240,13 @@
 	return best, nil
 }
 
-// question is what the owners need to know of the request, and who they are.
-func (j *job) question(mayWait bool) (*jayv1.PlacementAsk, []shard.Entry) {
+// buildAsk returns the placement request and the owners to send it to.
+func (j *job) buildAsk(mayWait bool) (*jayv1.PlacementAsk, []shard.Entry) {
 	s := j.gateway.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	request := j.routed(s)
+	request := j.routingRequest(s)
 	ask := &jayv1.PlacementAsk{
 		Service: j.service.Name, Model: j.modelName(), MayWait: mayWait, DataCentre: s.settings.DataCentre,
 		LeftMs: uint32(max(0, j.deadline.Sub(now)).Milliseconds()), //nolint:gosec // positive
@@ -255,41 +269,42 @@
 	return ask, s.divisionLocked(now, j.service.Name).Asked(request.HomeKey(s.book.Newest(ask.Model)))
 }
 
-// accept sends the request where it was offered, and counts it there. False: by
-// what this entry knows of the server it can't.
-func (j *job) accept(now time.Time, one *offered) (routing.DirectChoice, bool) {
+// acceptOffer places the request at the offered server and counts it there. It
+// returns false if the server can't be used according to this entry's view.
+func (j *job) acceptOffer(now time.Time, offer *ownerOffer) (routing.DirectChoice, bool) {
 	s := j.gateway.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return j.acceptLocked(now, one)
+	return j.acceptOfferLocked(now, offer)
 }
 
-func (j *job) acceptLocked(now time.Time, one *offered) (routing.DirectChoice, bool) {
+func (j *job) acceptOfferLocked(now time.Time, offer *ownerOffer) (routing.DirectChoice, bool) {
 	s := j.gateway.state
-	b := s.list.ByHash(nameHash)[one.GetServer()]
+	b := s.list.ByHash(nameHash)[offer.GetServer()]
 	if b == nil || b.Service != j.service.Name || !s.mayServe(now, b) || !s.members.Usable(b.ID) {
 		return routing.DirectChoice{}, false
 	}
 	model := j.modelName()
 	if model != "" {
-		s.sawVersionLocked(b.ID, model, one.GetVersion(), "owner")
+		s.sawVersionLocked(b.ID, model, offer.GetVersion(), "owner")
 	}
 	server := s.serverLocked(now, j.service, model, b)
 	if j.isFull(&server) || server.VersionAge > s.settings.VersionBound-versionMargin {
 		return routing.DirectChoice{}, false
 	}
-	request := j.routed(s)
+	request := j.routingRequest(s)
 	choice := s.router.Adopt(now, &request, &routing.Offer{
-		Server: server, FetchFrom: one.GetFetchFrom(), SaveTo: one.GetSaveTo(), Source: routing.SourceOfCode(one.GetSource()),
-		QueueMS: float64(one.GetQueueMs()), MemoryMS: float64(one.GetMemoryMs()), ReadMS: float64(one.GetReadMs()),
+		Server: server, FetchFrom: offer.GetFetchFrom(), SaveTo: offer.GetSaveTo(), Source: routing.SourceOfCode(offer.GetSource()),
+		QueueMS: float64(offer.GetQueueMs()), MemoryMS: float64(offer.GetMemoryMs()), ReadMS: float64(offer.GetReadMs()),
 	})
-	j.offer = one
+	j.offer = offer
 	return choice, true
 }
 
-// placeShared lets the owners of the prefix's shards choose; the entry decides
-// alone where they don't answer, or offer what it can't use.
-func (j *job) placeShared(mayWait bool) (routing.DirectChoice, error) {
+// placeByOwners lets the owners of the prefix's shards choose a server. The
+// entry chooses one itself if they do not answer, or offer one that it can't
+// use.
+func (j *job) placeByOwners(mayWait bool) (routing.DirectChoice, error) {
 	if !j.gateway.sharded() {
 		return j.place(mayWait)
 	}
@@ -298,25 +313,25 @@
 		return routing.DirectChoice{}, err
 	}
 	if err == nil {
-		if choice, ok := j.accept(time.Now(), best); ok {
+		if choice, ok := j.acceptOffer(time.Now(), best); ok {
 			return choice, nil
 		}
-		j.gateway.placing.giveBack(best, nil)
+		j.gateway.placements.releaseOffer(best, nil)
 	}
-	j.gateway.metrics.Count("placed_alone", j.class(), 1)
+	j.gateway.metrics.Count("placed_alone", j.routeLabel(), 1)
 	return j.place(mayWait)
 }
 
-// tellOwner reports on the request to the owner that offered its server, if any.
-func (j *job) tellOwner(progress *jayv1.PlacementProgress) {
+// notifyOwner reports progress to the owner that offered the server, if any.
+func (j *job) notifyOwner(progress *jayv1.PlacementProgress) {
 	if j.offer == nil {
 		return
 	}
 	progress.Key = j.offer.GetKey()
-	j.gateway.placing.report(j.offer.owner, progress)
+	j.gateway.placements.sendProgress(j.offer.owner, progress)
 }
 
-// ownerName is who chose the server; empty: this entry.
+// ownerName is the owner that chose the server; empty: this entry chose it.
 func (j *job) ownerName() string {
 	if j.offer == nil {
 		return ""
@@ -324,8 +339,8 @@
 	return j.offer.owner.Name
 }
 
-// ownerMissed takes in that an owner did not answer in time.
-func (s *state) ownerMissed(now time.Time, name string) {
+// ownerTimedOut records that an owner did not answer in time.
+func (s *state) ownerTimedOut(now time.Time, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.shards.Missed(now, name) {
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -11,210 +11,221 @@
 	"github.com/jayproxy/jayproxy/internal/quarantine"
 )
 
-// suspects is what an entry believes of requests under which servers crashed,
-// and what of it others are still to be told. It does no I/O. Its lock may be
-// taken while the state's is held, never the other way round.
+// suspects holds an entry's records of requests under which servers crashed,
+// and which of them are still to be sent to other entries and to the store. It
+// does no I/O. Its lock may be taken while the state's is held, never the other
+// way round.
 type suspects struct {
-	// known counts the requests in the book and the runs that wait for a proof:
-	// while it is 0 no request is hashed.
-	known atomic.Int64
-	// wake tells that there is something to spread.
-	wake chan struct{}
-
-	mu     sync.Mutex
-	book   *quarantine.Book
-	breaks *quarantine.Breaks
-	// asked are the lifetimes that are being asked whether they listen.
-	asked map[string]bool
-	// untold strikes and cleared requests, for datagrams.
-	untold        []quarantine.Strike
-	untoldCleared []quarantine.Fingerprint
-	// unwritten rows by their keys; false: to be removed.
-	unwritten map[string]bool
+	// tracked counts the suspect requests and the interrupted runs whose servers
+	// are not known to have crashed or survived. While it is 0 no request is
+	// hashed.
+	tracked atomic.Int64
+	// publish signals that there is something to send or to write.
+	publish chan struct{}
+
+	mu            sync.Mutex
+	book          *quarantine.Book
+	interruptions *quarantine.Breaks
+	// probing holds the server incarnations that are being probed.
+	probing map[string]bool
+	// unsent holds crashes, unsentCleared cleared requests that are still to be sent
+	// in datagrams.
+	unsent        []quarantine.Strike
+	unsentCleared []quarantine.Fingerprint
+	// unwrittenRows holds the keys of rows that are still to be written to the store
+	// (true) or deleted there (false).
+	unwrittenRows map[string]bool
 }
 
-// maxUnwritten rows wait for the store. Others count only with those who were told.
-const maxUnwritten = 4096
+// maxUnwrittenRows bounds the rows that wait for the store. Records beyond it
+// exist only at the entries that received their datagrams.
+const maxUnwrittenRows = 4096
 
 func newSuspects() *suspects {
 	return &suspects{
-		book: quarantine.NewBook(quarantine.DefaultSettings()), breaks: quarantine.NewBreaks(),
-		asked: map[string]bool{}, unwritten: map[string]bool{}, wake: make(chan struct{}, 1),
+		book: quarantine.NewBook(quarantine.DefaultSettings()), interruptions: quarantine.NewBreaks(),
+		probing: map[string]bool{}, unwrittenRows: map[string]bool{}, publish: make(chan struct{}, 1),
 	}
 }
 
-// broke takes in that a run broke off early.
-func (s *suspects) broke(now time.Time, run quarantine.Strike) {
+// runInterrupted records a run that was interrupted early.
+func (s *suspects) runInterrupted(now time.Time, run quarantine.Strike) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.breaks.Broke(now, run) {
-		s.struckLocked(now, []quarantine.Strike{run})
+	if s.interruptions.Broke(now, run) {
+		s.recordOwnCrashesLocked(now, []quarantine.Strike{run})
 	}
-	s.countLocked()
+	s.updateTrackedLocked()
 }
 
-func (s *suspects) countLocked() { s.known.Store(int64(s.book.Len() + s.breaks.Len())) }
+func (s *suspects) updateTrackedLocked() {
+	s.tracked.Store(int64(s.book.Len() + s.interruptions.Len()))
+}
 
-// crashed takes in the proof that a lifetime of a server crashed.
-func (s *suspects) crashed(now time.Time, server string) {
+// serverCrashed records that an incarnation of a server is proven to have
+// crashed.
+func (s *suspects) serverCrashed(now time.Time, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.struckLocked(now, s.breaks.Crashed(now, server))
-	s.countLocked()
+	s.recordOwnCrashesLocked(now, s.interruptions.Crashed(now, server))
+	s.updateTrackedLocked()
 }
 
-// left takes in that a lifetime ended as planned.
-func (s *suspects) left(server string) {
+// serverEnded records that an incarnation of a server ended as planned.
+func (s *suspects) serverEnded(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.breaks.Left(server)
-	s.countLocked()
+	s.interruptions.Left(server)
+	s.updateTrackedLocked()
 }
 
-// mayAsk tells whether a server is to be asked if it listens; nobody else here
-// does so at the moment. answered ends that.
-func (s *suspects) mayAsk(server string) bool {
+// beginProbe reports whether to probe a server; false if another goroutine is
+// doing so. endProbe records the result and allows the next probe.
+func (s *suspects) beginProbe(server string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.asked[server] {
+	if s.probing[server] {
 		return false
 	}
-	s.asked[server] = true
+	s.probing[server] = true
 	return true
 }
 
-func (s *suspects) answered(now time.Time, server string, alive bool) {
+func (s *suspects) endProbe(now time.Time, server string, alive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.asked, server)
+	delete(s.probing, server)
 	if alive {
-		s.breaks.Alive(now, server)
+		s.interruptions.Alive(now, server)
 	}
 }
 
-// struckLocked takes in strikes that this entry saw.
-func (s *suspects) struckLocked(now time.Time, strikes []quarantine.Strike) {
-	if len(strikes) == 0 {
+// recordOwnCrashesLocked adds crashes that this entry observed.
+func (s *suspects) recordOwnCrashesLocked(now time.Time, crashes []quarantine.Strike) {
+	if len(crashes) == 0 {
 		return
 	}
-	s.addLocked(now, strikes, "own")
-	for _, strike := range strikes {
-		s.untold = append(s.untold, strike)
-		s.writeLocked(strikeKey(strike), true)
+	s.addCrashesLocked(now, crashes, "own")
+	for _, crash := range crashes {
+		s.unsent = append(s.unsent, crash)
+		s.queueRowLocked(crashKey(crash), true)
 	}
-	s.wakeUp()
+	s.signalPublish()
 }
 
-// addLocked takes in strikes from any source. Most come from several.
-func (s *suspects) addLocked(now time.Time, strikes []quarantine.Strike, source string) {
-	strikes = slices.DeleteFunc(slices.Clone(strikes), s.book.Knows)
-	held := s.book.Add(now, strikes)
-	s.countLocked()
-	for _, strike := range strikes {
-		klog.InfoS("Server crashed under request", "fingerprint", strike.Request.String(), "server", strike.Server, "source", source)
+// addCrashesLocked adds crashes from any source. Most arrive from several
+// sources and are added once.
+func (s *suspects) addCrashesLocked(now time.Time, crashes []quarantine.Strike, source string) {
+	crashes = slices.DeleteFunc(slices.Clone(crashes), s.book.Knows)
+	quarantined := s.book.Add(now, crashes)
+	s.updateTrackedLocked()
+	for _, crash := range crashes {
+		klog.InfoS("Server crashed under request", "fingerprint", crash.Request.String(), "server", crash.Server, "source", source)
 	}
-	for _, f := range held {
+	for _, f := range quarantined {
 		v := s.book.Verdict(now, f)
 		klog.InfoS("Request held", "fingerprint", f.String(), "source", source, "trial", v.Trial, "retryAfterMS", v.RetryAfter.Milliseconds())
 	}
 }
 
-// heard takes in the words of another entry.
-func (s *suspects) heard(now time.Time, strikes []quarantine.Strike, cleared []quarantine.Fingerprint, source string) {
+// receive adds the records of another entry's update.
+func (s *suspects) receive(now time.Time, crashes []quarantine.Strike, cleared []quarantine.Fingerprint, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.addLocked(now, strikes, source)
+	s.addCrashesLocked(now, crashes, source)
 	for _, f := range cleared {
 		s.clearLocked(f, source)
 	}
 }
 
-// rowPut and rowGone take in rows of the store.
+// rowPut and rowRemoved apply changed rows of the store.
 func (s *suspects) rowPut(now time.Time, row suspectRow, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if row.trial > 0 {
-		s.book.Tried(now, row.strike.Request, row.trial)
-		s.countLocked()
+		s.book.Tried(now, row.crash.Request, row.trial)
+		s.updateTrackedLocked()
 		return
 	}
-	s.addLocked(now, []quarantine.Strike{row.strike}, source)
+	s.addCrashesLocked(now, []quarantine.Strike{row.crash}, source)
 }
 
-func (s *suspects) rowGone(row suspectRow) {
+func (s *suspects) rowRemoved(row suspectRow) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if row.trial > 0 {
-		s.book.TrialReleased(row.strike.Request, row.trial)
+		s.book.TrialReleased(row.crash.Request, row.trial)
 	} else {
-		s.book.Remove(time.Now(), row.strike)
+		s.book.Remove(time.Now(), row.crash)
 	}
-	s.countLocked()
+	s.updateTrackedLocked()
 }
 
-// clear forgets a request everywhere: it ran whole, or an operator frees it.
-// False: nothing was known of it.
-func (s *suspects) clear(f quarantine.Fingerprint, why string) bool {
+// clear deletes all records of a request, here, at other entries and in the
+// store: it completed, or an operator clears it. It returns false if there were
+// none.
+func (s *suspects) clear(f quarantine.Fingerprint, reason string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	request, ok := s.clearLocked(f, why)
+	request, ok := s.clearLocked(f, reason)
 	if !ok {
 		return false
 	}
 	s.removeRowsLocked(request)
-	s.untoldCleared = append(s.untoldCleared, f)
-	s.wakeUp()
+	s.unsentCleared = append(s.unsentCleared, f)
+	s.signalPublish()
 	return true
 }
 
-func (s *suspects) clearLocked(f quarantine.Fingerprint, why string) (quarantine.Request, bool) {
-	s.breaks.RanWhole(f)
-	defer s.countLocked()
+func (s *suspects) clearLocked(f quarantine.Fingerprint, reason string) (quarantine.Request, bool) {
+	s.interruptions.RanWhole(f)
+	defer s.updateTrackedLocked()
 	request, ok := s.book.Clear(time.Now(), f)
 	if !ok {
 		return request, false
 	}
-	for _, strike := range strikesOf(request) {
-		delete(s.unwritten, strikeKey(strike))
+	for _, crash := range crashesOf(request) {
+		delete(s.unwrittenRows, crashKey(crash))
 	}
-	klog.InfoS("Request cleared", "fingerprint", f.String(), "why", why, "held", request.Held, "servers", request.Servers, "trials", request.Trials)
+	klog.InfoS("Request cleared", "fingerprint", f.String(), "why", reason, "held", request.Held, "servers", request.Servers, "trials", request.Trials)
 	return request, true
 }
 
-// removeRowsLocked has all rows of a request removed from the store.
+// removeRowsLocked queues the deletion of all rows of a request.
 func (s *suspects) removeRowsLocked(request quarantine.Request) {
-	for _, strike := range strikesOf(request) {
-		s.writeLocked(strikeKey(strike), false)
+	for _, crash := range crashesOf(request) {
+		s.queueRowLocked(crashKey(crash), false)
 	}
 	for trial := 1; trial <= request.Trials; trial++ {
-		s.writeLocked(trialKey(request.Fingerprint, trial), false)
+		s.queueRowLocked(trialKey(request.Fingerprint, trial), false)
 	}
 }
 
-func (s *suspects) writeLocked(key string, put bool) {
-	if len(s.unwritten) >= maxUnwritten {
-		klog.InfoS("Row of a suspected request not written: too many wait", "row", key)
+func (s *suspects) queueRowLocked(key string, put bool) {
+	if len(s.unwrittenRows) >= maxUnwrittenRows {
+		klog.InfoS("Row of a suspect request dropped: too many rows wait for the store", "row", key)
 		return
 	}
-	s.unwritten[key] = put
+	s.unwrittenRows[key] = put
 }
 
-func (s *suspects) wakeUp() {
+func (s *suspects) signalPublish() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.publish <- struct{}{}:
 	default:
 	}
 }
 
-// mayKnow tells, without hashing a body, whether something may be known of a request.
-func (s *suspects) mayKnow(hashes *quarantine.Hashes) bool {
-	if s.known.Load() == 0 {
+// mayBeSuspect reports, without hashing a body, whether crashes or interrupted
+// runs of a request may be recorded.
+func (s *suspects) mayBeSuspect(hashes *quarantine.Hashes) bool {
+	if s.tracked.Load() == 0 {
 		return false
 	}
 	head := hashes.Head()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.MayKnow(head) || s.breaks.MayKnow(head)
+	return s.book.MayKnow(head) || s.interruptions.MayKnow(head)
 }
 
 func (s *suspects) verdict(now time.Time, f quarantine.Fingerprint) quarantine.Verdict {
@@ -223,107 +234,111 @@
 	return s.book.Verdict(now, f)
 }
 
-func (s *suspects) strikes(f quarantine.Fingerprint) int {
+func (s *suspects) crashCount(f quarantine.Fingerprint) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Strikes(f)
 }
 
-func (s *suspects) mayRepeat(f quarantine.Fingerprint, broken []string) bool {
+func (s *suspects) mayRepeat(f quarantine.Fingerprint, interruptedAt []string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.MayRepeat(f, broken)
+	return s.book.MayRepeat(f, interruptedAt)
 }
 
-// tried takes in that this entry claimed a trial, released that it did not run.
-func (s *suspects) tried(now time.Time, f quarantine.Fingerprint, trial int) {
+// trialClaimed records that this entry claimed a trial, trialReleased that the
+// trial did not run.
+func (s *suspects) trialClaimed(now time.Time, f quarantine.Fingerprint, trial int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.Tried(now, f, trial)
 }
 
-func (s *suspects) released(f quarantine.Fingerprint, trial int) {
+func (s *suspects) trialReleased(f quarantine.Fingerprint, trial int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.TrialReleased(f, trial)
-	s.writeLocked(trialKey(f, trial), false)
-	s.wakeUp()
+	s.queueRowLocked(trialKey(f, trial), false)
+	s.signalPublish()
 }
 
-// list is for operators; counts for metrics.
+// list returns all suspect requests, for operators; counts returns their
+// numbers, for metrics.
 func (s *suspects) list() []quarantine.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.List()
 }
 
-func (s *suspects) counts() (known, held int) {
+func (s *suspects) counts() (suspects, quarantined int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Len(), s.book.Held()
 }
 
-// tick forgets what is too old. One entry removes its rows for all.
-func (s *suspects) tick(now time.Time, removes bool) {
+// tick deletes expired records. With deleteRows it also deletes their rows,
+// which one entry does for all.
+func (s *suspects) tick(now time.Time, deleteRows bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.breaks.Tick(now)
-	forgotten := s.book.Tick(now)
-	s.countLocked()
-	for _, request := range forgotten {
-		klog.InfoS("Request forgotten", "fingerprint", request.Fingerprint.String(), "held", request.Held, "servers", request.Servers)
-		if removes {
+	s.interruptions.Tick(now)
+	expired := s.book.Tick(now)
+	s.updateTrackedLocked()
+	for _, request := range expired {
+		klog.InfoS("Records of a suspect request expired", "fingerprint", request.Fingerprint.String(), "held", request.Held, "servers", request.Servers)
+		if deleteRows {
 			s.removeRowsLocked(request)
-			s.wakeUp()
+			s.signalPublish()
 		}
 	}
 }
 
-// takeUntold returns what others are still to be told by datagrams. Of more than
-// most strikes only those of requests that have another one are told: the store
-// tells the rest in time.
-func (s *suspects) takeUntold(most int) ([]quarantine.Strike, []quarantine.Fingerprint) {
+// takeUnsent returns what is still to be sent in datagrams. If there are more
+// than limit crashes it returns only those of requests with at least two; the
+// other entries read the rest from the store.
+func (s *suspects) takeUnsent(limit int) ([]quarantine.Strike, []quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	strikes := s.untold
-	if len(strikes) > most {
-		strikes = slices.DeleteFunc(strikes, func(one quarantine.Strike) bool { return s.book.Strikes(one.Request) < 2 })
+	crashes := s.unsent
+	if len(crashes) > limit {
+		crashes = slices.DeleteFunc(crashes, func(crash quarantine.Strike) bool { return s.book.Strikes(crash.Request) < 2 })
 	}
-	cleared := s.untoldCleared
-	s.untold, s.untoldCleared = nil, nil
-	return strikes, cleared
+	cleared := s.unsentCleared
+	s.unsent, s.unsentCleared = nil, nil
+	return crashes, cleared
 }
 
-// takeUnwritten returns some of the rows that wait for the store.
-func (s *suspects) takeUnwritten(most int) map[string]bool {
+// takeUnwritten returns up to limit of the rows that wait for the store.
+func (s *suspects) takeUnwritten(limit int) map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rows := map[string]bool{}
-	for key, put := range s.unwritten {
-		if len(rows) == most {
+	for key, put := range s.unwrittenRows {
+		if len(rows) == limit {
 			break
 		}
 		rows[key] = put
-		delete(s.unwritten, key)
+		delete(s.unwrittenRows, key)
 	}
 	return rows
 }
 
-// giveBack puts rows that were not written back, unless newer words wait.
-func (s *suspects) giveBack(rows map[string]bool) {
+// requeueRows queues rows again that were not written, unless newer values
+// wait.
+func (s *suspects) requeueRows(rows map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, put := range rows {
-		if _, ok := s.unwritten[key]; !ok {
-			s.writeLocked(key, put)
+		if _, ok := s.unwrittenRows[key]; !ok {
+			s.queueRowLocked(key, put)
 		}
 	}
 }
 
-func strikesOf(request quarantine.Request) []quarantine.Strike {
-	strikes := make([]quarantine.Strike, 0, len(request.Servers))
+func crashesOf(request quarantine.Request) []quarantine.Strike {
+	crashes := make([]quarantine.Strike, 0, len(request.Servers))
 	for _, server := range request.Servers {
-		strikes = append(strikes, quarantine.Strike{Request: request.Fingerprint, Server: server})
+		crashes = append(crashes, quarantine.Strike{Request: request.Fingerprint, Server: server})
 	}
-	return strikes
+	return crashes
 }
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -18,12 +18,12 @@
 	"github.com/jayproxy/jayproxy/internal/quarantine"
 )
 
-func suspect(n int) quarantine.Fingerprint {
+func suspectFingerprint(n int) quarantine.Fingerprint {
 	return (&quarantine.Identity{Target: fmt.Sprint("/", n)}).Fingerprint()
 }
 
-// entryOn is an entry that shares a table with others.
-func entryOn(table platform.Table, node string) *Gateway {
+// newTableEntry returns an entry that shares a table with others.
+func newTableEntry(table platform.Table, node string) *Gateway {
 	settings := Settings{Node: node}
 	g := &Gateway{settings: settings, state: newState(settings, func(string) {}), metrics: metrics.New(8), peers: newPeers(settings)}
 	g.datagrams = &datagrams{gateway: g}
@@ -31,16 +31,17 @@
 	return g
 }
 
-// crash takes in that servers crashed while the request began to run there.
-func (g *Gateway) crash(f quarantine.Fingerprint, servers ...string) {
+// simulateCrash records that servers crashed soon after they began to run the
+// request.
+func (g *Gateway) simulateCrash(f quarantine.Fingerprint, servers ...string) {
 	for _, server := range servers {
-		g.state.suspects.broke(time.Now(), quarantine.Strike{Request: f, Server: server})
-		g.state.suspects.crashed(time.Now(), server)
+		g.state.suspects.runInterrupted(time.Now(), quarantine.Strike{Request: f, Server: server})
+		g.state.suspects.serverCrashed(time.Now(), server)
 	}
 }
 
-// read applies all rows of the table, as an entry that starts does.
-func (g *Gateway) read(t *testing.T) {
+// loadSuspects applies all rows of the table, as a starting entry does.
+func (g *Gateway) loadSuspects(t *testing.T) {
 	t.Helper()
 	rows, err := g.ports.Table.Range(t.Context(), suspectPrefix, "", 0)
 	require.NoError(t, err)
@@ -51,24 +52,24 @@
 	g.applySuspects(time.Now(), changed, sourceStore)
 }
 
-// Guards against entries that start anew and send what the others hold.
-func TestAnEntryThatStartsLearnsWhatIsHeldFromTheStore(t *testing.T) {
+// A starting entry must not send requests that the others have quarantined.
+func TestStartingEntryReadsQuarantineFromStore(t *testing.T) {
 	table := platformtest.New()
-	one, two, late := entryOn(table, "gw1"), entryOn(table, "gw2"), entryOn(table, "gw3")
-	one.crash(suspect(1), "a", "b")
-	two.crash(suspect(1), "c")
+	one, two, starting := newTableEntry(table, "gw1"), newTableEntry(table, "gw2"), newTableEntry(table, "gw3")
+	one.simulateCrash(suspectFingerprint(1), "a", "b")
+	two.simulateCrash(suspectFingerprint(1), "c")
 	require.True(t, one.writeSuspects(t.Context()))
 	require.True(t, two.writeSuspects(t.Context()))
-	late.read(t)
-	assert.True(t, late.state.suspects.verdict(time.Now(), suspect(1)).Held)
-	require.True(t, late.state.suspects.clear(suspect(1), "operator"))
-	require.True(t, late.writeSuspects(t.Context()))
-	again := entryOn(table, "gw4")
-	again.read(t)
-	assert.Empty(t, again.state.suspects.list())
+	starting.loadSuspects(t)
+	assert.True(t, starting.state.suspects.verdict(time.Now(), suspectFingerprint(1)).Held)
+	require.True(t, starting.state.suspects.clear(suspectFingerprint(1), "operator"))
+	require.True(t, starting.writeSuspects(t.Context()))
+	restarted := newTableEntry(table, "gw4")
+	restarted.loadSuspects(t)
+	assert.Empty(t, restarted.state.suspects.list())
 }
 
-func TestRowsWaitForTheStore(t *testing.T) {
+func TestSuspectRowsAreWrittenAfterStoreOutage(t *testing.T) {
 	table := platformtest.New()
 	down := true
 	table.OnCommit(func(platform.Txn) platformtest.Fault {
@@ -77,78 +78,79 @@
 		}
 		return platformtest.Pass
 	})
-	g := entryOn(table, "gw1")
-	g.crash(suspect(1), "a", "b", "c")
-	g.crash(suspect(2), "d")
+	g := newTableEntry(table, "gw1")
+	g.simulateCrash(suspectFingerprint(1), "a", "b", "c")
+	g.simulateCrash(suspectFingerprint(2), "d")
 	assert.False(t, g.writeSuspects(t.Context()))
-	g.state.suspects.clear(suspect(2), "ran whole")
+	g.state.suspects.clear(suspectFingerprint(2), "ran whole")
 	down = false
 	assert.True(t, g.writeSuspects(t.Context()))
-	other := entryOn(table, "gw2")
-	other.read(t)
-	assert.Len(t, other.state.suspects.list(), 1, "what was cleared meanwhile is not written")
+	other := newTableEntry(table, "gw2")
+	other.loadSuspects(t)
+	assert.Len(t, other.state.suspects.list(), 1, "records cleared during the outage are not written")
 }
 
-// Guards against a trial of a held request at several entries at once.
-func TestATrialIsClaimedByOneEntry(t *testing.T) {
+// Only one entry may run a trial of a quarantined request.
+func TestTrialIsClaimedByOneEntry(t *testing.T) {
 	table := platformtest.New()
-	one, two := entryOn(table, "gw1"), entryOn(table, "gw2")
-	assert.True(t, one.claimTrial(t.Context(), suspect(1), 1))
-	assert.False(t, two.claimTrial(t.Context(), suspect(1), 1))
-	one.state.suspects.released(suspect(1), 1)
+	one, two := newTableEntry(table, "gw1"), newTableEntry(table, "gw2")
+	assert.True(t, one.claimTrial(t.Context(), suspectFingerprint(1), 1))
+	assert.False(t, two.claimTrial(t.Context(), suspectFingerprint(1), 1))
+	one.state.suspects.trialReleased(suspectFingerprint(1), 1)
 	require.True(t, one.writeSuspects(t.Context()))
-	assert.True(t, two.claimTrial(t.Context(), suspect(1), 1))
+	assert.True(t, two.claimTrial(t.Context(), suspectFingerprint(1), 1))
 	table.OnCommit(func(platform.Txn) platformtest.Fault { return platformtest.Unavailable })
-	assert.False(t, one.claimTrial(t.Context(), suspect(2), 1), "no store, no trial")
+	assert.False(t, one.claimTrial(t.Context(), suspectFingerprint(2), 1), "no trial without the store")
 }
 
-func TestWordsOnStrikesFitTheirDatagrams(t *testing.T) {
-	g := entryOn(platformtest.New(), "gw1")
-	var strikes []quarantine.Strike
+func TestCrashUpdatesFitDatagrams(t *testing.T) {
+	g := newTableEntry(platformtest.New(), "gw1")
+	var crashes []quarantine.Strike
 	var cleared []quarantine.Fingerprint
 	for n := range 45 {
-		strikes = append(strikes, quarantine.Strike{Request: suspect(n), Server: strings.Repeat("s", 24)})
-		cleared = append(cleared, suspect(100+n))
+		crashes = append(crashes, quarantine.Strike{Request: suspectFingerprint(n), Server: strings.Repeat("s", 24)})
+		cleared = append(cleared, suspectFingerprint(100+n))
 	}
-	words := strikeWords(strikes, cleared)
-	assert.Len(t, words, 5)
-	told := 0
-	for _, word := range words {
-		assert.Less(t, len(mustEncode(t, word)), maxDatagram)
-		told += len(word.GetStrikes().GetStrikes()) + len(word.GetStrikes().GetCleared())
-		g.datagrams.take(word, nil)
+	datagrams := crashDatagrams(crashes, cleared)
+	assert.Len(t, datagrams, 5)
+	sent := 0
+	for _, datagram := range datagrams {
+		assert.Less(t, len(mustEncode(t, datagram)), maxDatagram)
+		sent += len(datagram.GetStrikes().GetStrikes()) + len(datagram.GetStrikes().GetCleared())
+		g.datagrams.take(datagram, nil)
 	}
-	assert.Equal(t, 90, told)
+	assert.Equal(t, 90, sent)
 	assert.Len(t, g.state.suspects.list(), 45)
 }
 
-// Guards against a datagram for each of all the runs at a rack of servers.
-func TestOfManyStrikesALargeFleetIsToldTheRepeatedOnes(t *testing.T) {
-	g := entryOn(platformtest.New(), "gw1")
-	g.crash(suspect(2), "b", "c")
-	for n := range largeFleetStrikes {
-		g.crash(suspect(10+n), "a")
+// When many servers end at once, the crashes of all their runs must not be sent
+// to every entry.
+func TestLargeFleetReceivesOnlyRepeatedCrashes(t *testing.T) {
+	g := newTableEntry(platformtest.New(), "gw1")
+	g.simulateCrash(suspectFingerprint(2), "b", "c")
+	for n := range maxLargeFleetCrashes {
+		g.simulateCrash(suspectFingerprint(10+n), "a")
 	}
-	strikes, _ := g.state.suspects.takeUntold(largeFleetStrikes)
-	assert.Len(t, strikes, 2)
-	for _, strike := range strikes {
-		assert.Equal(t, suspect(2), strike.Request)
+	crashes, _ := g.state.suspects.takeUnsent(maxLargeFleetCrashes)
+	assert.Len(t, crashes, 2)
+	for _, crash := range crashes {
+		assert.Equal(t, suspectFingerprint(2), crash.Request)
 	}
-	g.crash(suspect(3), "d")
-	strikes, _ = g.state.suspects.takeUntold(largeFleetStrikes)
-	assert.Len(t, strikes, 1, "a few are told as they are")
+	g.simulateCrash(suspectFingerprint(3), "d")
+	crashes, _ = g.state.suspects.takeUnsent(maxLargeFleetCrashes)
+	assert.Len(t, crashes, 1, "a few crashes are sent unfiltered")
 }
 
-func TestARowThatIsNotUnderstoodIsPassedOver(t *testing.T) {
-	f := suspect(1).String()
+func TestMalformedSuspectRowIsSkipped(t *testing.T) {
+	f := suspectFingerprint(1).String()
 	for _, key := range []string{"", f, f + "/strike", f + "/other/a", f + "/trial/x", f + "/trial/0", "zz/strike/a"} {
 		_, err := parseSuspectRow(key)
 		assert.Error(t, err, key)
 	}
 	row, err := parseSuspectRow(f + "/strike/i-1@x/y")
 	require.NoError(t, err)
-	assert.Equal(t, "i-1@x/y", row.strike.Server)
-	g := entryOn(platformtest.New(), "gw1")
+	assert.Equal(t, "i-1@x/y", row.crash.Server)
+	g := newTableEntry(platformtest.New(), "gw1")
 	g.applySuspects(time.Now(), []mirror.Row{{Key: "nonsense"}, {Key: f + "/strike/a"}, {Key: f + "/trial/2"}}, sourceStore)
 	require.Len(t, g.state.suspects.list(), 1)
 	assert.Equal(t, 2, g.state.suspects.list()[0].Trials)
@@ -156,18 +158,19 @@
 	assert.Empty(t, g.state.suspects.list()[0].Servers)
 }
 
-// Guards against a planned end of a server that counts against the requests it ran.
-func TestALeavingServerThatEndsIsNoCrash(t *testing.T) {
+// A planned end of a server must not count as a crash against the requests it
+// ran.
+func TestPlannedEndIsNotCountedAsCrash(t *testing.T) {
 	s := newSuspects()
-	s.broke(time.Now(), quarantine.Strike{Request: suspect(1), Server: "a"})
-	s.left("a")
-	s.crashed(time.Now(), "a")
+	s.runInterrupted(time.Now(), quarantine.Strike{Request: suspectFingerprint(1), Server: "a"})
+	s.serverEnded("a")
+	s.serverCrashed(time.Now(), "a")
 	assert.Empty(t, s.list())
 }
 
-func mustEncode(t *testing.T, word *jayv1.Datagram) []byte {
+func mustEncode(t *testing.T, datagram *jayv1.Datagram) []byte {
 	t.Helper()
-	text, err := proto.Marshal(word)
+	encoded, err := proto.Marshal(datagram)
 	require.NoError(t, err)
-	return text
+	return encoded
 }
