--- a/internal/agent/kv.go
+++ b/internal/agent/kv.go
@@ -82,7 +82,7 @@
 		return
 	}
 	k.mu.Lock()
-	worth := k.planner.Worth(size, point, cached, rate, perToken)
+	worth := k.planner.WorthFetching(size, point, cached, rate, perToken)
 	k.mu.Unlock()
 	if !worth {
 		return
@@ -136,9 +136,9 @@
 	defer k.mu.Unlock()
 	switch {
 	case err == nil:
-		k.planner.Stored(time.Now(), point)
+		k.planner.MarkStored(time.Now(), point)
 	case errors.Is(err, errKVAbsent):
-		k.planner.Absent(time.Now(), point)
+		k.planner.MarkAbsent(time.Now(), point)
 	}
 }
 
@@ -161,7 +161,7 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.planner.Transferred(size, time.Since(began))
+	k.planner.RecordTransfer(size, time.Since(began))
 	return nil
 }
 
@@ -193,8 +193,8 @@
 	k, rate, perToken := a.model.kv, a.schedule.prefillRate(), a.bytesPerToken(w.offer.GetPool())
 	pressure := a.model.cache.evicting()
 	k.mu.Lock()
-	k.planner.Used(w.offer.GetChain())
-	point := k.planner.Keep(time.Now(), w.offer.GetChain(), rate, perToken)
+	k.planner.RecordUse(w.offer.GetChain())
+	point := k.planner.PointToSave(time.Now(), w.offer.GetChain(), rate, perToken)
 	if point == nil || !pressure || k.moving {
 		k.mu.Unlock()
 		return
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -23,9 +23,9 @@
 	ID string
 	// Key is the caller's secret; never logged, never forwarded.
 	Key string
-	// Patience is how long the caller waits; 0: not said.
-	Patience time.Duration
-	Model    string
+	// Timeout is how long the caller waits; 0: not said.
+	Timeout time.Duration
+	Model   string
 	// InputTokens of the prompt, OutputTokens at most.
 	InputTokens  int
 	OutputTokens int
@@ -43,12 +43,12 @@
 	return h.Parts[:len(h.Parts)-1]
 }
 
-// Directions is what the system tells a backend server beside the caller's request.
-type Directions struct {
+// ForwardOptions is what the system tells a backend server beside the caller's request.
+type ForwardOptions struct {
 	// Instance that must answer; any other refuses.
 	Instance string
-	// Left is the time that the backend server has.
-	Left time.Duration
+	// Timeout is the time that the backend server has.
+	Timeout time.Duration
 	// Workspace of the caller; empty: none.
 	Workspace string
 	// Priority 0 to 9, 0 first; negative: not told.
@@ -88,8 +88,8 @@
 	Version uint64
 	// RetryAfter that the backend server asks for; 0: none.
 	RetryAfter time.Duration
-	// KeepFor is how long an idle connection may be used again; 0: not said.
-	KeepFor time.Duration
+	// KeepAlive is how long an idle connection may be used again; 0: not said.
+	KeepAlive time.Duration
 	// Encoded: the body is not as the backend server made it.
 	Encoded bool
 	// Instance that answered; empty: not said.
@@ -101,15 +101,15 @@
 
 // Report is a backend server's own state, some hundred milliseconds old.
 type Report struct {
-	// Born is when the server started, in Unix ms; 0: it does not say.
-	Born     int64
-	Versions map[string]uint64
-	Busy     bool
-	Orders   uint64
-	Running  int
-	Queued   int
-	KVUsed   int
-	KVTotal  int
+	// StartedAt is when the server started, in Unix ms; 0: it does not say.
+	StartedAt int64
+	Versions  map[string]uint64
+	Busy      bool
+	Orders    uint64
+	Running   int
+	Queued    int
+	KVUsed    int
+	KVTotal   int
 }
 
 // PartChange is a store's word on one part that it keeps.
@@ -150,12 +150,12 @@
 
 // The modes.
 const (
-	// LoadWaits: they finish first.
-	LoadWaits LoadMode = iota
-	// LoadCuts: they are reset.
-	LoadCuts
-	// LoadKeeps: they go on under the new weights.
-	LoadKeeps
+	// LoadAfterRunning: they finish first.
+	LoadAfterRunning LoadMode = iota
+	// LoadAbortRunning: they are reset.
+	LoadAbortRunning
+	// LoadKeepRunning: they go on under the new weights.
+	LoadKeepRunning
 )
 
 // ErrBusy tells that a server is there but takes no more such calls for now.
@@ -173,8 +173,8 @@
 	OrderUnknown OrderOutcome = iota
 	// OrderAccepted: it is being carried out.
 	OrderAccepted
-	// OrderHolds already.
-	OrderHolds
+	// OrderAlreadyLoaded already.
+	OrderAlreadyLoaded
 	// OrderBusy: another order is in progress, or the count differs.
 	OrderBusy
 	// OrderFenced: a higher fencing number was seen.
--- a/internal/control/worker.go
+++ b/internal/control/worker.go
@@ -225,14 +225,14 @@
 // nothing: a server that may be down must not count as ready.
 func (w *worker) view(server *jayv1.BackendServer) orders.Server {
 	_, under := w.pending[server.GetName()]
-	view := orders.Server{Name: server.GetName(), Leaving: server.GetDraining(), Busy: under}
+	view := orders.Server{Name: server.GetName(), Draining: server.GetDraining(), Busy: under}
 	seen, ok := w.observed[server.GetName()]
 	if !ok || w.options.Clock().Sub(seen.at) > w.options.Settings.StaleAfter {
 		return view
 	}
 	view.Reachable = true
 	view.Ready = seen.state.GetReady()
-	view.Leaving = view.Leaving || seen.state.GetLeaving()
+	view.Draining = view.Draining || seen.state.GetLeaving()
 	view.Versions = seen.state.GetVersionDigests()
 	view.Adapters = seen.state.GetAdapters()
 	return view
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -21,12 +21,12 @@
 	}
 	e.quotaMu.Lock()
 	defer e.quotaMu.Unlock()
-	verdict := e.quota.Enter(time.Now(), workspace.GetName(), limits, tokens)
+	verdict := e.quota.Admit(time.Now(), workspace.GetName(), limits, tokens)
 	switch verdict.Reason {
 	case quota.Requests:
-		return refuseForNow(http.StatusTooManyRequests, CodeRateLimited, "the workspace's requests a second are used up", verdict.After)
+		return refuseForNow(http.StatusTooManyRequests, CodeRateLimited, "the workspace's requests a second are used up", verdict.RetryAfter)
 	case quota.Tokens:
-		return refuseForNow(http.StatusTooManyRequests, CodeRateLimited, "the workspace's tokens a second are used up", verdict.After)
+		return refuseForNow(http.StatusTooManyRequests, CodeRateLimited, "the workspace's tokens a second are used up", verdict.RetryAfter)
 	case quota.Streams:
 		return refuseForNow(http.StatusTooManyRequests, CodeTooManyStreams, "the workspace's concurrent streams are used up", 0)
 	default:
@@ -37,7 +37,7 @@
 func (e *Entry) leaveLimits(workspace string) {
 	e.quotaMu.Lock()
 	defer e.quotaMu.Unlock()
-	e.quota.Leave(workspace)
+	e.quota.Release(workspace)
 }
 
 // SetEntries tells the entry how many entries share the limits.
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -65,7 +65,7 @@
 	server := choice.Server
 	switch {
 	case answer.Instance != "" && answer.Instance != server.Instance:
-		j.gateway.pool.Forget(server.Address)
+		j.gateway.pool.CloseIdle(server.Address)
 		j.gateway.state.lifetimeOver(now, server.ID, "answer of "+answer.Instance)
 		j.evidence.otherLifetime = true
 	case answer.Version > server.Version,
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -220,7 +220,7 @@
 	}
 	request.Tokens, request.OutputTokens = j.head.InputTokens, j.head.OutputTokens
 	request.Prefix, request.Stores = j.head.Shared(), s.storesLocked(j.table, j.service.Engine)
-	request.MemoryShare = routing.MemoryShare(j.table.RankOf(j.route))
+	request.MemoryShare = routing.MemoryShare(j.table.RoutePriorityRank(j.route))
 	if j.workspace != nil && j.workspace.Isolated {
 		request.Wall = j.workspace.Name
 	}
@@ -251,9 +251,9 @@
 func leftFor(left time.Duration) time.Duration { return max(left-serverMargin, left/2) }
 
 // directions for the chosen server.
-func (j *job) directions(choice *routing.DirectChoice) call.Directions {
-	d := call.Directions{
-		Instance: choice.Server.Instance, Left: leftFor(time.Until(j.deadline)), Priority: -1,
+func (j *job) directions(choice *routing.DirectChoice) call.ForwardOptions {
+	d := call.ForwardOptions{
+		Instance: choice.Server.Instance, Timeout: leftFor(time.Until(j.deadline)), Priority: -1,
 		LastEventID: j.stream.lastID,
 	}
 	if j.workspace != nil {
@@ -264,7 +264,7 @@
 	}
 	d.Salt, d.Version = choice.Salt, choice.Server.Version
 	d.FetchFrom, d.SaveTo = choice.FetchFrom, choice.SaveTo
-	d.Priority = j.table.Urgency(j.route, j.workspace)
+	d.Priority = j.table.PriorityLevel(j.route, j.workspace)
 	return d
 }
 
@@ -286,7 +286,7 @@
 	}
 	defer response.Close()
 	answer := g.ports.Dialect.Answer(response.Status, response.Header)
-	response.KeepFor(keepFor(answer.KeepFor))
+	response.KeepFor(keepFor(answer.KeepAlive))
 	g.state.told(time.Now(), server.ID, j.modelName(), &answer)
 	outcome := j.take(choice, response, &answer)
 	j.finished(choice, outcome)
@@ -300,11 +300,11 @@
 	return j.head.Model
 }
 
-func (j *job) freshness() upstream.Freshness {
+func (j *job) freshness() upstream.ReusePolicy {
 	if j.route.Repeatable() {
-		return upstream.Freshness{MaxIdle: freshAny}
+		return upstream.ReusePolicy{MaxIdle: freshAny}
 	}
-	return upstream.Freshness{MaxIdle: freshOnce}
+	return upstream.ReusePolicy{MaxIdle: freshOnce}
 }
 
 func keepFor(told time.Duration) time.Duration {
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -178,7 +178,7 @@
 
 func (g *Gateway) tick(now time.Time) {
 	g.state.tick(now)
-	g.pool.Sweep(now)
+	g.pool.CloseExpired(now)
 	_, holder := g.keeper.Held()
 	g.state.suspects.tick(now, holder)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -78,7 +78,7 @@
 	pool := upstream.NewPool(connectTime, silenceTime)
 	g := &Gateway{
 		settings: settings, ports: ports, pool: pool,
-		state: newState(settings, pool.Forget), metrics: metrics.New(maxMetricLabels),
+		state: newState(settings, pool.CloseIdle), metrics: metrics.New(maxMetricLabels),
 	}
 	g.peers = newPeers(settings)
 	g.placing = newPlacing(g)
@@ -197,7 +197,7 @@
 	g.metrics.Gauge("backend_servers", "switching", int64(len(s.switches)))
 	g.metrics.Gauge("prefix_survival_ms", "estimate", s.router.Survival().Milliseconds())
 	for service, budget := range s.budgets {
-		g.metrics.Gauge("retry_budget", service, int64(budget.Left(now)))
+		g.metrics.Gauge("retry_budget", service, int64(budget.Available(now)))
 	}
 	for _, model := range s.book.Models() {
 		g.metrics.Gauge("weights_named", model, int64(s.book.Newest(model))) //nolint:gosec // a count
--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -104,9 +104,9 @@
 	switch {
 	case b == nil:
 		return false
-	case report.Born == 0 || b.Born == 0 || report.Born == b.Born:
+	case report.StartedAt == 0 || b.Born == 0 || report.StartedAt == b.Born:
 		return true
-	case report.Born > b.Born:
+	case report.StartedAt > b.Born:
 		s.startedAgain(now, b, report)
 	}
 	return false
@@ -116,7 +116,7 @@
 // the lifetime that is listed: the list shows it with its next heartbeat.
 func (s *state) startedAgain(now time.Time, listed *fleet.Backend, report *call.Report) {
 	next := *listed
-	next.Born, next.Versions = report.Born, report.Versions
+	next.Born, next.Versions = report.StartedAt, report.Versions
 	s.putBackend(now, &next)
 }
 
--- a/internal/gateway/owning_test.go
+++ b/internal/gateway/owning_test.go
@@ -36,7 +36,7 @@
 		entries = append(entries, shard.Entry{Name: fmt.Sprint("gw", i), Address: fmt.Sprintf("10.1.0.%d:1", i), Cores: 1})
 	}
 	s.setOwners(entries)
-	s.nameVersion(ownStart, weights.Named{Model: "m", Version: 1}, "test")
+	s.nameVersion(ownStart, weights.Target{Model: "m", Version: 1}, "test")
 	return s
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -207,7 +207,7 @@
 func (g *Gateway) giveWeights(c echo.Context) error {
 	s := g.state
 	s.mu.Lock()
-	steps := s.book.Steps(time.Now())
+	steps := s.book.History(time.Now())
 	s.mu.Unlock()
 	return c.JSON(http.StatusOK, steps)
 }
@@ -221,7 +221,7 @@
 			continue
 		}
 		for _, address := range g.peers.all() {
-			var steps map[string][]weights.Step
+			var steps map[string][]weights.VersionAge
 			if err := g.peers.call(ctx, http.MethodGet, address, "/v1/weights", nil, &steps); err != nil {
 				continue
 			}
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -83,8 +83,8 @@
 	settings := Settings{Node: "gw9", DataCentre: "a"}
 	g := &Gateway{settings: settings, state: newState(settings, func(string) {}), peers: entriesAt("gw9", 20)}
 	now := time.Now()
-	g.state.nameVersion(now.Add(-time.Minute), weights.Named{Model: "m", Version: 1}, "test")
-	g.state.nameVersion(now.Add(-2*helpAfter), weights.Named{Model: "m", Version: 2}, "test")
+	g.state.nameVersion(now.Add(-time.Minute), weights.Target{Model: "m", Version: 1}, "test")
+	g.state.nameVersion(now.Add(-2*helpAfter), weights.Target{Model: "m", Version: 2}, "test")
 	g.state.versions[versionKey{"s1", "m"}] = 1
 	assert.True(t, g.contends(), "nobody was heard")
 	g.state.heardHolder(now)
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -22,7 +22,7 @@
 	// Decode reads a caller's head; call.ErrMalformed when it can't be understood.
 	Decode(h http.Header) (call.Head, error)
 	// Forward makes the head for a backend server.
-	Forward(from http.Header, d call.Directions) http.Header
+	Forward(from http.Header, d call.ForwardOptions) http.Header
 	// Answer reads the head of a backend server's answer, Back makes the caller's.
 	Answer(status int, h http.Header) call.Answer
 	Back(from http.Header) http.Header
@@ -51,7 +51,7 @@
 	IsConfig func(key string) bool
 	Config   func(value []byte) (*routetable.Table, error)
 	// Named reads a row that names weights; ok is false when it is none.
-	Named   func(key string, value []byte) (named weights.Named, ok bool, err error)
+	Named   func(key string, value []byte) (named weights.Target, ok bool, err error)
 	Backend func(id string, value []byte) (*fleet.Backend, error)
 	// SameBackend tells whether two values of an entry of the list differ in
 	// nothing but its heartbeat.
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -89,9 +89,9 @@
 	site.router.Finished(now, "r1", true)
 	site.sawVersion(first, "m", 7, "entry")
 	site.told(now, first, "m", &call.Answer{HasLoad: true, Load: call.Load{Running: 90}, Version: 7})
-	assert.False(t, site.ofLifetime(now, first, &call.Report{Born: 1000}), "asked of a run that is over")
-	assert.False(t, site.ofLifetime(now, next, &call.Report{Born: 1000}), "told by a run that is over")
-	assert.True(t, site.ofLifetime(now, next, &call.Report{Born: 2000}))
+	assert.False(t, site.ofLifetime(now, first, &call.Report{StartedAt: 1000}), "asked of a run that is over")
+	assert.False(t, site.ofLifetime(now, next, &call.Report{StartedAt: 1000}), "told by a run that is over")
+	assert.True(t, site.ofLifetime(now, next, &call.Report{StartedAt: 2000}))
 	assert.True(t, site.ofLifetime(now, next, &call.Report{}), "not every report tells")
 
 	assert.Equal(t, uint64(1), site.versionOf(next, "m"))
@@ -108,7 +108,7 @@
 	now := time.Unix(1000, 0)
 	site.putBackend(now, engine(1000))
 	first := site.list.Named("e1").ID
-	assert.False(t, site.ofLifetime(now, first, &call.Report{Born: 2000, Versions: map[string]uint64{"m": 1}}))
+	assert.False(t, site.ofLifetime(now, first, &call.Report{StartedAt: 2000, Versions: map[string]uint64{"m": 1}}))
 	require.Nil(t, site.list.Get(first))
 	second := site.list.Named("e1").ID
 	site.putBackend(now, engine(1000))
@@ -124,8 +124,8 @@
 	site.table.Store(routetable.New(1, routetable.Limits{}, nil, []routetable.Service{*site.service}, nil))
 	now := time.Unix(1000, 0)
 	site.putBackend(now, engine(1000))
-	site.nameVersion(now, weights.Named{Model: "m", Version: 1}, "test")
-	site.nameVersion(now, weights.Named{Model: "m", Version: 2}, "test")
+	site.nameVersion(now, weights.Target{Model: "m", Version: 1}, "test")
+	site.nameVersion(now, weights.Target{Model: "m", Version: 2}, "test")
 	site.heardOrder(now, site.list.Named("e1").ID)
 	site.putBackend(now, engine(2000))
 	assert.Empty(t, site.rollingModels(now.Add(time.Second))[0].servers)
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -171,21 +171,21 @@
 	}
 	outcome, err := r.gateway.ports.Engines.Order(ctx, call.LoadOrder{
 		Instance: fleet.InstanceOf(action.Server), Address: action.Address, Model: model, Version: action.Version,
-		Mode: call.LoadKeeps, Holder: r.gateway.settings.Node, Fence: fence, Expected: action.Orders,
+		Mode: call.LoadKeepRunning, Holder: r.gateway.settings.Node, Fence: fence, Expected: action.Orders,
 	})
 	klog.InfoS("Order given", "server", action.Server, "version", action.Version, "fence", fence, "outcome", outcome.String(), "err", err)
 	r.gateway.metrics.Count("orders", outcome.String(), 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch outcome {
-	case call.OrderHolds:
-		plan.Held(action.Server)
+	case call.OrderAlreadyLoaded:
+		plan.AlreadyLoaded(action.Server)
 		r.gateway.spreadSwitches(ctx, []switchNews{{Server: action.Server, Model: model, Version: action.Version}})
 	case call.OrderMisdirected:
 		r.gateway.state.lifetimeOver(time.Now(), action.Server, "order")
-		plan.Refused(time.Now(), action.Server)
+		plan.OrderRefused(time.Now(), action.Server)
 	case call.OrderBusy, call.OrderInvalid, call.OrderNotSent, call.OrderFenced:
-		plan.Refused(time.Now(), action.Server)
+		plan.OrderRefused(time.Now(), action.Server)
 	case call.OrderAccepted, call.OrderUnknown:
 	}
 }
@@ -204,7 +204,7 @@
 	}
 	version := report.Versions[model]
 	r.mu.Lock()
-	plan.Saw(action.Server, rollout.Seen{Version: version, Busy: report.Busy, Orders: report.Orders, Running: report.Running, Queued: report.Queued})
+	plan.ObserveState(action.Server, rollout.ServerState{Version: version, Busy: report.Busy, Orders: report.Orders, Running: report.Running, Queued: report.Queued})
 	r.mu.Unlock()
 	if version > r.gateway.state.versionOf(action.Server, model) && !report.Busy {
 		r.gateway.spreadSwitches(ctx, []switchNews{{Server: action.Server, Model: model, Version: version}})
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -122,7 +122,7 @@
 	if j.route = j.table.Match(r.Host, rawPath(r)); j.route == nil {
 		return j.reject(http.StatusNotFound, "no route")
 	}
-	if j.table.WantsKeys() {
+	if j.table.RequiresKeys() {
 		j.workspace = j.table.WorkspaceOf(j.head.Key)
 		if j.workspace == nil && !j.route.Public {
 			return j.reject(http.StatusUnauthorized, "unknown key")
@@ -181,7 +181,7 @@
 }
 
 func (j *job) setDeadline() {
-	patience := j.head.Patience
+	patience := j.head.Timeout
 	if patience <= 0 {
 		patience = defaultPatience
 	}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -38,7 +38,7 @@
 
 	mu      sync.Mutex
 	list    *fleet.List
-	book    *weights.Book
+	book    *weights.Targets
 	members *membership.Members
 	// router places our own requests where no other entry is asked, and counts all
 	// of them; own places those of all entries in the shards that are ours.
@@ -87,7 +87,7 @@
 	return &state{
 		settings: settings, closeIdle: closeIdle,
 		list:    fleet.NewList(listGrace),
-		book:    weights.NewBook(),
+		book:    weights.NewTargets(),
 		members: membership.New(membership.DefaultSettings()),
 		router: routing.NewDirect(routing.DirectOptions{
 			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin,
@@ -120,20 +120,20 @@
 }
 
 // nameVersion takes in that an operator named new weights.
-func (s *state) nameVersion(now time.Time, named weights.Named, source string) {
+func (s *state) nameVersion(now time.Time, named weights.Target, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Name(now, named) {
+	if s.book.Set(now, named) {
 		klog.InfoS("New weights named", "model", named.Model, "version", named.Version, "source", source)
 	}
 }
 
 // learnWeights takes in another entry's history of named versions.
-func (s *state) learnWeights(now time.Time, steps map[string][]weights.Step) {
+func (s *state) learnWeights(now time.Time, steps map[string][]weights.VersionAge) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for model, of := range steps {
-		s.book.Learn(now, model, of)
+		s.book.MergeHistory(now, model, of)
 	}
 }
 
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -87,7 +87,7 @@
 	now := time.Now()
 	w := &waiter{job: j, granted: make(chan placed, 1)}
 	request := waitroom.Request{
-		ID: j.head.ID, Urgency: j.table.Urgency(j.route, j.workspace), Arrived: j.arrived,
+		ID: j.head.ID, Urgency: j.table.PriorityLevel(j.route, j.workspace), Arrived: j.arrived,
 		Reading: reading, InTimeUntil: j.arrived.Add(j.route.Target), Deadline: j.firstBy(),
 	}
 	s.mu.Lock()
@@ -117,10 +117,10 @@
 // a stream that shows nothing long before their deadline: requests that waited
 // for their share of the deadline were sent when nobody waited for them.
 func (j *job) firstBy() time.Time {
-	if j.route.QuietLimit <= 0 {
+	if j.route.EventTimeout <= 0 {
 		return j.deadline
 	}
-	quiet := j.arrived.Add(j.route.QuietLimit)
+	quiet := j.arrived.Add(j.route.EventTimeout)
 	if quiet.Before(j.deadline) {
 		return quiet
 	}
--- a/internal/gateway/waiting_test.go
+++ b/internal/gateway/waiting_test.go
@@ -22,7 +22,7 @@
 		"left after its deadline":  {20 * time.Second, 15 * time.Second},
 		"no stream":                {0, 15 * time.Second},
 	} {
-		j := &job{arrived: arrived, deadline: deadline, route: &routetable.Route{QuietLimit: c.quiet}}
+		j := &job{arrived: arrived, deadline: deadline, route: &routetable.Route{EventTimeout: c.quiet}}
 		assert.Equal(t, arrived.Add(c.want), j.firstBy(), name)
 	}
 }
--- a/internal/kvplan/planner.go
+++ b/internal/kvplan/planner.go
@@ -64,17 +64,17 @@
 	return state
 }
 
-// Used counts a prompt.
-func (p *Planner) Used(chain []*jayv1.PrefixPoint) {
+// RecordUse counts a prompt.
+func (p *Planner) RecordUse(chain []*jayv1.PrefixPoint) {
 	for _, point := range chain {
 		p.state(point.GetHash()).uses++
 	}
 }
 
-// Keep returns the deepest hot point of a prompt that is worth putting into the
+// PointToSave returns the deepest hot point of a prompt that is worth putting into the
 // store, nil when there is none or it is there already. tokensPerSecond is the
 // rate at which it would be computed, bytesPerToken the size of a token.
-func (p *Planner) Keep(now time.Time, chain []*jayv1.PrefixPoint, tokensPerSecond, bytesPerToken float64) *jayv1.PrefixPoint {
+func (p *Planner) PointToSave(now time.Time, chain []*jayv1.PrefixPoint, tokensPerSecond, bytesPerToken float64) *jayv1.PrefixPoint {
 	for i := len(chain) - 1; i >= 0; i-- {
 		state := p.state(chain[i].GetHash())
 		if state.uses < hotUses {
@@ -106,28 +106,28 @@
 	return candidates
 }
 
-// Worth tells whether fetching size bytes is cheaper than computing the
+// WorthFetching tells whether fetching size bytes is cheaper than computing the
 // missing part of the prompt up to the point. The fetch must be clearly
 // cheaper: its estimate is rougher, and a fetch that fails is time lost.
-func (p *Planner) Worth(size int64, point *jayv1.PrefixPoint, cachedBytes int, tokensPerSecond, bytesPerToken float64) bool {
+func (p *Planner) WorthFetching(size int64, point *jayv1.PrefixPoint, cachedBytes int, tokensPerSecond, bytesPerToken float64) bool {
 	compute := computeTime(int(point.GetBytes())-cachedBytes, tokensPerSecond, bytesPerToken)
 	return float64(size)/p.rate <= worthShare*compute.Seconds()
 }
 
-// Absent tells that the store does not have the point.
-func (p *Planner) Absent(now time.Time, point *jayv1.PrefixPoint) {
+// MarkAbsent tells that the store does not have the point.
+func (p *Planner) MarkAbsent(now time.Time, point *jayv1.PrefixPoint) {
 	state := p.state(point.GetHash())
 	state.absentAt, state.storedAt = now, time.Time{}
 }
 
-// Stored tells that the store has the point.
-func (p *Planner) Stored(now time.Time, point *jayv1.PrefixPoint) {
+// MarkStored tells that the store has the point.
+func (p *Planner) MarkStored(now time.Time, point *jayv1.PrefixPoint) {
 	state := p.state(point.GetHash())
 	state.absentAt, state.storedAt = time.Time{}, now
 }
 
-// Transferred tells how long a fetch with its import took.
-func (p *Planner) Transferred(size int64, took time.Duration) {
+// RecordTransfer tells how long a fetch with its import took.
+func (p *Planner) RecordTransfer(size int64, took time.Duration) {
 	if took > 0 {
 		p.rate += rateWeight * (float64(size)/took.Seconds() - p.rate)
 	}
--- a/internal/kvplan/planner_test.go
+++ b/internal/kvplan/planner_test.go
@@ -26,15 +26,15 @@
 	rulebook := point(2, 20_000)
 	for i := range uint64(3) {
 		chain := []*jayv1.PrefixPoint{point(1, 1024), rulebook, point(100+i, 22_000)}
-		assert.Nil(t, p.Keep(epoch, chain, rate, perToken), "not hot yet")
-		p.Used(chain)
+		assert.Nil(t, p.PointToSave(epoch, chain, rate, perToken), "not hot yet")
+		p.RecordUse(chain)
 	}
 	chain := []*jayv1.PrefixPoint{point(1, 1024), rulebook, point(200, 22_000)}
-	assert.Equal(t, rulebook, p.Keep(epoch, chain, rate, perToken))
-	p.Stored(epoch, rulebook)
-	assert.Nil(t, p.Keep(epoch, chain, rate, perToken), "it is there")
-	assert.Equal(t, rulebook, p.Keep(epoch.Add(time.Hour), chain, rate, perToken))
-	assert.Nil(t, p.Keep(epoch, chain[:1], rate, perToken), "computed sooner than fetched")
+	assert.Equal(t, rulebook, p.PointToSave(epoch, chain, rate, perToken))
+	p.MarkStored(epoch, rulebook)
+	assert.Nil(t, p.PointToSave(epoch, chain, rate, perToken), "it is there")
+	assert.Equal(t, rulebook, p.PointToSave(epoch.Add(time.Hour), chain, rate, perToken))
+	assert.Nil(t, p.PointToSave(epoch, chain[:1], rate, perToken), "computed sooner than fetched")
 }
 
 func TestAsksOnlyForWhatTakesLongToCompute(t *testing.T) {
@@ -42,7 +42,7 @@
 	chain := []*jayv1.PrefixPoint{point(1, 1024), point(2, 8000), point(3, 20_000)}
 	assert.Equal(t, []*jayv1.PrefixPoint{chain[2], chain[1]}, p.Candidates(epoch, chain, 0, rate, perToken))
 	assert.Empty(t, p.Candidates(epoch, chain, 19_000, rate, perToken))
-	p.Absent(epoch, chain[2])
+	p.MarkAbsent(epoch, chain[2])
 	assert.Equal(t, []*jayv1.PrefixPoint{chain[1]}, p.Candidates(epoch, chain, 0, rate, perToken))
 	assert.Len(t, p.Candidates(epoch.Add(time.Minute), chain, 0, rate, perToken), 2)
 	assert.Empty(t, p.Candidates(epoch, chain, 0, 0, perToken), "rate unknown")
@@ -51,11 +51,11 @@
 func TestFetchesOnlyWhenCheaperThanComputing(t *testing.T) {
 	p := kvplan.New()
 	rulebook := point(2, 32_000) // a second to compute
-	assert.True(t, p.Worth(100e6, rulebook, 0, rate, perToken))
-	assert.False(t, p.Worth(100e6, rulebook, 30_000, rate, perToken))
+	assert.True(t, p.WorthFetching(100e6, rulebook, 0, rate, perToken))
+	assert.False(t, p.WorthFetching(100e6, rulebook, 30_000, rate, perToken))
 	for range 50 { // a slow store
-		p.Transferred(10e6, time.Second)
+		p.RecordTransfer(10e6, time.Second)
 	}
-	assert.False(t, p.Worth(100e6, rulebook, 0, rate, perToken))
-	assert.True(t, p.Worth(5e6, rulebook, 0, rate, perToken))
+	assert.False(t, p.WorthFetching(100e6, rulebook, 0, rate, perToken))
+	assert.True(t, p.WorthFetching(5e6, rulebook, 0, rate, perToken))
 }
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -104,7 +104,7 @@
 func (k *Keeper) inDoubt() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.lease.InDoubt()
+	return k.lease.Uncertain()
 }
 
 func (k *Keeper) run(ctx context.Context) {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -132,8 +132,8 @@
 // Idle tells whether the lease is neither held nor on its way.
 func (l *Lease) Idle() bool { return l.state == stateWatching && !l.busy && !l.doubt }
 
-// InDoubt tells whether the outcome of the last write is not known.
-func (l *Lease) InDoubt() bool { return l.doubt }
+// Uncertain tells whether the outcome of the last write is not known.
+func (l *Lease) Uncertain() bool { return l.doubt }
 
 // Inherited tells whether somebody held the lease before: work of that holder
 // may still be on its way.
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -19,9 +19,9 @@
 // Batch is what changed after some version, or with Whole the table at one
 // moment. Version is the newest version that it covers.
 type Batch struct {
-	Rows    []Row  `json:"rows"`
-	Version uint64 `json:"version"`
-	Whole   bool   `json:"whole"`
+	Rows     []Row  `json:"rows"`
+	Version  uint64 `json:"version"`
+	Snapshot bool   `json:"whole"`
 }
 
 // maxRemoved bounds the marks of removed rows that are kept for others.
@@ -63,7 +63,7 @@
 	if c.rows == nil {
 		c.rows, c.removed = map[string]Row{}, map[string]uint64{}
 	}
-	if batch.Whole && batch.Version < c.version {
+	if batch.Snapshot && batch.Version < c.version {
 		return nil
 	}
 	var changed []Row
@@ -74,7 +74,7 @@
 			changed = append(changed, row)
 		}
 	}
-	if batch.Whole {
+	if batch.Snapshot {
 		changed = append(changed, c.drop(named, batch.Version)...)
 	}
 	c.version = max(c.version, batch.Version)
@@ -129,13 +129,13 @@
 
 // Since returns what changed after a version.
 func (c *Copy) Since(after uint64) Batch {
-	batch := Batch{Version: c.version, Whole: after == 0 || after < c.floor}
+	batch := Batch{Version: c.version, Snapshot: after == 0 || after < c.floor}
 	for _, row := range c.Rows() {
-		if batch.Whole || row.changed > after {
+		if batch.Snapshot || row.changed > after {
 			batch.Rows = append(batch.Rows, row)
 		}
 	}
-	if batch.Whole {
+	if batch.Snapshot {
 		return batch
 	}
 	for key, version := range c.removed {
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -18,9 +18,9 @@
 // bring the old row back.
 func TestAnOlderSourceNeverTakesARowBack(t *testing.T) {
 	var c mirror.Copy
-	c.Apply(mirror.Batch{Rows: []mirror.Row{row("config", 9)}, Version: 9, Whole: true})
+	c.Apply(mirror.Batch{Rows: []mirror.Row{row("config", 9)}, Version: 9, Snapshot: true})
 	assert.Empty(t, c.Apply(mirror.Batch{Rows: []mirror.Row{row("config", 7)}, Version: 7}))
-	assert.Empty(t, c.Apply(mirror.Batch{Rows: nil, Version: 8, Whole: true}), "a whole table that is older removes nothing")
+	assert.Empty(t, c.Apply(mirror.Batch{Rows: nil, Version: 8, Snapshot: true}), "a whole table that is older removes nothing")
 	assert.Equal(t, uint64(9), c.Rows()[0].Version)
 }
 
@@ -28,7 +28,7 @@
 // copy that has not heard of that still names it with version 4.
 func TestARemovedRowStaysRemoved(t *testing.T) {
 	var c mirror.Copy
-	c.Apply(mirror.Batch{Rows: []mirror.Row{row("a", 4)}, Version: 4, Whole: true})
+	c.Apply(mirror.Batch{Rows: []mirror.Row{row("a", 4)}, Version: 4, Snapshot: true})
 	changed := c.Apply(mirror.Batch{Rows: []mirror.Row{{Key: "a", Version: 5, Removed: true}}, Version: 5})
 	assert.Len(t, changed, 1)
 	assert.Empty(t, c.Apply(mirror.Batch{Rows: []mirror.Row{row("a", 4)}, Version: 4}))
@@ -37,8 +37,8 @@
 
 func TestAWholeTableRemovesWhatItDoesNotName(t *testing.T) {
 	var c mirror.Copy
-	c.Apply(mirror.Batch{Rows: []mirror.Row{row("a", 1), row("b", 2)}, Version: 2, Whole: true})
-	changed := c.Apply(mirror.Batch{Rows: []mirror.Row{row("b", 2)}, Version: 6, Whole: true})
+	c.Apply(mirror.Batch{Rows: []mirror.Row{row("a", 1), row("b", 2)}, Version: 2, Snapshot: true})
+	changed := c.Apply(mirror.Batch{Rows: []mirror.Row{row("b", 2)}, Version: 6, Snapshot: true})
 	assert.Equal(t, []mirror.Row{{Key: "a", Version: 6, Removed: true}}, changed)
 }
 
@@ -46,7 +46,7 @@
 // happened. A heartbeat changes a row, but not what it says.
 func TestAHeartbeatIsNoNews(t *testing.T) {
 	c := mirror.NewCopy(func(old, new []byte) bool { return old[0] == new[0] })
-	c.Apply(mirror.Batch{Rows: []mirror.Row{{Key: "a", Value: []byte{1, 1}, Version: 1}}, Version: 1, Whole: true})
+	c.Apply(mirror.Batch{Rows: []mirror.Row{{Key: "a", Value: []byte{1, 1}, Version: 1}}, Version: 1, Snapshot: true})
 	assert.Empty(t, c.Apply(mirror.Batch{Rows: []mirror.Row{{Key: "a", Value: []byte{1, 2}, Version: 2}}, Version: 2}))
 	assert.Empty(t, c.Since(1).Rows)
 	assert.Len(t, c.Apply(mirror.Batch{Rows: []mirror.Row{{Key: "a", Value: []byte{2, 3}, Version: 3}}, Version: 3}), 1)
--- a/internal/orders/plan.go
+++ b/internal/orders/plan.go
@@ -20,8 +20,8 @@
 	Reachable bool
 	// Ready: it takes work, as its agent says.
 	Ready bool
-	// Leaving: it is draining or shutting down, and gets no orders.
-	Leaving bool
+	// Draining: it is draining or shutting down, and gets no orders.
+	Draining bool
 	// Busy: an order to it is under way, or it is loading.
 	Busy bool
 	// Versions loaded, by digest.
@@ -51,7 +51,7 @@
 // ready and has the active version.
 func Serving(pool *jayv1.Pool, server Server) bool {
 	active := catalog.ActiveVersion(pool)
-	return server.Reachable && server.Ready && !server.Leaving && !server.Busy &&
+	return server.Reachable && server.Ready && !server.Draining && !server.Busy &&
 		active != nil && slices.Contains(server.Versions, active.GetDigest())
 }
 
@@ -114,7 +114,7 @@
 func byNeed(state State) []Server {
 	var servers []Server
 	for _, server := range state.Servers {
-		if server.Reachable && !server.Leaving && !server.Busy {
+		if server.Reachable && !server.Draining && !server.Busy {
 			servers = append(servers, server)
 		}
 	}
--- a/internal/orders/plan_test.go
+++ b/internal/orders/plan_test.go
@@ -107,7 +107,7 @@
 				f.state.Servers[i].Ready = !f.state.Servers[i].Ready
 			case 3:
 				i := rapid.IntRange(0, len(f.state.Servers)-1).Draw(t, "server")
-				f.state.Servers[i].Leaving = !f.state.Servers[i].Leaving
+				f.state.Servers[i].Draining = !f.state.Servers[i].Draining
 			}
 			before := f.serving()
 			plan := orders.Plan(f.state)
@@ -133,7 +133,7 @@
 func (f *fakePool) settles(t *rapid.T) {
 	pool := f.state.Pool
 	for i := range f.state.Servers {
-		f.state.Servers[i].Ready, f.state.Servers[i].Leaving = true, false
+		f.state.Servers[i].Ready, f.state.Servers[i].Draining = true, false
 	}
 	if int(pool.MinReady) >= len(f.state.Servers) {
 		return
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -42,10 +42,10 @@
 	Streams
 )
 
-// Verdict says whether work is admitted, and when to ask again if not.
-type Verdict struct {
-	Reason Reason
-	After  time.Duration
+// Decision says whether work is admitted, and when to ask again if not.
+type Decision struct {
+	Reason     Reason
+	RetryAfter time.Duration
 }
 
 // Limiter is one entry's part of the limits.
@@ -75,31 +75,31 @@
 // Entries is the number of entries that shares are computed by.
 func (l *Limiter) Entries() int { return l.entries }
 
-// Enter admits work of the workspace or says why not. Admitted work ends with Leave.
-func (l *Limiter) Enter(now time.Time, workspace string, limits Limits, tokens float64) Verdict {
+// Admit admits work of the workspace or says why not. Admitted work ends with Leave.
+func (l *Limiter) Admit(now time.Time, workspace string, limits Limits, tokens float64) Decision {
 	a, ok := l.of[workspace]
 	if !ok {
 		a = &account{}
 		l.of[workspace] = a
 	}
 	if limits.ConcurrentStreams > 0 && a.streams >= l.streams(limits.ConcurrentStreams) {
-		return Verdict{Reason: Streams}
+		return Decision{Reason: Streams}
 	}
 	requestRate, tokenRate := l.share(limits.RequestsPerSecond), l.share(limits.TokensPerSecond)
 	if wait := a.requests.wait(now, requestRate); wait > 0 {
-		return Verdict{Reason: Requests, After: wait}
+		return Decision{Reason: Requests, RetryAfter: wait}
 	}
 	if wait := a.tokens.wait(now, tokenRate); wait > 0 {
-		return Verdict{Reason: Tokens, After: wait}
+		return Decision{Reason: Tokens, RetryAfter: wait}
 	}
 	a.requests.take(requestRate, 1)
 	a.tokens.take(tokenRate, tokens)
 	a.streams++
-	return Verdict{}
+	return Decision{}
 }
 
-// Leave ends admitted work.
-func (l *Limiter) Leave(workspace string) {
+// Release ends admitted work.
+func (l *Limiter) Release(workspace string) {
 	if a := l.of[workspace]; a != nil {
 		a.streams--
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -39,9 +39,9 @@
 		if f.random.Float64() < toFirst {
 			i = 0
 		}
-		if f.limiters[i].Enter(start.Add(at), "w", limits, tokens).Reason == quota.Admitted {
+		if f.limiters[i].Admit(start.Add(at), "w", limits, tokens).Reason == quota.Admitted {
 			admitted[int(at/time.Second)]++
-			f.limiters[i].Leave("w")
+			f.limiters[i].Release("w")
 		}
 	}
 	return admitted
@@ -84,26 +84,26 @@
 func TestTokensAreHeldAndALargePromptIsPaidBack(t *testing.T) {
 	l := quota.NewLimiter()
 	limits := quota.Limits{TokensPerSecond: 1000}
-	assert.Equal(t, quota.Admitted, l.Enter(start, "w", limits, 5000).Reason)
-	refused := l.Enter(start, "w", limits, 10)
+	assert.Equal(t, quota.Admitted, l.Admit(start, "w", limits, 5000).Reason)
+	refused := l.Admit(start, "w", limits, 10)
 	assert.Equal(t, quota.Tokens, refused.Reason)
-	assert.InDelta(t, 4.0, refused.After.Seconds(), 0.01)
-	assert.Equal(t, quota.Tokens, l.Enter(start.Add(3900*time.Millisecond), "w", limits, 10).Reason)
-	assert.Equal(t, quota.Admitted, l.Enter(start.Add(4100*time.Millisecond), "w", limits, 10).Reason)
+	assert.InDelta(t, 4.0, refused.RetryAfter.Seconds(), 0.01)
+	assert.Equal(t, quota.Tokens, l.Admit(start.Add(3900*time.Millisecond), "w", limits, 10).Reason)
+	assert.Equal(t, quota.Admitted, l.Admit(start.Add(4100*time.Millisecond), "w", limits, 10).Reason)
 }
 
 func TestStreamsAtOnceAreSharedAndNobodyIsShutOut(t *testing.T) {
 	l := quota.NewLimiter()
 	l.SetEntries(4)
 	limits := quota.Limits{ConcurrentStreams: 6}
-	assert.Equal(t, quota.Admitted, l.Enter(start, "w", limits, 0).Reason)
-	assert.Equal(t, quota.Admitted, l.Enter(start, "w", limits, 0).Reason)
-	assert.Equal(t, quota.Streams, l.Enter(start, "w", limits, 0).Reason)
-	l.Leave("w")
-	assert.Equal(t, quota.Admitted, l.Enter(start, "w", limits, 0).Reason)
+	assert.Equal(t, quota.Admitted, l.Admit(start, "w", limits, 0).Reason)
+	assert.Equal(t, quota.Admitted, l.Admit(start, "w", limits, 0).Reason)
+	assert.Equal(t, quota.Streams, l.Admit(start, "w", limits, 0).Reason)
+	l.Release("w")
+	assert.Equal(t, quota.Admitted, l.Admit(start, "w", limits, 0).Reason)
 	l.SetEntries(40)
-	assert.Equal(t, quota.Admitted, l.Enter(start, "v", quota.Limits{ConcurrentStreams: 1}, 0).Reason)
-	assert.Equal(t, quota.Admitted, l.Enter(start, "x", quota.Limits{}, 1e9).Reason, "no limit declared")
+	assert.Equal(t, quota.Admitted, l.Admit(start, "v", quota.Limits{ConcurrentStreams: 1}, 0).Reason)
+	assert.Equal(t, quota.Admitted, l.Admit(start, "x", quota.Limits{}, 1e9).Reason, "no limit declared")
 }
 
 // The wait that a refusal names is honest: after it, and not much before, the
@@ -116,15 +116,15 @@
 		now := start
 		for range 200 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
-			verdict := l.Enter(now, "w", limits, 0)
+			verdict := l.Admit(now, "w", limits, 0)
 			if verdict.Reason == quota.Admitted {
 				continue
 			}
-			if l.Enter(now.Add(verdict.After/2), "w", limits, 0).Reason == quota.Admitted {
-				t.Fatalf("admitted long before the named wait of %v", verdict.After)
+			if l.Admit(now.Add(verdict.RetryAfter/2), "w", limits, 0).Reason == quota.Admitted {
+				t.Fatalf("admitted long before the named wait of %v", verdict.RetryAfter)
 			}
-			if l.Enter(now.Add(verdict.After+time.Microsecond), "w", limits, 0).Reason != quota.Admitted {
-				t.Fatalf("refused after the named wait of %v", verdict.After)
+			if l.Admit(now.Add(verdict.RetryAfter+time.Microsecond), "w", limits, 0).Reason != quota.Admitted {
+				t.Fatalf("refused after the named wait of %v", verdict.RetryAfter)
 			}
 			return
 		}
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -51,8 +51,8 @@
 // Request counts a request.
 func (w *Window) Request(now time.Time) { w.slot(now).requests++ }
 
-// Left is how many second sends are allowed now.
-func (w *Window) Left(now time.Time) float64 {
+// Available is how many second sends are allowed now.
+func (w *Window) Available(now time.Time) float64 {
 	newest := w.numberAt(now)
 	requests, repeats := 0, 0
 	for _, s := range w.slots {
@@ -71,7 +71,7 @@
 // Allow takes a second send. It refuses one that could not end before the
 // deadline: need is the time that an attempt takes at least.
 func (w *Window) Allow(now, deadline time.Time, need time.Duration) bool {
-	if now.Add(need).After(deadline) || w.Left(now) < 1 {
+	if now.Add(need).After(deadline) || w.Available(now) < 1 {
 		return false
 	}
 	w.slot(now).repeats++
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -49,8 +49,8 @@
 	Orders int64
 }
 
-// Seen is a server's own state.
-type Seen struct {
+// ServerState is a server's own state.
+type ServerState struct {
 	Version uint64
 	Busy    bool
 	Orders  uint64
@@ -129,8 +129,8 @@
 // a new one: what was ordered before it shows in the servers' own state.
 func New() *Plan { return &Plan{tracks: map[string]*track{}, loadTime: loadGuess} }
 
-// AtOnce is how many of n servers load at a time.
-func AtOnce(n int) int { return max(leastAtOnce, n/shareAtOnce) }
+// MaxConcurrentLoads is how many of n servers load at a time.
+func MaxConcurrentLoads(n int) int { return max(leastAtOnce, n/shareAtOnce) }
 
 // Tick returns what to do now.
 func (p *Plan) Tick(now time.Time, wanted uint64, servers []Server) []Action {
@@ -159,7 +159,7 @@
 		}
 	}
 	// Those that are silent do no work, which the others do for them.
-	free := AtOnce(answering) - loading
+	free := MaxConcurrentLoads(answering) - loading
 	for _, s := range p.ripe(now, servers) {
 		if free <= 0 {
 			break
@@ -283,11 +283,11 @@
 	return actions
 }
 
-// Saw takes in a server's own state. One that is asked after the time of a load,
+// ObserveState takes in a server's own state. One that is asked after the time of a load,
 // loads nothing and counts no order more did not take the order that got no
 // answer: kept from work until the longest time of a load, half of the servers
 // stood idle while orders were lost.
-func (p *Plan) Saw(server string, seen Seen) {
+func (p *Plan) ObserveState(server string, seen ServerState) {
 	t := p.track(server)
 	if t.phase == ordered && t.expected >= 0 && !seen.Busy && int64(seen.Orders) == t.expected { //nolint:gosec // a count of orders
 		t.refused = true
@@ -297,11 +297,11 @@
 	t.running = seen.Running + seen.Queued
 }
 
-// Refused takes in that the server did not take the order; it may be tried again soon.
-func (p *Plan) Refused(now time.Time, server string) {
+// OrderRefused takes in that the server did not take the order; it may be tried again soon.
+func (p *Plan) OrderRefused(now time.Time, server string) {
 	t := p.track(server)
 	t.phase, t.orders, t.known, t.until = idle, -1, false, now.Add(retryAfter)
 }
 
-// Held takes in that the server has the version already.
-func (p *Plan) Held(server string) { p.track(server).phase = idle }
+// AlreadyLoaded takes in that the server has the version already.
+func (p *Plan) AlreadyLoaded(server string) { p.track(server).phase = idle }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -78,7 +78,7 @@
 	}
 	switch a.Kind {
 	case rollout.Look:
-		w.plan.Saw(a.Server, rollout.Seen{Orders: w.orders[a.Server]})
+		w.plan.ObserveState(a.Server, rollout.ServerState{Orders: w.orders[a.Server]})
 	case rollout.Order:
 		if w.lose(a.Server) {
 			return
@@ -113,7 +113,7 @@
 	w := newWorld(12)
 	took := w.until(t, 2, 7*time.Second)
 	t.Logf("12 servers in %v, at most %d at once", took, w.most)
-	assert.LessOrEqual(t, w.most, rollout.AtOnce(12)+1, "the estimated end of a load may be a little early")
+	assert.LessOrEqual(t, w.most, rollout.MaxConcurrentLoads(12)+1, "the estimated end of a load may be a little early")
 }
 
 // Requests begin on weights that were replaced more than ten seconds ago.
@@ -205,7 +205,7 @@
 // in a third of that.
 func TestFewServersAreKeptFromWorkAhead(t *testing.T) {
 	w := newWorld(50)
-	atOnce, idle, ticks := rollout.AtOnce(50), 0, 0
+	atOnce, idle, ticks := rollout.MaxConcurrentLoads(50), 0, 0
 	held := map[string]bool{}
 	for w.servers[0].Version < 2 || len(held) > 0 {
 		for _, a := range w.step(2) {
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -42,9 +42,9 @@
 	Target time.Duration
 	// GapTarget is the longest pause between events that is still on time.
 	GapTarget time.Duration
-	// QuietLimit is after how long without an event callers leave a stream,
+	// EventTimeout is after how long without an event callers leave a stream,
 	// before its first one too; 0: only at their deadline.
-	QuietLimit time.Duration
+	EventTimeout time.Duration
 	// Priority: 0 is the highest.
 	Priority    int
 	Targets     []Target
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// WantsKeys tells whether calls on routes that are not public carry a key.
-func (t *Table) WantsKeys() bool { return len(t.Workspaces) > 0 }
+// RequiresKeys tells whether calls on routes that are not public carry a key.
+func (t *Table) RequiresKeys() bool { return len(t.Workspaces) > 0 }
 
 // WorkspaceOf returns the workspace that holds the key, nil when none does.
 func (t *Table) WorkspaceOf(key string) *Workspace { return t.byKey[key] }
--- a/internal/routetable/table_test.go
+++ b/internal/routetable/table_test.go
@@ -33,7 +33,7 @@
 func TestKeysBelongToTheirWorkspace(t *testing.T) {
 	assert.Equal(t, "w", table().WorkspaceOf("k2").Name)
 	assert.Nil(t, table().WorkspaceOf(""))
-	assert.True(t, table().WantsKeys())
+	assert.True(t, table().RequiresKeys())
 }
 
 func TestOnlyIdempotentAndResumableMayBeRepeated(t *testing.T) {
--- a/internal/routetable/urgency.go
+++ b/internal/routetable/urgency.go
@@ -2,8 +2,8 @@
 
 import "sort"
 
-// Levels is how many degrees of urgency a backend server tells apart.
-const Levels = 10
+// PriorityLevels is how many degrees of urgency a backend server tells apart.
+const PriorityLevels = 10
 
 // urgency orders requests: a workspace's priority goes first, and among equals
 // the route's own decides. With the workspace's alone, short calls that an
@@ -64,20 +64,20 @@
 	return false
 }
 
-// Urgency is the degree of a request on a route to model engines, 0 for the
+// PriorityLevel is the degree of a request on a route to model engines, 0 for the
 // most urgent, below Levels. Where a table brings about more pairs than there
 // are degrees, neighbours share one.
-func (t *Table) Urgency(route *Route, workspace *Workspace) int {
+func (t *Table) PriorityLevel(route *Route, workspace *Workspace) int {
 	rank, pairs := t.urgencies[urgencyOf(route, workspace)], len(t.urgencies)
-	if pairs <= Levels {
+	if pairs <= PriorityLevels {
 		return rank
 	}
-	return rank * Levels / pairs
+	return rank * PriorityLevels / pairs
 }
 
-// RankOf tells the place of a route's own priority among those of all routes to
+// RoutePriorityRank tells the place of a route's own priority among those of all routes to
 // model engines, 0 for the most urgent.
-func (t *Table) RankOf(route *Route) (rank, of int) {
+func (t *Table) RoutePriorityRank(route *Route) (rank, of int) {
 	for _, priority := range t.enginePriorities {
 		if priority < route.Priority {
 			rank++
--- a/internal/routetable/urgency_test.go
+++ b/internal/routetable/urgency_test.go
@@ -29,9 +29,9 @@
 	table := tableWithPriorities([]int{0, 1}, []int{0, 2})
 	urgent, patient := table.Match("h", "/0/"), table.Match("h", "/1/")
 	first, last := &table.Workspaces[0], &table.Workspaces[1]
-	order := []int{table.Urgency(urgent, first), table.Urgency(patient, first), table.Urgency(urgent, last), table.Urgency(patient, last)}
+	order := []int{table.PriorityLevel(urgent, first), table.PriorityLevel(patient, first), table.PriorityLevel(urgent, last), table.PriorityLevel(patient, last)}
 	assert.IsIncreasing(t, order, "the workspace's priority first, then the route's")
-	assert.Equal(t, table.Urgency(urgent, first), table.Urgency(urgent, nil), "a request without a workspace has its route's")
+	assert.Equal(t, table.PriorityLevel(urgent, first), table.PriorityLevel(urgent, nil), "a request without a workspace has its route's")
 }
 
 func TestUrgencyKeepsItsOrderWithMorePairsThanDegrees(t *testing.T) {
@@ -39,9 +39,9 @@
 	before := 0
 	for w := range table.Workspaces {
 		for p := range 4 {
-			now := table.Urgency(table.Match("h", fmt.Sprintf("/%d/", p)), &table.Workspaces[w])
+			now := table.PriorityLevel(table.Match("h", fmt.Sprintf("/%d/", p)), &table.Workspaces[w])
 			assert.GreaterOrEqual(t, now, before)
-			assert.Less(t, now, routetable.Levels)
+			assert.Less(t, now, routetable.PriorityLevels)
 			before = now
 		}
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -25,8 +25,8 @@
 	ErrNotSent = errors.New("request not sent")
 	// ErrNoAnswer: it was sent, wholly or in part, and may have run.
 	ErrNoAnswer = errors.New("no answer")
-	// ErrGarbled: bytes came that are no answer to the request; it may have run.
-	ErrGarbled = errors.New("answer not understood")
+	// ErrInvalidAnswer: bytes came that are no answer to the request; it may have run.
+	ErrInvalidAnswer = errors.New("answer not understood")
 	// ErrNoListener: nothing listens at the address, the process has ended.
 	ErrNoListener error = syscall.ECONNREFUSED
 )
@@ -165,7 +165,7 @@
 		// An answer to an earlier request stands where ours is due.
 		strays++
 		if strays > maxStrays || !skip(inner) {
-			return eris.Wrap(ErrGarbled, "answer of another request")
+			return eris.Wrap(ErrInvalidAnswer, "answer of another request")
 		}
 	}
 }
@@ -175,7 +175,7 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &network) || errors.Is(err, net.ErrClosed) {
 		return eris.Wrapf(ErrNoAnswer, "%v", err)
 	}
-	return eris.Wrapf(ErrGarbled, "%v", err)
+	return eris.Wrapf(ErrInvalidAnswer, "%v", err)
 }
 
 // skip reads a stray answer to its end; false when its end can't be known.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -48,8 +48,8 @@
 	return p.open[address] - len(p.idle[address])
 }
 
-// Freshness says how idle a kept connection may have been.
-type Freshness struct {
+// ReusePolicy says how idle a kept connection may have been.
+type ReusePolicy struct {
 	// MaxIdle of a kept connection; 0: only a new one will do.
 	MaxIdle time.Duration
 }
@@ -57,7 +57,7 @@
 // Send sends a request to an address and returns the head of the answer. The
 // request is sent once, or not at all (ErrNotSent). When ctx ends the
 // connection is closed, whatever was under way.
-func (p *Pool) Send(ctx context.Context, address string, r *Request, fresh Freshness, belongs func(h http.Header, reused bool) bool) (*Response, error) {
+func (p *Pool) Send(ctx context.Context, address string, r *Request, fresh ReusePolicy, belongs func(h http.Header, reused bool) bool) (*Response, error) {
 	c, err := p.take(ctx, address, fresh)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -72,7 +72,7 @@
 	return response, nil
 }
 
-func (p *Pool) take(ctx context.Context, address string, fresh Freshness) (*conn, error) {
+func (p *Pool) take(ctx context.Context, address string, fresh ReusePolicy) (*conn, error) {
 	now := time.Now()
 	for fresh.MaxIdle > 0 {
 		c := p.pop(address)
@@ -99,7 +99,7 @@
 // listens: ErrNoListener when it does not. The connection is kept for later
 // requests.
 func (p *Pool) Probe(ctx context.Context, address string, keep time.Duration) error {
-	c, err := p.take(ctx, address, Freshness{})
+	c, err := p.take(ctx, address, ReusePolicy{})
 	if err != nil {
 		return fmt.Errorf("probe %s: %w", address, err)
 	}
@@ -148,9 +148,9 @@
 	}
 }
 
-// Forget closes the idle connections to an address: its server is gone, or
+// CloseIdle closes the idle connections to an address: its server is gone, or
 // answered under another name.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	kept := p.idle[address]
 	delete(p.idle, address)
@@ -160,8 +160,8 @@
 	}
 }
 
-// Sweep closes connections whose time is over.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes connections whose time is over.
+func (p *Pool) CloseExpired(now time.Time) {
 	var over []*conn
 	p.mu.Lock()
 	for address, kept := range p.idle {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -50,7 +50,7 @@
 
 func send(p *upstream.Pool, address, id, body string) (string, *upstream.Response, error) {
 	request := &upstream.Request{Method: "POST", Target: "/x", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte(body)}
-	response, err := p.Send(context.Background(), address, request, upstream.Freshness{MaxIdle: time.Second},
+	response, err := p.Send(context.Background(), address, request, upstream.ReusePolicy{MaxIdle: time.Second},
 		func(h http.Header, _ bool) bool { return h.Get("Id") == id })
 	if err != nil {
 		return "", nil, err
@@ -150,5 +150,5 @@
 	assert.ErrorIs(t, err, upstream.ErrNoAnswer)
 	garbled := server(t, func(_ int, _ *http.Request, c net.Conn) bool { _, _ = io.WriteString(c, "what?\r\n\r\n"); return true })
 	_, _, err = send(newPool(), garbled, "1", "")
-	assert.ErrorIs(t, err, upstream.ErrGarbled)
+	assert.ErrorIs(t, err, upstream.ErrInvalidAnswer)
 }
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Named is a version that an operator named for a model.
-type Named struct {
+// Target is a version that an operator named for a model.
+type Target struct {
 	Model   string
 	Version uint64
 }
@@ -33,16 +33,16 @@
 // the oldest kept successor.
 const keptSteps = 16
 
-// Book is the newest named version of every model.
-type Book struct {
+// Targets is the newest named version of every model.
+type Targets struct {
 	models map[string]*Wanted
 }
 
-// NewBook is empty.
-func NewBook() *Book { return &Book{models: map[string]*Wanted{}} }
+// NewTargets is empty.
+func NewTargets() *Targets { return &Targets{models: map[string]*Wanted{}} }
 
-// Name takes in a named version; older ones than known change nothing.
-func (b *Book) Name(now time.Time, named Named) bool {
+// Set takes in a named version; older ones than known change nothing.
+func (b *Targets) Set(now time.Time, named Target) bool {
 	w := b.models[named.Model]
 	if w == nil {
 		w = &Wanted{}
@@ -59,27 +59,27 @@
 	return true
 }
 
-// Step is a version with how long ago it was named.
-type Step struct {
+// VersionAge is a version with how long ago it was named.
+type VersionAge struct {
 	Version uint64        `json:"version"`
 	Age     time.Duration `json:"age_ns"`
 }
 
-// Steps returns the kept history of every model.
-func (b *Book) Steps(now time.Time) map[string][]Step {
-	all := make(map[string][]Step, len(b.models))
+// History returns the kept history of every model.
+func (b *Targets) History(now time.Time) map[string][]VersionAge {
+	all := make(map[string][]VersionAge, len(b.models))
 	for name, w := range b.models {
 		for _, s := range w.steps {
-			all[name] = append(all[name], Step{Version: s.version, Age: now.Sub(s.at)})
+			all[name] = append(all[name], VersionAge{Version: s.version, Age: now.Sub(s.at)})
 		}
 	}
 	return all
 }
 
-// Learn takes in another process's history. A process that just started knows
+// MergeHistory takes in another process's history. A process that just started knows
 // only the newest version, and when it read that itself: older weights would
 // seem to have been replaced just now, and get requests long after their time.
-func (b *Book) Learn(now time.Time, model string, steps []Step) {
+func (b *Targets) MergeHistory(now time.Time, model string, steps []VersionAge) {
 	w := b.models[model]
 	if w == nil {
 		return
@@ -106,7 +106,7 @@
 }
 
 // Newest version named for the model; 0 when none was.
-func (b *Book) Newest(model string) uint64 {
+func (b *Targets) Newest(model string) uint64 {
 	if w := b.models[model]; w != nil {
 		return w.Version
 	}
@@ -114,7 +114,7 @@
 }
 
 // Models that a version was named for.
-func (b *Book) Models() []string {
+func (b *Targets) Models() []string {
 	var models []string
 	for name := range b.models {
 		models = append(models, name)
@@ -124,7 +124,7 @@
 
 // Age is how long ago a newer version than the given one was first named; 0
 // when it is the newest.
-func (b *Book) Age(now time.Time, model string, version uint64) time.Duration {
+func (b *Targets) Age(now time.Time, model string, version uint64) time.Duration {
 	w := b.models[model]
 	if w == nil || version >= w.Version {
 		return 0
