--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,135 +1,140 @@
-// Package mirror keeps a copy of one table of the platform's store in memory,
-// so that a process which the store turns away can be fed by another. All
-// copies count in the store's own versions, so a batch from any source fits.
-// It has no I/O, goroutine or clock; callers lock.
+// Package mirror keeps an in-memory copy of one table of the platform's store,
+// so that a process can get the table from another process when the store does
+// not serve it. All copies use the store's row versions, so a copy can apply
+// batches from any source. The package does no I/O, starts no goroutine and
+// reads no clock. It is not safe for concurrent use.
 package mirror
 
 import "sort"
 
-// Row is one row of the table, or the mark of its removal.
+// Row is one row of the table, or the record of its removal.
 type Row struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value,omitempty"`
 	Version uint64 `json:"version"`
 	Removed bool   `json:"removed,omitempty"`
-	// changed is the version at which the row last changed in a way that matters.
+	// changed is the version of the row's last change to a value that is not
+	// equivalent to the one before.
 	changed uint64
 }
 
-// Batch is what changed after some version, or with Whole the table at one
-// moment. Version is the newest version that it covers.
+// Batch holds the rows that changed after some version or, if Snapshot is set,
+// all rows of the table. Version is the newest version that it covers.
 type Batch struct {
 	Rows     []Row  `json:"rows"`
 	Version  uint64 `json:"version"`
 	Snapshot bool   `json:"whole"`
 }
 
-// maxRemoved bounds the marks of removed rows that are kept for others.
-const maxRemoved = 2048
+// maxTombstones bounds the removed rows whose versions are kept for Since.
+const maxTombstones = 2048
 
-// Copy is one table. The zero value is empty and knows nothing.
+// Copy is a copy of one table. The zero value is empty, at version 0.
 type Copy struct {
-	rows    map[string]Row
-	removed map[string]uint64
-	version uint64
-	// floor: changes up to here may be forgotten; older questions get the whole table.
-	floor uint64
-	// same tells whether two values of a row mean the same; nil: none do.
-	same func(old, new []byte) bool
+	rows       map[string]Row
+	tombstones map[string]uint64
+	version    uint64
+	// prunedAt is the version at which tombstones were last pruned: Since cannot
+	// list the changes after an older version and returns a snapshot.
+	prunedAt uint64
+	// equivalent reports whether two values of a row mean the same; nil: none do.
+	equivalent func(old, new []byte) bool
 }
 
-// NewCopy makes an empty copy. same tells whether two values of a row mean the
-// same: such changes are taken in, but handed on to nobody. Heartbeats change
-// a row every second, and would be most of what others are told.
-func NewCopy(same func(old, new []byte) bool) Copy { return Copy{same: same} }
+// NewCopy returns an empty copy. equivalent reports whether two values of a row
+// mean the same. Such a change is stored, but Apply does not report it and Since
+// returns it only in a snapshot: heartbeats change a row every second and would
+// otherwise be most of the traffic between processes.
+func NewCopy(equivalent func(old, new []byte) bool) Copy { return Copy{equivalent: equivalent} }
 
-// Version is the newest version that the copy covers; 0: nothing is known yet.
+// Version returns the newest version that the copy covers; 0: none yet.
 func (c *Copy) Version() uint64 { return c.version }
 
-// Rows returns the rows in order of keys.
+// Rows returns the rows, sorted by key.
 func (c *Copy) Rows() []Row {
-	all := make([]Row, 0, len(c.rows))
+	rows := make([]Row, 0, len(c.rows))
 	for _, row := range c.rows {
-		all = append(all, row)
+		rows = append(rows, row)
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].Key < all[j].Key })
-	return all
+	sort.Slice(rows, func(i, j int) bool { return rows[i].Key < rows[j].Key })
+	return rows
 }
 
-// Apply takes in a batch and returns the rows that changed by it. A row never
-// goes back to an older version: a source may be behind, and its whole table
-// may lack what is known here already.
+// Apply applies a batch and returns the rows that it changed. A row never goes
+// back to an older version, and a snapshot older than the copy is ignored: its
+// source may lag behind.
 func (c *Copy) Apply(batch Batch) []Row {
 	if c.rows == nil {
-		c.rows, c.removed = map[string]Row{}, map[string]uint64{}
+		c.rows, c.tombstones = map[string]Row{}, map[string]uint64{}
 	}
 	if batch.Snapshot && batch.Version < c.version {
 		return nil
 	}
 	var changed []Row
-	named := make(map[string]bool, len(batch.Rows))
+	listed := make(map[string]bool, len(batch.Rows))
 	for _, row := range batch.Rows {
-		named[row.Key] = true
-		if c.take(row) {
+		listed[row.Key] = true
+		if c.applyRow(row) {
 			changed = append(changed, row)
 		}
 	}
 	if batch.Snapshot {
-		changed = append(changed, c.drop(named, batch.Version)...)
+		changed = append(changed, c.removeUnlisted(listed, batch.Version)...)
 	}
 	c.version = max(c.version, batch.Version)
-	c.trim()
+	c.pruneTombstones()
 	return changed
 }
 
-func (c *Copy) take(row Row) bool {
-	if row.Version <= c.rows[row.Key].Version || row.Version <= c.removed[row.Key] {
+func (c *Copy) applyRow(row Row) bool {
+	if row.Version <= c.rows[row.Key].Version || row.Version <= c.tombstones[row.Key] {
 		return false
 	}
-	old, had := c.rows[row.Key]
+	old, existed := c.rows[row.Key]
 	if !row.Removed {
-		delete(c.removed, row.Key)
+		delete(c.tombstones, row.Key)
 		row.changed = row.Version
-		equal := had && c.same != nil && c.same(old.Value, row.Value)
-		if equal {
+		unchanged := existed && c.equivalent != nil && c.equivalent(old.Value, row.Value)
+		if unchanged {
 			row.changed = old.changed
 		}
 		c.rows[row.Key] = row
-		return !equal
+		return !unchanged
 	}
 	delete(c.rows, row.Key)
-	c.removed[row.Key] = row.Version
-	return had
+	c.tombstones[row.Key] = row.Version
+	return existed
 }
 
-// drop removes the rows that a whole table does not name.
-func (c *Copy) drop(named map[string]bool, version uint64) []Row {
-	var gone []Row
+// removeUnlisted removes the rows that a snapshot does not list.
+func (c *Copy) removeUnlisted(listed map[string]bool, version uint64) []Row {
+	var removed []Row
 	for key := range c.rows {
-		if named[key] {
+		if listed[key] {
 			continue
 		}
 		delete(c.rows, key)
-		c.removed[key] = version
-		gone = append(gone, Row{Key: key, Version: version, Removed: true})
+		c.tombstones[key] = version
+		removed = append(removed, Row{Key: key, Version: version, Removed: true})
 	}
-	sort.Slice(gone, func(i, j int) bool { return gone[i].Key < gone[j].Key })
-	return gone
+	sort.Slice(removed, func(i, j int) bool { return removed[i].Key < removed[j].Key })
+	return removed
 }
 
-// trim forgets all marks when there are too many: who asks for less than the
-// floor gets the whole table instead.
-func (c *Copy) trim() {
-	if len(c.removed) <= maxRemoved {
+// pruneTombstones drops all tombstones when there are too many. Since then
+// returns a snapshot for older versions.
+func (c *Copy) pruneTombstones() {
+	if len(c.tombstones) <= maxTombstones {
 		return
 	}
-	c.floor = c.version
-	c.removed = map[string]uint64{}
+	c.prunedAt = c.version
+	c.tombstones = map[string]uint64{}
 }
 
-// Since returns what changed after a version.
+// Since returns the rows that changed after a version, or a snapshot if after is
+// 0 or too old.
 func (c *Copy) Since(after uint64) Batch {
-	batch := Batch{Version: c.version, Snapshot: after == 0 || after < c.floor}
+	batch := Batch{Version: c.version, Snapshot: after == 0 || after < c.prunedAt}
 	for _, row := range c.Rows() {
 		if batch.Snapshot || row.changed > after {
 			batch.Rows = append(batch.Rows, row)
@@ -138,7 +143,7 @@
 	if batch.Snapshot {
 		return batch
 	}
-	for key, version := range c.removed {
+	for key, version := range c.tombstones {
 		if version > after {
 			batch.Rows = append(batch.Rows, Row{Key: key, Version: version, Removed: true})
 		}
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -13,19 +13,18 @@
 	return mirror.Row{Key: key, Value: []byte{byte(version)}, Version: version}
 }
 
-// A caller sees a configuration go back. The store's answer with version 9 was
-// overtaken by another entry's copy that is still at 7: applied later, it would
-// bring the old row back.
-func TestAnOlderSourceNeverTakesARowBack(t *testing.T) {
+// Guards against a configuration that reverts: a batch from another entry whose
+// copy is still at version 7 arrives after the store's answer with version 9.
+func TestAnOlderBatchDoesNotRevertARow(t *testing.T) {
 	var c mirror.Copy
 	c.Apply(mirror.Batch{Rows: []mirror.Row{row("config", 9)}, Version: 9, Snapshot: true})
 	assert.Empty(t, c.Apply(mirror.Batch{Rows: []mirror.Row{row("config", 7)}, Version: 7}))
-	assert.Empty(t, c.Apply(mirror.Batch{Rows: nil, Version: 8, Snapshot: true}), "a whole table that is older removes nothing")
+	assert.Empty(t, c.Apply(mirror.Batch{Rows: nil, Version: 8, Snapshot: true}), "an older snapshot removes nothing")
 	assert.Equal(t, uint64(9), c.Rows()[0].Version)
 }
 
-// A backend server that left is sent work again. Its row was removed at 5; a
-// copy that has not heard of that still names it with version 4.
+// Guards against requests to a backend server that is gone: its row was removed
+// at version 5, and another copy still lists it with version 4.
 func TestARemovedRowStaysRemoved(t *testing.T) {
 	var c mirror.Copy
 	c.Apply(mirror.Batch{Rows: []mirror.Row{row("a", 4)}, Version: 4, Snapshot: true})
@@ -35,27 +34,27 @@
 	assert.Empty(t, c.Rows())
 }
 
-func TestAWholeTableRemovesWhatItDoesNotName(t *testing.T) {
+func TestASnapshotRemovesRowsThatItDoesNotList(t *testing.T) {
 	var c mirror.Copy
 	c.Apply(mirror.Batch{Rows: []mirror.Row{row("a", 1), row("b", 2)}, Version: 2, Snapshot: true})
 	changed := c.Apply(mirror.Batch{Rows: []mirror.Row{row("b", 2)}, Version: 6, Snapshot: true})
 	assert.Equal(t, []mirror.Row{{Key: "a", Version: 6, Removed: true}}, changed)
 }
 
-// Entries spend most of their bytes on telling each other that nothing
-// happened. A heartbeat changes a row, but not what it says.
-func TestAHeartbeatIsNoNews(t *testing.T) {
+// Guards against traffic between entries for heartbeats, which change a row but
+// not its meaning.
+func TestAHeartbeatIsNotPassedOn(t *testing.T) {
 	c := mirror.NewCopy(func(old, new []byte) bool { return old[0] == new[0] })
 	c.Apply(mirror.Batch{Rows: []mirror.Row{{Key: "a", Value: []byte{1, 1}, Version: 1}}, Version: 1, Snapshot: true})
 	assert.Empty(t, c.Apply(mirror.Batch{Rows: []mirror.Row{{Key: "a", Value: []byte{1, 2}, Version: 2}}, Version: 2}))
 	assert.Empty(t, c.Since(1).Rows)
 	assert.Len(t, c.Apply(mirror.Batch{Rows: []mirror.Row{{Key: "a", Value: []byte{2, 3}, Version: 3}}, Version: 3}), 1)
 	assert.Len(t, c.Since(1).Rows, 1)
-	assert.Len(t, c.Since(0).Rows, 1, "the whole table names it in any case")
+	assert.Len(t, c.Since(0).Rows, 1, "a snapshot lists it in any case")
 }
 
-// TestCopiesAgree feeds one copy from the truth and a second one from the
-// first, in any order of questions: they never differ once both are fed.
+// Two copies are equal after the second has applied the changes of the first, at
+// whatever versions it asked for them.
 func TestCopiesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var first, second mirror.Copy
@@ -66,7 +65,7 @@
 			change := row(key, version)
 			change.Removed = rapid.Bool().Draw(t, "removed")
 			first.Apply(mirror.Batch{Rows: []mirror.Row{change}, Version: version})
-			if rapid.Bool().Draw(t, "feed") {
+			if rapid.Bool().Draw(t, "sync") {
 				second.Apply(first.Since(second.Version()))
 			}
 		}
