--- a/internal/lease/clock_linux.go
+++ b/internal/lease/clock_linux.go
@@ -6,9 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// BootClock tells the time since boot, also that during which the VM was
-// suspended. Go's own monotonic clock stands still then, and a holder that was
-// moved to another host would wake and believe that its lease goes on.
+// BootClock returns the time since boot as a time.Time, including the time during
+// which the VM was suspended. Go's monotonic clock does not advance then, so a
+// holder that resumes after a suspension would still count its lease as valid.
+// If the clock can't be read, BootClock returns the wall clock.
 func BootClock() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/lease/clock_other.go
+++ b/internal/lease/clock_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// BootClock is the wall clock where the system tells no time since boot.
+// BootClock returns the wall clock on systems without CLOCK_BOOTTIME.
 func BootClock() time.Time { return time.Now() }
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -13,36 +13,38 @@
 const (
 	keeperTick   = 200 * time.Millisecond
 	tableTimeout = 2 * time.Second
-	// stopWait bounds how long Close waits for a call to the table that is under
-	// way. Broken off, a renewal may have been carried out: the row is then another
-	// than the one that is to be given back.
-	stopWait = 500 * time.Millisecond
+	// closeWait is how long Close waits for a call in flight before it cancels it.
+	// A cancelled renewal may still take effect and change the row's version, on
+	// which the write that releases the lease depends.
+	closeWait = 500 * time.Millisecond
 )
 
-// Keeper contends for one lease and renews it until Close. Safe for concurrent use.
+// Keeper contends for one lease and renews it until Close. It is safe for
+// concurrent use.
 type Keeper struct {
 	table  platform.Table
 	clock  platform.Clock
 	cancel context.CancelFunc
-	// stop ends the contention after the call under way, done when that is over.
+	// stop is closed to end the loop after the call in flight, done when the loop
+	// has ended.
 	stop     chan struct{}
 	done     chan struct{}
 	stopOnce sync.Once
-	// contend tells whether to try for the lease now; nil: always.
+	// contend reports whether to try for the lease now; nil: always.
 	contend func() bool
 
 	mu    sync.Mutex
 	lease *Lease
 }
 
-// Keep starts to contend. clock is BootClock but in tests.
+// Keep starts to contend for a lease. clock is BootClock except in tests.
 func Keep(ctx context.Context, table platform.Table, name, holder string, settings Settings, clock platform.Clock) *Keeper {
 	return KeepIf(ctx, table, name, holder, settings, clock, nil)
 }
 
-// KeepIf is Keep for one of many contenders: it tries only while contend says
-// so, since each look at the lease is a call to the store. A lease that is held
-// is renewed in any case.
+// KeepIf is like Keep, but tries for the lease only while contend returns true:
+// with many contenders the reads of the lease would load the store. A lease that
+// is held is renewed in any case.
 func KeepIf(ctx context.Context, table platform.Table, name, holder string, settings Settings, clock platform.Clock, contend func() bool) *Keeper {
 	k := &Keeper{table: table, clock: clock, stop: make(chan struct{}), done: make(chan struct{}), lease: New(name, holder, settings), contend: contend}
 	ctx, k.cancel = context.WithCancel(ctx)
@@ -50,25 +52,27 @@
 	return k
 }
 
-// Held returns the fencing number while the holder may act; ask before each act.
+// Held returns the fencing number, and ok while the holder may act. Call it before
+// each action that requires the lease.
 func (k *Keeper) Held() (fence uint64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.lease.Held(k.clock())
 }
 
-// Inherited tells whether somebody held the lease before this holder.
+// Inherited reports whether the lease had an earlier holder.
 func (k *Keeper) Inherited() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.lease.Inherited()
 }
 
-// Close gives the lease back and stops. The holder must have stopped to act.
+// Close stops contending and releases the lease. The holder must not act any more
+// when it is called.
 func (k *Keeper) Close(ctx context.Context) {
 	k.finish(ctx)
-	if k.inDoubt() {
-		readCtx, cancel := context.WithTimeout(ctx, stopWait)
+	if k.uncertain() {
+		readCtx, cancel := context.WithTimeout(ctx, closeWait)
 		k.read(readCtx)
 		cancel()
 	}
@@ -80,16 +84,16 @@
 	}
 	result, err := k.table.Commit(ctx, *action.Commit)
 	if err != nil || !result.Committed {
-		klog.InfoS("Lease not given back; it lapses", "lease", k.lease.name, "committed", result.Committed, "err", err)
+		klog.InfoS("Lease not released; others can take it when it expires", "lease", k.lease.name, "committed", result.Committed, "err", err)
 	}
 }
 
-// finish ends the contention: the call under way is broken off only when it
-// takes too long.
+// finish ends the loop. It cancels the call in flight after closeWait, or when ctx
+// ends.
 func (k *Keeper) finish(ctx context.Context) {
 	k.stopOnce.Do(func() { close(k.stop) })
 	defer k.cancel()
-	timer := time.NewTimer(stopWait)
+	timer := time.NewTimer(closeWait)
 	defer timer.Stop()
 	select {
 	case <-k.done:
@@ -101,7 +105,7 @@
 	<-k.done
 }
 
-func (k *Keeper) inDoubt() bool {
+func (k *Keeper) uncertain() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.lease.Uncertain()
@@ -155,6 +159,6 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err := k.lease.ReadDone(k.clock(), row, err); err != nil {
-		klog.ErrorS(err, "Lease not understood", "lease", k.lease.name)
+		klog.ErrorS(err, "Cannot decode the row of a lease", "lease", k.lease.name)
 	}
 }
--- a/internal/lease/keeper_test.go
+++ b/internal/lease/keeper_test.go
@@ -15,10 +15,9 @@
 	"github.com/jayproxy/jayproxy/internal/platform/platformtest"
 )
 
-var quick = lease.Settings{TTL: 2 * time.Second, Margin: 200 * time.Millisecond, Renew: 200 * time.Millisecond, Watch: 100 * time.Millisecond}
+var shortSettings = lease.Settings{TTL: 2 * time.Second, Margin: 200 * time.Millisecond, Renew: 200 * time.Millisecond, Watch: 100 * time.Millisecond}
 
-// slowTable carries commits out at once and answers them late, as a store does
-// whose answers are on their way.
+// slowTable carries commits out at once and delays its answers.
 type slowTable struct {
 	*platformtest.Memory
 	delay   atomic.Int64
@@ -39,7 +38,7 @@
 	}
 }
 
-// isFree tells whether the row says that the lease was given back.
+// isFree reports whether the row is marked as released.
 func isFree(t *testing.T, table platform.Table) bool {
 	t.Helper()
 	rows, err := table.Get(t.Context(), lease.KeyPrefix+"l")
@@ -56,25 +55,27 @@
 	return func() bool { _, held := k.Held(); return held }
 }
 
-// Guards against a lease that lapses because its holder stopped during a renewal.
-func TestALeaseIsGivenBackDuringARenewal(t *testing.T) {
+// Guards against a lease that is not released, and blocks the next holder until it
+// expires, because its holder stopped during a renewal.
+func TestALeaseIsReleasedDuringARenewal(t *testing.T) {
 	table := &slowTable{Memory: platformtest.New(), commits: make(chan platform.Txn, 1)}
-	k := lease.Keep(t.Context(), table, "l", "a", quick, lease.BootClock)
+	k := lease.Keep(t.Context(), table, "l", "a", shortSettings, lease.BootClock)
 	require.Eventually(t, heldBy(k), 2*time.Second, 5*time.Millisecond)
 	table.delay.Store(int64(100 * time.Millisecond))
 	select {
 	case <-table.commits:
 	default:
 	}
-	<-table.commits // the renewal is carried out, its answer on its way
+	<-table.commits // the renewal is committed, its answer delayed
 	k.Close(t.Context())
 	assert.True(t, isFree(t, table))
 }
 
-// Guards against the same where the renewal's answer was lost.
-func TestALeaseIsGivenBackAfterALostAnswer(t *testing.T) {
+// Guards against a lease that is not released because the answer to its last
+// renewal was lost.
+func TestALeaseIsReleasedAfterALostAnswer(t *testing.T) {
 	table := platformtest.New()
-	k := lease.Keep(t.Context(), table, "l", "a", quick, lease.BootClock)
+	k := lease.Keep(t.Context(), table, "l", "a", shortSettings, lease.BootClock)
 	require.Eventually(t, heldBy(k), 2*time.Second, 5*time.Millisecond)
 	lost := make(chan struct{})
 	table.OnCommit(func(platform.Txn) platformtest.Fault {
@@ -91,10 +92,10 @@
 	assert.True(t, isFree(t, table))
 }
 
-// Guards against a stop that hangs with the store.
-func TestAStopDoesNotWaitForTheStore(t *testing.T) {
+// Guards against a Close that blocks while the store does not answer.
+func TestCloseDoesNotWaitForTheStore(t *testing.T) {
 	table := &slowTable{Memory: platformtest.New(), commits: make(chan platform.Txn, 1)}
-	k := lease.Keep(t.Context(), table, "l", "a", quick, lease.BootClock)
+	k := lease.Keep(t.Context(), table, "l", "a", shortSettings, lease.BootClock)
 	require.Eventually(t, heldBy(k), 2*time.Second, 5*time.Millisecond)
 	table.delay.Store(int64(time.Minute))
 	select {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,11 +1,11 @@
-// Package lease decides who holds a lease that is kept in one row of the
-// platform's table. Lease is pure; Keeper does its reads and writes.
+// Package lease implements leases, each stored in one row of the platform's
+// table. Lease holds the state and does no I/O; Keeper does the reads and writes.
 //
-// No clock of another process counts, and none is written down: a contender
-// takes a lease over when the row did not change for the whole lease on its
-// own clock, and a holder stops before that time has passed since it *sent*
-// its last good write. The fencing number is the commit number of the write
-// that took the lease.
+// Processes never compare clocks, and no time is stored: a contender takes a lease
+// over when the row has not changed for the TTL on the contender's own clock, and
+// a holder stops acting before the TTL has passed since it sent its last
+// successful write. The fencing number is the commit number of the write that took
+// the lease.
 package lease
 
 import (
@@ -18,15 +18,16 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// KeyPrefix of the rows of leases.
+// KeyPrefix is the prefix of the keys of lease rows.
 const KeyPrefix = "lease/"
 
-// Settings of all leases of a fleet; they must be the same in every process.
+// Settings are the settings of a fleet's leases; they must be the same in every
+// process.
 type Settings struct {
 	// TTL is how long a lease lasts after a write.
 	TTL time.Duration `toml:"ttl" validate:"min=1s" unit:"duration" doc:"how long a lease lasts after a write; the same on every process"`
-	// Margin is how long before that the holder stops to act. It covers clocks
-	// that run at different rates and orders that are on their way.
+	// Margin is how long before the end of the TTL the holder stops acting. It
+	// covers differences in clock rate and orders that are in transit.
 	Margin time.Duration `toml:"margin" validate:"min=100ms" unit:"duration" doc:"how long before its end the holder of a lease stops to act"`
 	// Renew is the time between renewals.
 	Renew time.Duration `toml:"renew" validate:"min=100ms" unit:"duration" doc:"time between two renewals of a lease"`
@@ -34,23 +35,24 @@
 	Watch time.Duration `toml:"watch" validate:"min=100ms" unit:"duration" doc:"time between two reads of a lease by a contender"`
 }
 
-// DefaultSettings pass a lease on within about 13 s of its holder's death.
+// DefaultSettings returns settings with which another contender takes the lease
+// within about 13 s after its holder has crashed.
 func DefaultSettings() Settings {
 	return Settings{TTL: 10 * time.Second, Margin: 3 * time.Second, Renew: 2 * time.Second, Watch: 2 * time.Second}
 }
 
 // Events of charts/lease.toml.
 const (
-	eventLapsed  = "lapsed"
-	eventWon     = "won"
-	eventLost    = "lost"
-	eventDoubt   = "doubt"
-	eventRenew   = "renew"
-	eventExpire  = "expire"
-	eventRelease = "release"
+	eventLapsed    = "lapsed"
+	eventWon       = "won"
+	eventLost      = "lost"
+	eventUncertain = "doubt"
+	eventRenew     = "renew"
+	eventExpire    = "expire"
+	eventRelease   = "release"
 )
 
-// States of charts/lease.toml that the code asks for.
+// States of charts/lease.toml that the code refers to.
 const (
 	stateWatching = "watching"
 	stateTaking   = "taking"
@@ -60,68 +62,74 @@
 
 var chart = charts.Must("lease")
 
-// record is the row's value.
+// record is the value of the lease's row.
 type record struct {
-	// Holder is the contender's name, unique per boot of its process.
+	// Holder is the holder's name, unique for each start of its process.
 	Holder string `json:"holder"`
-	// Fence of the holder; 0 in the write that took the lease: there it is the
-	// row's own version.
+	// Fence is the holder's fencing number; 0 in the write that took the lease, whose
+	// row version is the fencing number.
 	Fence uint64 `json:"fence,omitempty"`
-	// Write counts the holder's writes, so that a lost answer can be settled.
+	// Write numbers the holder's writes, so that the holder can tell from the row
+	// whether a write whose answer was lost took effect.
 	Write uint64 `json:"write"`
-	// Free: the holder gave the lease back.
+	// Free: the holder has released the lease.
 	Free bool `json:"free,omitempty"`
 }
 
-// Action is what the shell does for a lease: one read, or one write.
+// Action is what the caller must do next: one read or one write.
 type Action struct {
-	// Read the row.
+	// Read: read the row and call ReadDone.
 	Read bool
-	// Commit, when not nil.
+	// Commit, if not nil, is to be committed, followed by CommitDone.
 	Commit *platform.Txn
 }
 
-// Lease is one contender's view of one lease. It has no I/O, goroutine or
-// clock. Not safe for concurrent use. The clock that its `now` comes from must
-// go on while the process is stopped and the VM suspended.
+// Lease is one contender's view of one lease. It does no I/O, starts no goroutine
+// and reads no clock. It is not safe for concurrent use. The clock behind the
+// parameter now must advance while the process is stopped or the VM suspended.
 type Lease struct {
 	name, holder string
 	settings     Settings
 	state        string
 
-	// row as last seen, and when it was first seen with this version.
+	// version and current are the row as last read or written, seenAt is when this
+	// version was first seen. seen: they are set.
 	version uint64
 	seenAt  time.Time
 	seen    bool
 	current record
 
-	// inherited: the row was there when the lease was taken.
+	// inherited: the row existed when this contender took the lease.
 	inherited bool
-	// fence and until are of the holder's own lease.
+	// fence is this holder's fencing number, until the time at which it must stop
+	// acting, writes the number of its writes so far.
 	fence  uint64
 	until  time.Time
 	writes uint64
-	// sentAt and sentFence are of the latest write; sentFence is 0 when it was
-	// to take the lease.
+	// sentAt is when the latest write was sent, sentFence its fencing number; 0 for a
+	// write that takes the lease.
 	sentAt    time.Time
 	sentFence uint64
-	// doubt: the answer of the latest write was lost.
-	doubt    bool
-	busy     bool
+	// uncertain: it is not known whether the latest write took effect.
+	uncertain bool
+	// inFlight: an action is in progress.
+	inFlight bool
+	// nextStep is the earliest time of the next action.
 	nextStep time.Time
 }
 
-// New returns the view of a contender. holder must differ between two boots of
-// one process.
+// New returns the view of a contender. holder must be unique for each start of a
+// process.
 func New(name, holder string, settings Settings) *Lease {
 	return &Lease{name: name, holder: holder, settings: settings, state: chart.Initial()}
 }
 
-// Key of the row.
+// Key returns the key of the lease's row.
 func (l *Lease) Key() string { return KeyPrefix + l.name }
 
-// Held returns the fencing number while the holder may act. It must be asked
-// again before each act: a process may be stopped between any two lines.
+// Held returns the fencing number, and ok while the holder may act. Call it before
+// each action that requires the lease: the process may have been paused since the
+// last call.
 func (l *Lease) Held(now time.Time) (fence uint64, ok bool) {
 	if l.state != stateHeld && l.state != stateRenewing {
 		return 0, false
@@ -129,43 +137,43 @@
 	return l.fence, now.Before(l.until)
 }
 
-// Idle tells whether the lease is neither held nor on its way.
-func (l *Lease) Idle() bool { return l.state == stateWatching && !l.busy && !l.doubt }
+// Idle reports whether the lease is not held, with no action in flight and no
+// uncertain write.
+func (l *Lease) Idle() bool { return l.state == stateWatching && !l.inFlight && !l.uncertain }
 
-// Uncertain tells whether the outcome of the last write is not known.
-func (l *Lease) Uncertain() bool { return l.doubt }
+// Uncertain reports whether the outcome of the latest write is not known.
+func (l *Lease) Uncertain() bool { return l.uncertain }
 
-// Inherited tells whether somebody held the lease before: work of that holder
-// may still be on its way.
+// Inherited reports whether the lease had an earlier holder, whose work may still
+// be in progress.
 func (l *Lease) Inherited() bool { return l.inherited }
 
 func (l *Lease) fire(event string) {
 	next, err := chart.Next(l.state, event)
 	if err != nil {
-		// The chart is checked for gaps when it is loaded.
+		// Loading the chart checks that each state handles every event.
 		panic(err)
 	}
 	l.state = next
 }
 
-// Tick returns what is due at the time, at most one action; nil when one is
-// under way.
+// Tick returns the action that is due, nil if there is none or one is in flight.
 func (l *Lease) Tick(now time.Time) *Action {
 	if l.state == stateHeld || l.state == stateRenewing {
 		if !now.Before(l.until) {
-			// Too late to act, perhaps after a pause. The lease is not renewed as
-			// it stands: another may have held it meanwhile.
+			// The lease has expired, for example during a pause of the process. It is
+			// not renewed: another contender may have held it in the meantime.
 			l.fire(eventExpire)
 			l.fence = 0
 		}
 	}
-	if l.busy || now.Before(l.nextStep) {
+	if l.inFlight || now.Before(l.nextStep) {
 		return nil
 	}
 	switch {
-	case l.state == stateHeld && l.doubt, l.state == stateWatching && !l.lapsed(now):
+	case l.state == stateHeld && l.uncertain, l.state == stateWatching && !l.lapsed(now):
 		l.nextStep = now.Add(l.settings.Watch)
-		l.busy = true
+		l.inFlight = true
 		return &Action{Read: true}
 	case l.state == stateHeld:
 		l.nextStep = now.Add(l.settings.Renew)
@@ -176,7 +184,8 @@
 	return nil
 }
 
-// lapsed tells whether the row stood still for a whole lease on our clock.
+// lapsed reports whether the lease can be taken: it does not exist, was released,
+// or its row has not changed for the TTL on this contender's clock.
 func (l *Lease) lapsed(now time.Time) bool {
 	if !l.seen {
 		return false
@@ -199,10 +208,10 @@
 	l.writes++
 	value.Write = l.writes
 	l.sentAt, l.sentFence = now, value.Fence
-	l.busy = true
+	l.inFlight = true
 	body, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // a struct of a string, numbers and a bool
+		panic(err) // A struct of a string, numbers and a bool can always be encoded.
 	}
 	return &Action{Commit: &platform.Txn{
 		Conditions: []platform.Condition{{Key: l.Key(), Version: l.version}},
@@ -210,18 +219,18 @@
 	}}
 }
 
-// CommitDone takes the answer of a write.
+// CommitDone processes the result of a write.
 func (l *Lease) CommitDone(now time.Time, result platform.TxnResult, err error) {
-	l.busy = false
+	l.inFlight = false
 	switch {
 	case err != nil:
-		// Lost answer or outage. The old time goes on running out; the row is
-		// read to see whether the write took effect.
-		l.fire(eventDoubt)
-		l.doubt = true
+		// The answer was lost or the store is down. The old deadline remains; the row
+		// is read to find out whether the write took effect.
+		l.fire(eventUncertain)
+		l.uncertain = true
 		l.nextStep = now
 	case result.Committed:
-		l.doubt = false
+		l.uncertain = false
 		l.observe(now, result.Commit, record{Holder: l.holder, Fence: l.sentFence, Write: l.writes})
 		l.won(result.Commit, l.sentFence)
 	default:
@@ -229,17 +238,17 @@
 	}
 }
 
-// lose stops to act at once: another write came first.
+// lose gives the lease up at once: another process has written the row.
 func (l *Lease) lose(now time.Time) {
 	l.fire(eventLost)
 	l.fence = 0
-	l.doubt = false
+	l.uncertain = false
 	l.nextStep = now
 	l.seen = false
 }
 
-// won starts the holder's time at the moment its write was sent: any reader
-// sees the row later than that, so it waits longer than we act.
+// won starts the holder's time when its write was sent. Other contenders see the
+// row later than that, so their wait ends after the holder has stopped acting.
 func (l *Lease) won(version, fence uint64) {
 	l.fence = fence
 	if fence == 0 {
@@ -249,9 +258,10 @@
 	l.fire(eventWon)
 }
 
-// ReadDone takes the row as read, nil when there is none.
+// ReadDone processes the result of a read; row is nil if it does not exist. It
+// returns an error if the row's value can't be decoded, and ignores a failed read.
 func (l *Lease) ReadDone(now time.Time, row *platform.Row, err error) error {
-	l.busy = false
+	l.inFlight = false
 	if err != nil {
 		return nil
 	}
@@ -263,11 +273,11 @@
 		version = row.Version
 	}
 	if version < l.version {
-		// An answer that was overtaken by a newer one.
+		// This answer is older than one already processed.
 		return nil
 	}
 	l.observe(now, version, value)
-	l.settle(now, version, value)
+	l.resolve(now, version, value)
 	if l.state == stateWatching && l.lapsed(now) {
 		l.nextStep = now
 	}
@@ -281,14 +291,14 @@
 	l.seen, l.version, l.current = true, version, value
 }
 
-// settle finds the outcome of a write whose answer was lost. The row shows it:
-// ours with the number of that very write, ours with an older number, or
-// another's. Only the first gives new time, counted from when it was sent.
-func (l *Lease) settle(now time.Time, version uint64, value record) {
-	doubted := l.doubt
-	l.doubt = false
+// resolve finds from the row whether a write whose answer was lost took effect: the
+// row holds that write, an older one of this holder, or another holder's. Only in
+// the first case is the lease extended, counted from when the write was sent.
+func (l *Lease) resolve(now time.Time, version uint64, value record) {
+	wasUncertain := l.uncertain
+	l.uncertain = false
 	ours := value.Holder == l.holder && !value.Free
-	latest := ours && value.Write == l.writes && doubted
+	latest := ours && value.Write == l.writes && wasUncertain
 	switch {
 	case l.state == stateHeld && !ours:
 		l.lose(now)
@@ -299,8 +309,9 @@
 	}
 }
 
-// Release returns the write that gives the lease back, so that the next holder
-// need not wait; nil when it is not held. The holder must have stopped to act.
+// Release returns the write that releases the lease, so that the next holder need
+// not wait for the TTL; nil if the lease is not held. The holder must not act any
+// more when it is called.
 func (l *Lease) Release(now time.Time) *Action {
 	if _, held := l.Held(now); !held {
 		return nil
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -18,22 +18,23 @@
 
 const step = 100 * time.Millisecond
 
-// contender is one process with a clock of its own rate and offset, whose
-// calls of the table take time and get lost, and that is stopped now and then.
+// contender is one process with its own clock rate and offset. Its calls to the
+// table are delayed or lost, and the process is paused at times.
 type contender struct {
-	lease   *lease.Lease
-	rate    float64
-	offset  time.Duration
-	stopped int // steps that it is still stopped
-	answer  func()
-	waits   int
+	lease  *lease.Lease
+	rate   float64
+	offset time.Duration
+	paused int // steps until the process goes on
+	// answer delivers the result of the call in flight, after waits steps.
+	answer func()
+	waits  int
 }
 
 func (c *contender) now(elapsed time.Duration) time.Time {
 	return time.Unix(1000, 0).Add(c.offset + time.Duration(float64(elapsed)*c.rate))
 }
 
-// call carries an action out now and keeps its answer for later.
+// call carries an action out at once and stores its answer for later delivery.
 func (c *contender) call(t *rapid.T, table *platformtest.Memory, elapsed func() time.Duration, action *lease.Action) {
 	fault := rapid.SampledFrom([]string{"", "", "", "", "lost request", "lost answer"}).Draw(t, "fault")
 	c.waits = rapid.SampledFrom([]int{0, 0, 1, 3, 20, 60}).Draw(t, "answer after")
@@ -63,11 +64,9 @@
 	c.answer = func() { c.lease.CommitDone(c.now(elapsed()), result, err) }
 }
 
-// Orders of two holders mix and a rollout is undone half way: a holder is
-// stopped, its lease lapses, another takes it, the first wakes. Whatever is
-// lost, late or stopped, and with clocks that run 30% apart and show other
-// times, never do two contenders believe to hold the lease at one moment, and
-// fencing numbers only rise.
+// Guards against two holders at the same time, whatever calls are lost or delayed,
+// whichever processes are paused, and with clocks that differ by 30% in rate.
+// Fencing numbers never decrease.
 func TestNeverTwoHoldersAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := platformtest.New()
@@ -86,8 +85,8 @@
 			elapsed += step
 			var holders []int
 			for i, c := range all {
-				if c.stopped > 0 {
-					c.stopped--
+				if c.paused > 0 {
+					c.paused--
 				} else {
 					c.run(t, table, clock)
 				}
@@ -112,13 +111,13 @@
 	}
 	if action := c.lease.Tick(c.now(elapsed())); action != nil {
 		c.call(t, table, elapsed, action)
-		if rapid.IntRange(0, 9).Draw(t, "stops") == 0 {
-			c.stopped = rapid.IntRange(1, 250).Draw(t, "steps stopped")
+		if rapid.IntRange(0, 9).Draw(t, "pause") == 0 {
+			c.paused = rapid.IntRange(1, 250).Draw(t, "steps paused")
 		}
 	}
 }
 
-// drive runs one contender without faults until the time.
+// drive runs one contender without faults, from one time to another.
 func drive(table *platformtest.Memory, l *lease.Lease, from, to time.Time) {
 	for now := from; now.Before(to); now = now.Add(step) {
 		action := l.Tick(now)
@@ -140,9 +139,9 @@
 
 var start = time.Unix(1000, 0)
 
-// A holder is stopped in the middle of its work, longer than its lease. When it
-// wakes it must not act, before it has read or written anything.
-func TestHolderThatWakesDoesNotAct(t *testing.T) {
+// Guards against a holder that still acts when it resumes after a pause longer than
+// its lease, before it has read or written the row.
+func TestAHolderDoesNotActAfterALongPause(t *testing.T) {
 	table := platformtest.New()
 	settings := lease.DefaultSettings()
 	a, b := lease.New("p", "a", settings), lease.New("p", "b", settings)
@@ -151,7 +150,7 @@
 	require.True(t, held)
 	drive(table, b, start.Add(4*time.Second), start.Add(40*time.Second))
 	second, held := b.Held(start.Add(40 * time.Second))
-	require.True(t, held, "the lease passes on")
+	require.True(t, held, "another contender takes the lease")
 	assert.Greater(t, second, first)
 	_, held = a.Held(start.Add(40 * time.Second))
 	assert.False(t, held)
@@ -160,8 +159,8 @@
 	assert.False(t, held)
 }
 
-// Work of control stands still for a lease's length at each rolling
-// replacement, unless the holder gives the lease back.
+// Guards against a pause of the length of the TTL each time a holder is replaced
+// on purpose.
 func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
 	table := platformtest.New()
 	a, b := lease.New("p", "a", lease.DefaultSettings()), lease.New("p", "b", lease.DefaultSettings())
@@ -177,8 +176,8 @@
 	assert.True(t, held)
 }
 
-// The platform loses one answer of a renewal after the write. The holder must
-// neither lose the lease for it nor count time that it does not have.
+// The store loses one answer to a renewal after it has carried the write out. The
+// holder must keep the lease, and its fencing number.
 func TestLostAnswerOfARenewalKeepsTheLease(t *testing.T) {
 	table := platformtest.New()
 	l := lease.New("p", "a", lease.DefaultSettings())
@@ -209,7 +208,7 @@
 		l.Tick(start)
 		_ = l.ReadDone(start, &platform.Row{Key: l.Key(), Value: value, Version: version}, nil)
 		if _, held := l.Held(start); held {
-			t.Fatal("a row alone gives nobody the lease")
+			t.Fatal("a contender holds the lease after a read alone")
 		}
 	})
 }
