--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,7 +1,7 @@
-// Package rollout decides when each backend server takes new weights: which
-// ones first, how many at once, and how long work is kept from a server before.
-// It has no I/O, goroutine or clock: Tick takes what is known and returns
-// typed actions; callers lock.
+// Package rollout decides when each backend server loads new weights: in which
+// order, how many at once, and how long a server gets no requests before it loads.
+// The package does no I/O, starts no goroutine and reads no clock: Tick takes the
+// state of the servers and returns actions. It is not safe for concurrent use.
 package rollout
 
 import (
@@ -9,87 +9,91 @@
 	"time"
 )
 
-// Server is a backend server as last known.
+// Server is a backend server as last observed.
 type Server struct {
 	ID      string
 	Address string
-	// Version of the weights that it is believed to have.
+	// Version of the weights that it had when last observed.
 	Version uint64
-	// Running is how many of our own requests it works on.
+	// Running is the number of this process's requests that run there.
 	Running int
 }
 
-// ActionKind says what to do.
+// ActionKind is the kind of an action.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	// Announce to all entries that the server gets no more work for now.
+	// Announce to all entries that they send the server no new requests for now.
 	Announce ActionKind = iota + 1
-	// Order the server to take the version, if it accepted Orders orders so far.
+	// Order the server to load Version, provided that it has accepted Orders orders
+	// so far.
 	Order
-	// Look asks the server for its state.
+	// Look queries the server's state; the answer goes to ObserveState.
 	Look
-	// Withdraw an announcement: work may go to the server again.
+	// Withdraw an announcement: the server may get requests again.
 	Withdraw
 )
 
 var kindNames = [...]string{"none", "announce", "order", "look", "withdraw"}
 
-// String is the word for logs.
+// String returns the name for logs.
 func (k ActionKind) String() string { return kindNames[k] }
 
-// Action is something that the caller must do now.
+// Action is an action that the caller must carry out now.
 type Action struct {
 	Kind    ActionKind
 	Server  string
 	Address string
 	Version uint64
-	// Orders that the server is known to have accepted; negative: not known.
+	// Orders is how many orders the server has accepted; negative: not known.
 	Orders int64
 }
 
-// ServerState is a server's own state.
+// ServerState is the state that a server reports of itself.
 type ServerState struct {
 	Version uint64
-	Busy    bool
-	Orders  uint64
+	// Busy: it is loading weights.
+	Busy bool
+	// Orders is how many orders it has accepted.
+	Orders uint64
+	// Running and Queued are numbers of requests.
 	Running int
 	Queued  int
 }
 
 const (
-	// drainAtMost is how long a server is kept from work before its order; what
-	// runs longer than that holds the order up at the server.
-	drainAtMost = 300 * time.Millisecond
-	// drainAtLeast lets requests that are on their way arrive before the order.
-	drainAtLeast = 120 * time.Millisecond
-	// lookEvery bounds the questions to one server: each has a price.
-	lookEvery = 120 * time.Millisecond
-	// reportLag is how old a server's word on itself is about.
+	// maxDrainTime is how long a server at most gets no requests before its order.
+	// Requests that run longer delay the load at the server.
+	maxDrainTime = 300 * time.Millisecond
+	// minDrainTime lets requests that are in transit arrive before the order.
+	minDrainTime = 120 * time.Millisecond
+	// lookInterval is the least time between two queries of one server during a load.
+	lookInterval = 120 * time.Millisecond
+	// reportLag is the usual age of the state that a server reports.
 	reportLag = 200 * time.Millisecond
-	// loadGuess until the time of a load was measured; rather long, as loads that
-	// overlap slow each other.
-	loadGuess = 900 * time.Millisecond
-	// loadAtMost after which an order is taken to be lost and given again.
-	loadAtMost = 4 * time.Second
-	// answerWithin which an announced server must tell its state, a few questions
-	// long; silentRest is for how long one that did not is passed over. Servers
-	// that crashed stay listed for seconds: each held a place until it left the
-	// list, and with a third of them gone no other was ordered meanwhile.
-	answerWithin = 350 * time.Millisecond
-	silentRest   = 1500 * time.Millisecond
-	// retryAfter a refused or failed order.
-	retryAfter = 300 * time.Millisecond
-	// shareAtOnce of the servers load at a time, until loads show otherwise.
-	shareAtOnce = 5
-	leastAtOnce = 2
-	// gain of one load in the running mean of its time.
-	gain = 0.3
-	// aheadTime before a place to load becomes free, the next server is kept from
-	// work to run dry. As many as load at once kept from work all the while took
-	// a fifth of the fleet for nothing while new weights went round.
-	aheadTime = drainAtMost
+	// initialLoadTime is the expected time of a load until one has ended. It allows
+	// for concurrent loads, which slow each other down.
+	initialLoadTime = 900 * time.Millisecond
+	// loadTimeout is how long after an order it is assumed lost and given again.
+	loadTimeout = 4 * time.Second
+	// stateTimeout is how long an announced server may take to report its state, a few
+	// queries long. One that does not is passed over for unresponsivePause: crashed
+	// servers stay listed for seconds and would take the places of live ones.
+	stateTimeout      = 350 * time.Millisecond
+	unresponsivePause = 1500 * time.Millisecond
+	// retryDelay is the time before a server is tried again after an order that was
+	// refused or failed.
+	retryDelay = 300 * time.Millisecond
+	// One in serversPerLoad servers loads at a time, but at least minConcurrentLoads.
+	serversPerLoad     = 5
+	minConcurrentLoads = 2
+	// loadTimeWeight is the weight of the latest load in the moving average of the
+	// load time.
+	loadTimeWeight = 0.3
+	// announceLead is how long before the expected end of a load the next server is
+	// announced, so that it has drained by then. Announced earlier it would be idle.
+	announceLead = maxDrainTime
 )
 
 type phase int
@@ -100,170 +104,178 @@
 	ordered
 )
 
-type track struct {
-	phase   phase
+// progress is the progress of the rollout at one server.
+type progress struct {
+	phase phase
+	// since is the start of the phase.
 	since   time.Time
 	lookAt  time.Time
 	version uint64
 	orders  int64
 	running int
-	known   bool
-	// expected is the count that the last order named; refused: the server's own
-	// state shows that it did not take that order.
-	expected int64
-	refused  bool
-	// until is when the server may be tried again after a failure; silent: it told
-	// nothing when it was last asked.
-	until  time.Time
-	silent bool
+	// stateKnown: the server has reported its state since it was announced.
+	stateKnown bool
+	// expectedOrders is the count that the last order named. refused: the server's
+	// state shows that it did not accept that order.
+	expectedOrders int64
+	refused        bool
+	// retryAt is when the server may be tried again after a failure. unresponsive: it
+	// did not answer the last query of its state.
+	retryAt      time.Time
+	unresponsive bool
 }
 
-// Plan is the rollout of one model over the servers of a service.
+// Plan is the rollout of one model to the servers of a service.
 type Plan struct {
-	tracks map[string]*track
-	// loadTime is the mean time of a load.
+	byServer map[string]*progress
+	// loadTime is the moving average of the time of a load.
 	loadTime time.Duration
 }
 
-// New makes a plan that has begun nothing. A holder that just took over makes
-// a new one: what was ordered before it shows in the servers' own state.
-func New() *Plan { return &Plan{tracks: map[string]*track{}, loadTime: loadGuess} }
+// New returns a plan without orders in progress. A process that takes the rollout
+// lease over starts with a new plan: the servers' states show earlier orders.
+func New() *Plan { return &Plan{byServer: map[string]*progress{}, loadTime: initialLoadTime} }
 
-// MaxConcurrentLoads is how many of n servers load at a time.
-func MaxConcurrentLoads(n int) int { return max(leastAtOnce, n/shareAtOnce) }
+// MaxConcurrentLoads returns how many of n servers load at the same time.
+func MaxConcurrentLoads(n int) int { return max(minConcurrentLoads, n/serversPerLoad) }
 
-// Tick returns what to do now.
-func (p *Plan) Tick(now time.Time, wanted uint64, servers []Server) []Action {
-	p.forget(servers)
+// Tick returns the actions to carry out now so that the servers get to the target
+// version.
+func (p *Plan) Tick(now time.Time, target uint64, servers []Server) []Action {
+	p.removeUnlisted(servers)
 	var actions []Action
-	loading, ending, waiting, answering := 0, 0, 0, 0
+	loading, endingSoon, waiting, responsive := 0, 0, 0, 0
 	for _, s := range servers {
-		t := p.track(s.ID)
-		actions = append(actions, p.advance(now, t, s)...)
-		if !t.silent {
-			answering++
+		pr := p.progress(s.ID)
+		actions = append(actions, p.advance(now, pr, s)...)
+		if !pr.unresponsive {
+			responsive++
 		}
-		switch t.phase {
+		switch pr.phase {
 		case ordered:
-			// What a server says of itself lags: the next order goes out when
-			// this load should be over, not when it shows.
-			left := p.loadTime - now.Sub(t.since)
+			// The state that a server reports lags: a load counts as ended at its
+			// expected end, not when the server reports it.
+			left := p.loadTime - now.Sub(pr.since)
 			if left > 0 {
 				loading++
 			}
-			if left > 0 && left <= aheadTime {
-				ending++
+			if left > 0 && left <= announceLead {
+				endingSoon++
 			}
 		case announced:
 			waiting++
 		}
 	}
-	// Those that are silent do no work, which the others do for them.
-	free := MaxConcurrentLoads(answering) - loading
-	for _, s := range p.ripe(now, servers) {
+	// Unresponsive servers do not count: the others carry their load.
+	free := MaxConcurrentLoads(responsive) - loading
+	for _, s := range p.readyForOrder(now, servers) {
 		if free <= 0 {
 			break
 		}
 		free--
-		actions = append(actions, p.order(now, s, wanted))
+		actions = append(actions, p.order(now, s, target))
 		waiting--
 	}
-	ahead := free + ending - waiting
-	return append(actions, p.announce(now, wanted, servers, ahead)...)
+	announceCount := free + endingSoon - waiting
+	return append(actions, p.announce(now, target, servers, announceCount)...)
 }
 
-func (p *Plan) forget(servers []Server) {
-	named := make(map[string]bool, len(servers))
+func (p *Plan) removeUnlisted(servers []Server) {
+	listed := make(map[string]bool, len(servers))
 	for _, s := range servers {
-		named[s.ID] = true
+		listed[s.ID] = true
 	}
-	for id := range p.tracks {
-		if !named[id] {
-			delete(p.tracks, id)
+	for id := range p.byServer {
+		if !listed[id] {
+			delete(p.byServer, id)
 		}
 	}
 }
 
-func (p *Plan) track(id string) *track {
-	t, ok := p.tracks[id]
+func (p *Plan) progress(id string) *progress {
+	pr, ok := p.byServer[id]
 	if !ok {
-		t = &track{orders: -1}
-		p.tracks[id] = t
+		pr = &progress{orders: -1}
+		p.byServer[id] = pr
 	}
-	return t
+	return pr
 }
 
-// advance ends what is over and looks at what is under way.
-func (p *Plan) advance(now time.Time, t *track, s Server) []Action {
-	switch t.phase {
+// advance ends phases that are complete or timed out, and queries servers whose
+// state is needed.
+func (p *Plan) advance(now time.Time, pr *progress, s Server) []Action {
+	switch pr.phase {
 	case ordered:
-		if s.Version >= t.version {
-			p.loadTime += time.Duration(gain * float64(now.Sub(t.since)-reportLag-p.loadTime))
-			t.phase = idle
+		if s.Version >= pr.version {
+			p.loadTime += time.Duration(loadTimeWeight * float64(now.Sub(pr.since)-reportLag-p.loadTime))
+			pr.phase = idle
 			return nil
 		}
-		if now.Sub(t.since) > loadAtMost || t.refused {
-			// Lost, or late: the count of orders keeps a late one from undoing
-			// the next.
-			t.phase, t.orders, t.until = idle, -1, now.Add(retryAfter)
+		if now.Sub(pr.since) > loadTimeout || pr.refused {
+			// The order was lost or is late. The count of orders keeps a late order
+			// from undoing the next one.
+			pr.phase, pr.orders, pr.retryAt = idle, -1, now.Add(retryDelay)
 			return []Action{{Kind: Withdraw, Server: s.ID}}
 		}
-		if now.Sub(t.since) >= p.loadTime && !now.Before(t.lookAt) {
-			t.lookAt = now.Add(lookEvery)
+		if now.Sub(pr.since) >= p.loadTime && !now.Before(pr.lookAt) {
+			pr.lookAt = now.Add(lookInterval)
 			return []Action{{Kind: Look, Server: s.ID, Address: s.Address}}
 		}
 	case announced:
-		if !t.known && now.Sub(t.since) >= answerWithin {
-			// The announcement lapses by itself: work that went back to it at once
-			// would find it as silent.
-			t.phase, t.until, t.silent = idle, now.Add(silentRest), true
+		if !pr.stateKnown && now.Sub(pr.since) >= stateTimeout {
+			// The announcement is not withdrawn and expires by itself: the server
+			// would not answer requests either.
+			pr.phase, pr.retryAt, pr.unresponsive = idle, now.Add(unresponsivePause), true
 			return nil
 		}
-		if !t.known && !now.Before(t.lookAt) {
-			t.lookAt = now.Add(2 * lookEvery)
+		if !pr.stateKnown && !now.Before(pr.lookAt) {
+			pr.lookAt = now.Add(2 * lookInterval)
 			return []Action{{Kind: Look, Server: s.ID, Address: s.Address}}
 		}
 	}
 	return nil
 }
 
-// ripe are announced servers that have run dry, or waited for that long enough.
-func (p *Plan) ripe(now time.Time, servers []Server) []Server {
-	var ripe []Server
+// readyForOrder returns the announced servers that have drained or had the time to,
+// in the order of their announcement.
+func (p *Plan) readyForOrder(now time.Time, servers []Server) []Server {
+	var ready []Server
 	for _, s := range servers {
-		t := p.tracks[s.ID]
-		if t.phase != announced || !t.known {
+		pr := p.byServer[s.ID]
+		if pr.phase != announced || !pr.stateKnown {
 			continue
 		}
-		waited := now.Sub(t.since)
-		if waited >= drainAtMost || waited >= drainAtLeast && s.Running == 0 && t.running == 0 {
-			ripe = append(ripe, s)
+		waited := now.Sub(pr.since)
+		if waited >= maxDrainTime || waited >= minDrainTime && s.Running == 0 && pr.running == 0 {
+			ready = append(ready, s)
 		}
 	}
-	sort.SliceStable(ripe, func(i, j int) bool { return p.tracks[ripe[i].ID].since.Before(p.tracks[ripe[j].ID].since) })
-	return ripe
+	sort.SliceStable(ready, func(i, j int) bool {
+		return p.byServer[ready[i].ID].since.Before(p.byServer[ready[j].ID].since)
+	})
+	return ready
 }
 
-func (p *Plan) order(now time.Time, s Server, wanted uint64) Action {
-	t := p.tracks[s.ID]
-	t.phase, t.since, t.version, t.lookAt = ordered, now, wanted, time.Time{}
-	t.expected, t.refused = t.orders, false
-	return Action{Kind: Order, Server: s.ID, Address: s.Address, Version: wanted, Orders: t.orders}
+func (p *Plan) order(now time.Time, s Server, target uint64) Action {
+	pr := p.byServer[s.ID]
+	pr.phase, pr.since, pr.version, pr.lookAt = ordered, now, target, time.Time{}
+	pr.expectedOrders, pr.refused = pr.orders, false
+	return Action{Kind: Order, Server: s.ID, Address: s.Address, Version: target, Orders: pr.orders}
 }
 
-// announce picks the next servers: those that answer, of these the oldest weights
-// first, so that none is left behind when versions follow each other, then the
-// least busy.
-func (p *Plan) announce(now time.Time, wanted uint64, servers []Server, n int) []Action {
+// announce picks the next n servers: responsive ones first, then those with the
+// oldest weights, so that none is left behind when versions follow each other
+// quickly, then those with the fewest requests.
+func (p *Plan) announce(now time.Time, target uint64, servers []Server, n int) []Action {
 	var next []Server
 	for _, s := range servers {
-		t := p.tracks[s.ID]
-		if t.phase == idle && s.Version < wanted && !now.Before(t.until) {
+		pr := p.byServer[s.ID]
+		if pr.phase == idle && s.Version < target && !now.Before(pr.retryAt) {
 			next = append(next, s)
 		}
 	}
 	sort.SliceStable(next, func(i, j int) bool {
-		if a, b := p.tracks[next[i].ID].silent, p.tracks[next[j].ID].silent; a != b {
+		if a, b := p.byServer[next[i].ID].unresponsive, p.byServer[next[j].ID].unresponsive; a != b {
 			return b
 		}
 		if next[i].Version != next[j].Version {
@@ -273,35 +285,35 @@
 	})
 	var actions []Action
 	for _, s := range next[:max(0, min(n, len(next)))] {
-		t := p.tracks[s.ID]
-		t.phase, t.since, t.known, t.lookAt = announced, now, false, time.Time{}
+		pr := p.byServer[s.ID]
+		pr.phase, pr.since, pr.stateKnown, pr.lookAt = announced, now, false, time.Time{}
 		actions = append(actions,
-			Action{Kind: Announce, Server: s.ID, Address: s.Address, Version: wanted},
+			Action{Kind: Announce, Server: s.ID, Address: s.Address, Version: target},
 			Action{Kind: Look, Server: s.ID, Address: s.Address})
-		t.lookAt = now.Add(2 * lookEvery)
+		pr.lookAt = now.Add(2 * lookInterval)
 	}
 	return actions
 }
 
-// ObserveState takes in a server's own state. One that is asked after the time of a load,
-// loads nothing and counts no order more did not take the order that got no
-// answer: kept from work until the longest time of a load, half of the servers
-// stood idle while orders were lost.
+// ObserveState records the state that a server reported. If an order is due to be
+// done and the server neither loads nor has accepted another order, the order was
+// lost; it is given again without waiting for loadTimeout.
 func (p *Plan) ObserveState(server string, seen ServerState) {
-	t := p.track(server)
-	if t.phase == ordered && t.expected >= 0 && !seen.Busy && int64(seen.Orders) == t.expected { //nolint:gosec // a count of orders
-		t.refused = true
+	pr := p.progress(server)
+	if pr.phase == ordered && pr.expectedOrders >= 0 && !seen.Busy && int64(seen.Orders) == pr.expectedOrders { //nolint:gosec // a count of orders
+		pr.refused = true
 	}
-	t.known, t.silent = true, false
-	t.orders = int64(seen.Orders) //nolint:gosec // a count of orders
-	t.running = seen.Running + seen.Queued
+	pr.stateKnown, pr.unresponsive = true, false
+	pr.orders = int64(seen.Orders) //nolint:gosec // a count of orders
+	pr.running = seen.Running + seen.Queued
 }
 
-// OrderRefused takes in that the server did not take the order; it may be tried again soon.
+// OrderRefused records that the server did not accept the order. The server may be
+// tried again after a short delay.
 func (p *Plan) OrderRefused(now time.Time, server string) {
-	t := p.track(server)
-	t.phase, t.orders, t.known, t.until = idle, -1, false, now.Add(retryAfter)
+	pr := p.progress(server)
+	pr.phase, pr.orders, pr.stateKnown, pr.retryAt = idle, -1, false, now.Add(retryDelay)
 }
 
-// AlreadyLoaded takes in that the server has the version already.
-func (p *Plan) AlreadyLoaded(server string) { p.track(server).phase = idle }
+// AlreadyLoaded records that the server has the version already.
+func (p *Plan) AlreadyLoaded(server string) { p.progress(server).phase = idle }
