--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -1,6 +1,6 @@
-// Package weights holds which version of each model's weights is named, and
-// which version each backend server is believed to have. It has no I/O,
-// goroutine or clock; callers lock.
+// Package weights records which version of each model's weights an operator has
+// named as the target, and since when. It does no I/O, starts no goroutine and reads
+// no clock. It is not safe for concurrent use.
 package weights
 
 import (
@@ -8,131 +8,133 @@
 	"time"
 )
 
-// Target is a version that an operator named for a model.
+// Target is the version of its weights that an operator named for a model.
 type Target struct {
 	Model   string
 	Version uint64
 }
 
-// Wanted is the newest version of a model and when this process heard of each
-// step, for how long older ones may still serve.
-type Wanted struct {
+// modelHistory is the target version of a model, with the times at which it and
+// earlier ones were named. They give how long older weights have been out of date.
+type modelHistory struct {
 	Version uint64
-	// Since is when this version was first heard of.
+	// Since is when this version was named, as far as is known.
 	Since time.Time
-	// since of older versions' successors, newest last, bounded.
+	// steps holds the latest versions, newest last, at most maxSteps.
 	steps []step
 }
 
+// step is a version and when it was named.
 type step struct {
 	version uint64
 	at      time.Time
 }
 
-// keptSteps bounds the history; a version older than all of them is as old as
-// the oldest kept successor.
-const keptSteps = 16
+// maxSteps bounds the history of a model. A version older than all of it counts as
+// replaced when the oldest version of the history was named.
+const maxSteps = 16
 
-// Targets is the newest named version of every model.
+// Targets holds the target version of every model, with its history.
 type Targets struct {
-	models map[string]*Wanted
+	models map[string]*modelHistory
 }
 
-// NewTargets is empty.
-func NewTargets() *Targets { return &Targets{models: map[string]*Wanted{}} }
+// NewTargets returns an empty set of targets.
+func NewTargets() *Targets { return &Targets{models: map[string]*modelHistory{}} }
 
-// Set takes in a named version; older ones than known change nothing.
-func (b *Targets) Set(now time.Time, named Target) bool {
-	w := b.models[named.Model]
-	if w == nil {
-		w = &Wanted{}
-		b.models[named.Model] = w
+// Set sets a target version and reports whether it is newer than the one before;
+// if not, it changes nothing.
+func (t *Targets) Set(now time.Time, target Target) bool {
+	h := t.models[target.Model]
+	if h == nil {
+		h = &modelHistory{}
+		t.models[target.Model] = h
 	}
-	if named.Version <= w.Version {
+	if target.Version <= h.Version {
 		return false
 	}
-	w.Version, w.Since = named.Version, now
-	w.steps = append(w.steps, step{named.Version, now})
-	if len(w.steps) > keptSteps {
-		w.steps = w.steps[1:]
+	h.Version, h.Since = target.Version, now
+	h.steps = append(h.steps, step{target.Version, now})
+	if len(h.steps) > maxSteps {
+		h.steps = h.steps[1:]
 	}
 	return true
 }
 
-// VersionAge is a version with how long ago it was named.
+// VersionAge is a version and how long ago it was named.
 type VersionAge struct {
 	Version uint64        `json:"version"`
 	Age     time.Duration `json:"age_ns"`
 }
 
-// History returns the kept history of every model.
-func (b *Targets) History(now time.Time) map[string][]VersionAge {
-	all := make(map[string][]VersionAge, len(b.models))
-	for name, w := range b.models {
-		for _, s := range w.steps {
+// History returns the history of every model.
+func (t *Targets) History(now time.Time) map[string][]VersionAge {
+	all := make(map[string][]VersionAge, len(t.models))
+	for name, h := range t.models {
+		for _, s := range h.steps {
 			all[name] = append(all[name], VersionAge{Version: s.version, Age: now.Sub(s.at)})
 		}
 	}
 	return all
 }
 
-// MergeHistory takes in another process's history. A process that just started knows
-// only the newest version, and when it read that itself: older weights would
-// seem to have been replaced just now, and get requests long after their time.
-func (b *Targets) MergeHistory(now time.Time, model string, steps []VersionAge) {
-	w := b.models[model]
-	if w == nil {
+// MergeHistory merges the history of a model from another process into this one. A
+// process that has just started knows only the newest version and when it read it:
+// without the history, older weights would count as replaced just now.
+func (t *Targets) MergeHistory(now time.Time, model string, steps []VersionAge) {
+	h := t.models[model]
+	if h == nil {
 		return
 	}
 	merged := map[uint64]time.Time{}
-	for _, s := range w.steps {
+	for _, s := range h.steps {
 		merged[s.version] = s.at
 	}
 	for _, s := range steps {
 		at, known := merged[s.Version]
-		if said := now.Add(-s.Age); s.Version <= w.Version && (!known || said.Before(at)) {
-			merged[s.Version] = said
+		if namedAt := now.Add(-s.Age); s.Version <= h.Version && (!known || namedAt.Before(at)) {
+			merged[s.Version] = namedAt
 		}
 	}
-	w.steps = w.steps[:0]
+	h.steps = h.steps[:0]
 	for version, at := range merged {
-		w.steps = append(w.steps, step{version, at})
+		h.steps = append(h.steps, step{version, at})
 	}
-	sort.Slice(w.steps, func(i, j int) bool { return w.steps[i].version < w.steps[j].version })
-	if len(w.steps) > keptSteps {
-		w.steps = w.steps[len(w.steps)-keptSteps:]
+	sort.Slice(h.steps, func(i, j int) bool { return h.steps[i].version < h.steps[j].version })
+	if len(h.steps) > maxSteps {
+		h.steps = h.steps[len(h.steps)-maxSteps:]
 	}
-	w.Since = merged[w.Version]
+	h.Since = merged[h.Version]
 }
 
-// Newest version named for the model; 0 when none was.
-func (b *Targets) Newest(model string) uint64 {
-	if w := b.models[model]; w != nil {
-		return w.Version
+// Newest returns the target version of the model; 0 if none was named.
+func (t *Targets) Newest(model string) uint64 {
+	if h := t.models[model]; h != nil {
+		return h.Version
 	}
 	return 0
 }
 
-// Models that a version was named for.
-func (b *Targets) Models() []string {
+// Models returns the models that have a target version.
+func (t *Targets) Models() []string {
 	var models []string
-	for name := range b.models {
+	for name := range t.models {
 		models = append(models, name)
 	}
 	return models
 }
 
-// Age is how long ago a newer version than the given one was first named; 0
-// when it is the newest.
-func (b *Targets) Age(now time.Time, model string, version uint64) time.Duration {
-	w := b.models[model]
-	if w == nil || version >= w.Version {
+// Age returns how long ago the first version newer than the given one was named;
+// 0 if there is none.
+func (t *Targets) Age(now time.Time, model string, version uint64) time.Duration {
+	h := t.models[model]
+	if h == nil || version >= h.Version {
 		return 0
 	}
-	for _, s := range w.steps {
+	for _, s := range h.steps {
 		if s.version > version {
 			return now.Sub(s.at)
 		}
 	}
-	return now.Sub(w.Since)
+	return now.Sub(h.Since)
 }
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -11,31 +11,30 @@
 
 var start = time.Unix(1000, 0)
 
-// A request begins on weights that were replaced twice. The age that counts is
-// that of the first newer version, not of the newest one.
+// Weights that were replaced twice are out of date since the first newer version,
+// not since the newest one.
 func TestAgeCountsFromTheFirstNewerVersion(t *testing.T) {
-	b := weights.NewTargets()
-	assert.True(t, b.Set(start, weights.Target{Model: "m", Version: 1}))
-	b.Set(start.Add(5*time.Second), weights.Target{Model: "m", Version: 2})
-	b.Set(start.Add(9*time.Second), weights.Target{Model: "m", Version: 3})
+	targets := weights.NewTargets()
+	assert.True(t, targets.Set(start, weights.Target{Model: "m", Version: 1}))
+	targets.Set(start.Add(5*time.Second), weights.Target{Model: "m", Version: 2})
+	targets.Set(start.Add(9*time.Second), weights.Target{Model: "m", Version: 3})
 	now := start.Add(10 * time.Second)
-	assert.Equal(t, 5*time.Second, b.Age(now, "m", 1))
-	assert.Equal(t, time.Second, b.Age(now, "m", 2))
-	assert.Zero(t, b.Age(now, "m", 3))
-	assert.Zero(t, b.Age(now, "unknown", 1))
+	assert.Equal(t, 5*time.Second, targets.Age(now, "m", 1))
+	assert.Equal(t, time.Second, targets.Age(now, "m", 2))
+	assert.Zero(t, targets.Age(now, "m", 3))
+	assert.Zero(t, targets.Age(now, "unknown", 1))
 }
 
-func TestAnOlderNameChangesNothing(t *testing.T) {
-	b := weights.NewTargets()
-	b.Set(start, weights.Target{Model: "m", Version: 4})
-	assert.False(t, b.Set(start, weights.Target{Model: "m", Version: 3}))
-	assert.Equal(t, uint64(4), b.Newest("m"))
+func TestAnOlderTargetChangesNothing(t *testing.T) {
+	targets := weights.NewTargets()
+	targets.Set(start, weights.Target{Model: "m", Version: 4})
+	assert.False(t, targets.Set(start, weights.Target{Model: "m", Version: 3}))
+	assert.Equal(t, uint64(4), targets.Newest("m"))
 }
 
-// Requests begin on weights that were replaced 14 s ago, at an entry that just
-// restarted: it read the newest version a second ago and took that for the
-// time at which it was named.
-func TestAProcessThatStartedLearnsHowOldVersionsAre(t *testing.T) {
+// Guards against a restarted entry that takes the time at which it read the newest
+// version for the time at which it was named, and still uses old weights.
+func TestARestartedProcessMergesTheHistoryOfAnother(t *testing.T) {
 	old, fresh := weights.NewTargets(), weights.NewTargets()
 	old.Set(start, weights.Target{Model: "m", Version: 2})
 	old.Set(start.Add(5*time.Second), weights.Target{Model: "m", Version: 3})
@@ -46,5 +45,5 @@
 	assert.Equal(t, 12*time.Second, fresh.Age(now, "m", 1))
 	assert.Equal(t, 7*time.Second, fresh.Age(now, "m", 2))
 	fresh.MergeHistory(now, "m", []weights.VersionAge{{Version: 9, Age: time.Hour}})
-	assert.Equal(t, uint64(3), fresh.Newest("m"), "history names no new version")
+	assert.Equal(t, uint64(3), fresh.Newest("m"), "a history does not set a newer target")
 }
