--- a/internal/orders/plan.go
+++ b/internal/orders/plan.go
@@ -1,8 +1,7 @@
-// Package orders plans which model versions and adapters the backend servers
-// of a pool load and unload. Plan is pure: it looks at what is declared and at
-// what was last observed, and returns the orders that may be given now. The
-// same function plans for a holder that just took over, so a rollout goes on
-// when its holder dies.
+// Package orders plans which model versions and adapters the backend servers of a
+// pool load and unload. Plan is a pure function of the declared pool and the last
+// observed servers, and keeps no state: a process that takes the pool's lease over
+// continues the rollout of its predecessor.
 package orders
 
 import (
@@ -16,13 +15,13 @@
 // Server is a backend server of the pool as last observed.
 type Server struct {
 	Name string
-	// Reachable: its agent answered lately.
+	// Reachable: its agent has answered recently.
 	Reachable bool
-	// Ready: it takes work, as its agent says.
+	// Ready: its agent reports that it accepts requests.
 	Ready bool
 	// Draining: it is draining or shutting down, and gets no orders.
 	Draining bool
-	// Busy: an order to it is under way, or it is loading.
+	// Busy: an order to it is in progress, or it is loading.
 	Busy bool
 	// Versions loaded, by digest.
 	Versions []string
@@ -34,8 +33,8 @@
 type State struct {
 	Pool    *jayv1.Pool
 	Servers []Server
-	// MaxLoads is how many servers may load at once: the weight store's rate is
-	// shared by all of them.
+	// MaxLoads is how many servers may load at once, since they share the bandwidth of
+	// the weight store.
 	MaxLoads int
 }
 
@@ -47,15 +46,15 @@
 	Adapter string
 }
 
-// Serving tells whether the server answers new requests of the pool: it is
-// ready and has the active version.
+// Serving reports whether the server can serve new requests of the pool: it is
+// reachable and ready, neither draining nor busy, and has the active version.
 func Serving(pool *jayv1.Pool, server Server) bool {
 	active := catalog.ActiveVersion(pool)
 	return server.Reachable && server.Ready && !server.Draining && !server.Busy &&
 		active != nil && slices.Contains(server.Versions, active.GetDigest())
 }
 
-// Done tells whether the order's effect shows at the server.
+// Done reports whether the observed server shows the effect of the order.
 func Done(order Order, server Server) bool {
 	switch order.Kind {
 	case jayv1.OrderKind_ORDER_KIND_LOAD_VERSION:
@@ -72,9 +71,9 @@
 
 // Plan returns the orders to give now, at most one per server.
 //
-// An order takes a server out of service for its time. A server that serves
-// gets one only while more than min_ready others of the pool serve; one that
-// does not serve gets its orders first, since they can only help.
+// A server is out of service while it carries an order out. A serving server gets
+// an order only if at least min_ready others keep serving. Servers that do not serve
+// come first, since an order to them takes no capacity away.
 func Plan(state State) []Order {
 	serving := 0
 	busy := 0
@@ -89,7 +88,7 @@
 	spare := serving - int(state.Pool.GetMinReady())
 	free := state.MaxLoads - busy
 	var plan []Order
-	for _, server := range byNeed(state) {
+	for _, server := range candidates(state) {
 		if free <= 0 {
 			break
 		}
@@ -109,9 +108,9 @@
 	return plan
 }
 
-// byNeed orders the servers that may get orders: those that do not serve
-// first, then by name, so that two holders plan alike.
-func byNeed(state State) []Server {
+// candidates returns the servers that may get orders: those that do not serve
+// first, then by name, so that every process plans the same.
+func candidates(state State) []Server {
 	var servers []Server
 	for _, server := range state.Servers {
 		if server.Reachable && !server.Draining && !server.Busy {
@@ -128,8 +127,8 @@
 	return servers
 }
 
-// next is the most needed order of a server: the active version, the other
-// declared versions, adapters, and last what is to go.
+// next returns the next order of a server: first loads of the active version, of
+// the other declared versions and of adapters, then unloads.
 func next(pool *jayv1.Pool, server Server) (Order, bool) {
 	if order, ok := missingVersion(pool, server); ok {
 		return order, true
@@ -139,7 +138,7 @@
 			return Order{Server: server.Name, Kind: jayv1.OrderKind_ORDER_KIND_LOAD_ADAPTER, Digest: adapter.GetDigest(), Adapter: adapter.GetName()}, true
 		}
 	}
-	return superfluous(pool, server)
+	return nextUnload(pool, server)
 }
 
 func missingVersion(pool *jayv1.Pool, server Server) (Order, bool) {
@@ -155,10 +154,10 @@
 	return Order{}, false
 }
 
-// superfluous finds a loaded version or adapter that is declared no more. It is
-// asked only when everything declared is loaded, so the last version of a
-// server is never taken away.
-func superfluous(pool *jayv1.Pool, server Server) (Order, bool) {
+// nextUnload returns an order to unload a version or adapter that is no longer
+// declared. It is called only when everything declared is loaded, so that a server
+// is not left without a version.
+func nextUnload(pool *jayv1.Pool, server Server) (Order, bool) {
 	for _, digest := range server.Versions {
 		declared := slices.ContainsFunc(pool.GetVersions(), func(v *jayv1.ModelVersion) bool { return v.GetDigest() == digest })
 		if !declared {
--- a/internal/orders/plan_test.go
+++ b/internal/orders/plan_test.go
@@ -18,11 +18,11 @@
 	return &jayv1.ModelVersion{Name: fmt.Sprint("v", n), Digest: fmt.Sprint("d", n)}
 }
 
-// fakePool carries orders out, each in a number of steps.
+// fakePool carries out orders, each within a number of steps.
 type fakePool struct {
-	state orders.State
-	left  map[string]int
-	under map[string]orders.Order
+	state      orders.State
+	stepsLeft  map[string]int
+	inProgress map[string]orders.Order
 }
 
 func newFakePool(t *rapid.T) *fakePool {
@@ -31,7 +31,7 @@
 		Name: "p", ActiveVersion: "v1", Versions: []*jayv1.ModelVersion{version(1)},
 		MinReady: uint32(rapid.IntRange(0, count).Draw(t, "min_ready")),
 	}
-	f := &fakePool{left: map[string]int{}, under: map[string]orders.Order{}}
+	f := &fakePool{stepsLeft: map[string]int{}, inProgress: map[string]orders.Order{}}
 	f.state = orders.State{Pool: pool, MaxLoads: rapid.IntRange(1, 3).Draw(t, "max loads")}
 	for i := range count {
 		f.state.Servers = append(f.state.Servers, orders.Server{Name: fmt.Sprint("s", i), Reachable: true, Ready: true, Versions: []string{"d1"}})
@@ -49,8 +49,8 @@
 	return n
 }
 
-// give starts the orders, as the holder's shell does.
-func (f *fakePool) give(t *rapid.T, plan []orders.Order) {
+// start starts the orders and marks their servers as busy.
+func (f *fakePool) start(t *rapid.T, plan []orders.Order) {
 	for _, order := range plan {
 		for i := range f.state.Servers {
 			if f.state.Servers[i].Name == order.Server {
@@ -58,19 +58,19 @@
 				f.state.Servers[i].Busy = true
 			}
 		}
-		f.under[order.Server] = order
-		f.left[order.Server] = rapid.IntRange(1, 4).Draw(t, "steps")
+		f.inProgress[order.Server] = order
+		f.stepsLeft[order.Server] = rapid.IntRange(1, 4).Draw(t, "steps")
 	}
 }
 
 func (f *fakePool) step() {
 	for i := range f.state.Servers {
 		server := &f.state.Servers[i]
-		if f.left[server.Name]--; !server.Busy || f.left[server.Name] > 0 {
+		if f.stepsLeft[server.Name]--; !server.Busy || f.stepsLeft[server.Name] > 0 {
 			continue
 		}
 		server.Busy = false
-		order := f.under[server.Name]
+		order := f.inProgress[server.Name]
 		switch order.Kind {
 		case jayv1.OrderKind_ORDER_KIND_LOAD_VERSION:
 			server.Versions = append(server.Versions, order.Digest)
@@ -84,11 +84,9 @@
 	}
 }
 
-// Callers see refusals during a rollout: orders went to so many backend
-// servers at once that fewer than the declared number were left. Whatever the
-// declarations, crashes and order of answers, orders alone never bring the
-// number of serving servers below min_ready, never exceed the weight store's
-// share, never take a server's last declared version, and a rollout ends.
+// Guards against a rollout that takes too many servers out of service. Whatever is
+// declared and whichever servers fail, orders never reduce the serving servers to
+// fewer than min_ready nor exceed MaxLoads, and a rollout ends.
 func TestRolloutKeepsTheDeclaredNumberReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFakePool(t)
@@ -111,7 +109,7 @@
 			}
 			before := f.serving()
 			plan := orders.Plan(f.state)
-			f.give(t, plan)
+			f.start(t, plan)
 			if f.serving() < before {
 				require.GreaterOrEqual(t, f.serving(), int(pool.GetMinReady()), "orders %v", plan)
 			}
@@ -124,13 +122,13 @@
 			require.LessOrEqual(t, busy, f.state.MaxLoads)
 			f.step()
 		}
-		f.settles(t)
+		f.requireEnd(t)
 	})
 }
 
-// settles checks that the rollout ends once nothing disturbs it, if the
-// declared number leaves any room.
-func (f *fakePool) settles(t *rapid.T) {
+// requireEnd checks that the rollout ends once all servers are ready, provided that
+// min_ready allows at least one of them to be out of service.
+func (f *fakePool) requireEnd(t *rapid.T) {
 	pool := f.state.Pool
 	for i := range f.state.Servers {
 		f.state.Servers[i].Ready, f.state.Servers[i].Draining = true, false
@@ -139,7 +137,7 @@
 		return
 	}
 	for range 400 {
-		f.give(t, orders.Plan(f.state))
+		f.start(t, orders.Plan(f.state))
 		f.step()
 	}
 	for _, server := range f.state.Servers {
@@ -160,7 +158,7 @@
 	assert.Equal(t, []orders.Order{{Server: "b", Kind: jayv1.OrderKind_ORDER_KIND_LOAD_VERSION, Digest: "d2"}}, orders.Plan(state))
 }
 
-func TestUnloadsOnlyWhenAllThatIsDeclaredIsThere(t *testing.T) {
+func TestUnloadsOnlyWhenEverythingDeclaredIsLoaded(t *testing.T) {
 	pool := &jayv1.Pool{ActiveVersion: "v2", Versions: []*jayv1.ModelVersion{version(2)}, Adapters: []*jayv1.Adapter{{Name: "a", Digest: "da"}}}
 	server := orders.Server{Name: "s", Reachable: true, Ready: true, Versions: []string{"d1"}}
 	kinds := []jayv1.OrderKind{}
