--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,29 +1,30 @@
-// Package retry decides whether work that may have run is started again. It
-// has no I/O, goroutine or clock; callers lock.
+// Package retry limits the retries of requests that may have run already. It does no
+// I/O, starts no goroutine and reads no clock. It is not safe for concurrent use.
 package retry
 
 import "time"
 
-// Budget allows retries as a share of successes, so that a failing fleet gets
-// at most that share of extra load instead of a multiple.
+// Budget allows retries in proportion to successes, so that retries add only a
+// small share of load to a failing fleet. It is a token bucket: a success adds share
+// tokens, up to burst, and a retry takes one.
 type Budget struct {
 	share  float64
 	burst  float64
 	tokens float64
 }
 
-// NewBudget starts full: an entry that just started may retry at once.
+// NewBudget returns a full budget, so that a process that has just started may retry.
 func NewBudget(share, burst float64) *Budget {
 	return &Budget{share: share, burst: burst, tokens: burst}
 }
 
-// Succeeded earns the share of a retry.
+// Succeeded records a success.
 func (b *Budget) Succeeded() {
 	b.tokens = min(b.tokens+b.share, b.burst)
 }
 
-// Allow takes a retry from the budget. It refuses one that could not end
-// before the deadline: need is the time that an attempt takes at least.
+// Allow takes a retry from the budget and reports whether it is allowed. It is not
+// if it could not end before the deadline; need is the least time of an attempt.
 func (b *Budget) Allow(now, deadline time.Time, need time.Duration) bool {
 	if now.Add(need).After(deadline) || b.tokens < 1 {
 		return false
@@ -32,5 +33,5 @@
 	return true
 }
 
-// Tokens is the number of retries saved up.
+// Tokens returns the number of retries that are available.
 func (b *Budget) Tokens() float64 { return b.tokens }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -11,9 +11,8 @@
 	_ "github.com/jayproxy/jayproxy/internal/testseed" // fixed seed
 )
 
-// Story: every backend server fails. Each caller's request is tried again and
-// again, and the fleet gets a multiple of its load just when it can't bear it.
-// The budget lets through the burst and then nothing.
+// Guards against retries that multiply the load of a fleet in which every request
+// fails: the budget allows the burst and then nothing.
 func TestAFailingFleetGetsNoMoreThanTheBurst(t *testing.T) {
 	b := retry.NewBudget(0.1, 5)
 	now := time.Unix(0, 0)
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -2,37 +2,42 @@
 
 import "time"
 
-// Window allows second sends as a share of the requests of a sliding window, and
-// some more. Unlike a Budget, which saves up little, it lets a burst of them
-// come at once when a server is lost with all that ran there, and holds whatever
-// window is looked at.
+// Window allows retries up to a ratio of the requests of a sliding window, plus a
+// fixed number. Unlike a Budget, it allows a whole window's retries at once, as are
+// needed when a server fails with many requests, and its limit holds for any
+// position of the window.
 type Window struct {
 	limits Limits
 	slots  [windowSlots]windowSlot
 }
 
-// Limits of a Window.
+// Limits are the limits of a Window.
 type Limits struct {
-	// Span of the window.
+	// Span is the length of the window.
 	Span time.Duration
-	// Ratio of the window's requests that may be sent again, Slack how many more.
+	// Ratio of retries to requests in the window; Slack is the number of retries
+	// allowed in addition.
 	Ratio, Slack float64
 }
 
-// windowSlots a window is divided into. The oldest counts for repeats and not
-// for requests, so that no window that is looked at holds too many.
+// windowSlots is the number of slots, one more than a window spans. The oldest slot
+// is only partly in the window: its retries count and its requests don't, so that the
+// limit holds for every position of the window.
 const windowSlots = 21
 
 type windowSlot struct {
-	// number of the slot since the clock's zero; an older one is empty.
+	// number of the slot, counted from the Unix epoch. A slot whose number is out of
+	// date counts as empty.
 	number            int64
-	requests, repeats int
+	requests, retries int
 }
 
-// NewWindow makes an empty window: a process that just started has the slack only.
+// NewWindow returns an empty window: a process that has just started may use only
+// Limits.Slack.
 func NewWindow(limits Limits) *Window { return &Window{limits: limits} }
 
-// SetLimits changes them: the number of processes that share them changed.
+// SetLimits changes the limits, for example when the number of processes that share
+// them changes.
 func (w *Window) SetLimits(limits Limits) { w.limits = limits }
 
 func (w *Window) numberAt(now time.Time) int64 {
@@ -48,32 +53,32 @@
 	return s
 }
 
-// Request counts a request.
+// Request records a request.
 func (w *Window) Request(now time.Time) { w.slot(now).requests++ }
 
-// Available is how many second sends are allowed now.
+// Available returns how many retries are allowed now.
 func (w *Window) Available(now time.Time) float64 {
 	newest := w.numberAt(now)
-	requests, repeats := 0, 0
+	requests, retries := 0, 0
 	for _, s := range w.slots {
 		age := newest - s.number
 		if age < 0 || age >= windowSlots {
 			continue
 		}
-		repeats += s.repeats
+		retries += s.retries
 		if age < windowSlots-1 {
 			requests += s.requests
 		}
 	}
-	return w.limits.Ratio*float64(requests) + w.limits.Slack - float64(repeats)
+	return w.limits.Ratio*float64(requests) + w.limits.Slack - float64(retries)
 }
 
-// Allow takes a second send. It refuses one that could not end before the
-// deadline: need is the time that an attempt takes at least.
+// Allow takes a retry from the window and reports whether it is allowed. It is not
+// if it could not end before the deadline; need is the least time of an attempt.
 func (w *Window) Allow(now, deadline time.Time, need time.Duration) bool {
 	if now.Add(need).After(deadline) || w.Available(now) < 1 {
 		return false
 	}
-	w.slot(now).repeats++
+	w.slot(now).retries++
 	return true
 }
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -16,10 +16,9 @@
 	return retry.Limits{Span: 10 * time.Second, Ratio: 0.14, Slack: 8}
 }
 
-// A quarter of the engines crashed at once, and their answers could have gone on
-// from copies. The budget had saved up eight second sends, of the forty that the
-// last ten seconds' requests allowed.
-func TestABurstOfSecondSendsMayUseTheWholeWindow(t *testing.T) {
+// Guards against requests that fail without a retry when many servers crash at
+// once: the window must allow all of its retries in a burst.
+func TestABurstOfRetriesMayUseTheWholeWindow(t *testing.T) {
 	w := retry.NewWindow(windowLimits())
 	for i := range 240 {
 		w.Request(windowStart.Add(time.Duration(i) * 40 * time.Millisecond))
@@ -30,37 +29,37 @@
 		allowed++
 	}
 	assert.InDelta(t, 0.14*240+8, allowed, 2)
-	assert.False(t, w.Allow(now.Add(5*time.Second), now.Add(time.Minute), 0), "the window still holds them")
-	assert.True(t, w.Allow(now.Add(11*time.Second), now.Add(time.Minute), 0), "and then no more")
+	assert.False(t, w.Allow(now.Add(5*time.Second), now.Add(time.Minute), 0), "the retries are still within the window")
+	assert.True(t, w.Allow(now.Add(11*time.Second), now.Add(time.Minute), 0), "the retries have left the window")
 }
 
-func TestNoSecondSendThatCouldNotEndInTime(t *testing.T) {
+func TestNoRetryThatCannotEndInTime(t *testing.T) {
 	w := retry.NewWindow(windowLimits())
 	assert.False(t, w.Allow(windowStart, windowStart.Add(time.Second), 2*time.Second))
 	assert.True(t, w.Allow(windowStart, windowStart.Add(time.Second), time.Millisecond))
 }
 
-// Whatever comes when: in no span of ten seconds are there more second sends
-// than the span's requests, or those of the one before, allow.
-func TestNoWindowHoldsTooManySecondSends(t *testing.T) {
+// No span of the window's length that ends with a retry contains more retries than
+// its requests allow.
+func TestNoWindowHoldsTooManyRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, limits := retry.NewWindow(windowLimits()), windowLimits()
 		now := windowStart
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
 				w.Request(now)
 				requests = append(requests, now)
 			} else if w.Allow(now, now.Add(time.Minute), 0) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
+		for _, end := range retries {
 			from := end.Add(-limits.Span)
 			most := limits.Ratio*float64(between(requests, from, end)) + limits.Slack
-			if got := float64(between(repeats, from, end)); got > most {
-				t.Fatalf("%v second sends, %v allowed", got, most)
+			if got := float64(between(retries, from, end)); got > most {
+				t.Fatalf("%v retries in a window, %v allowed", got, most)
 			}
 		}
 	})
