--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,19 +1,19 @@
-// Package quota holds the declared limits of workspaces over the whole fleet
-// without coordination: each of N entries enforces its N-th part. It has no
-// I/O, goroutine or clock; callers lock.
+// Package quota enforces the limits of workspaces over the whole fleet without
+// coordination: each of N entries enforces 1/N of every limit. It does no I/O, starts
+// no goroutine and reads no clock. It is not safe for concurrent use.
 //
-// Stated error. Over any window of length T the fleet admits at most
-// limit*(T+Depth) requests, and one request more for each entry; of tokens the
-// same with the largest request of each entry in place of the one. It admits
-// at least the smaller of its demand and limit/N at each entry: load that the
-// balancer spreads unevenly is held below the limit, down to limit/N when all
-// of it comes to one entry. Streams at once are at most limit+N-1. While
-// entries disagree on their number, for as long as the news of a change
-// travels, the upper bounds grow by N over the smallest number that one counts.
+// Accuracy. Over any window of length T the fleet admits at most limit*(T+Depth)
+// requests, and one more request for each entry. For tokens the same holds, with the
+// largest request of each entry instead of the one request. Each entry admits at
+// least the smaller of its demand and limit/N, so that unevenly balanced load is
+// limited to less than the declared limit, down to limit/N if all of it arrives at
+// one entry. The fleet admits at most limit+N-1 concurrent streams. While entries
+// count different numbers of entries, after a change of the number, the upper bounds
+// grow by the factor N divided by the smallest number counted.
 //
-// Borrowing. An entry keeps what it did not use for at most Depth, and may
-// admit one piece of work larger than what it has saved; the debt is paid back
-// before the next one is admitted. It borrows nothing of other entries.
+// Bursts and debt. An entry accumulates unused quota for at most Depth. It may admit
+// one request larger than that; the debt must be repaid before it admits the next
+// one. Entries do not borrow from each other.
 package quota
 
 import (
@@ -21,20 +21,21 @@
 	"time"
 )
 
-// Depth is how long an unused share is kept.
+// Depth is the time over which unused quota accumulates.
 const Depth = time.Second
 
-// Limits declared for one workspace over the fleet; zero means no limit.
+// Limits are the declared limits of one workspace over the fleet; zero means no
+// limit.
 type Limits struct {
 	RequestsPerSecond float64
 	TokensPerSecond   float64
 	ConcurrentStreams int
 }
 
-// Reason of a refusal.
+// Reason is the limit because of which a request is rejected, or Admitted.
 type Reason int
 
-// The reasons.
+// The reasons: Requests, Tokens and Streams name the limit that is used up.
 const (
 	Admitted Reason = iota
 	Requests
@@ -42,16 +43,17 @@
 	Streams
 )
 
-// Decision says whether work is admitted, and when to ask again if not.
+// Decision is the result of Admit. RetryAfter is the time until the limit named by
+// Reason admits again; 0 for Streams, where it is not known.
 type Decision struct {
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Limiter is one entry's part of the limits.
+// Limiter enforces one entry's part of the limits.
 type Limiter struct {
-	entries int
-	of      map[string]*account
+	entries  int
+	accounts map[string]*account
 }
 
 type account struct {
@@ -60,27 +62,29 @@
 	streams  int
 }
 
-// bucket fills at rate a second up to Depth's worth; below zero is debt.
+// bucket is a token bucket. It fills at a rate per second, up to the amount for
+// Depth; a negative level is debt.
 type bucket struct {
 	level float64
 	at    time.Time
 }
 
-// NewLimiter starts as the only entry.
-func NewLimiter() *Limiter { return &Limiter{entries: 1, of: map[string]*account{}} }
+// NewLimiter returns a limiter for a fleet of one entry.
+func NewLimiter() *Limiter { return &Limiter{entries: 1, accounts: map[string]*account{}} }
 
-// SetEntries tells the number of live entries, this one included.
+// SetEntries sets the number of live entries, this one included.
 func (l *Limiter) SetEntries(n int) { l.entries = max(n, 1) }
 
-// Entries is the number of entries that shares are computed by.
+// Entries returns the number of entries that the limits are divided by.
 func (l *Limiter) Entries() int { return l.entries }
 
-// Admit admits work of the workspace or says why not. Admitted work ends with Leave.
+// Admit decides whether a request of the workspace is admitted. Call Release when an
+// admitted request ends.
 func (l *Limiter) Admit(now time.Time, workspace string, limits Limits, tokens float64) Decision {
-	a, ok := l.of[workspace]
+	a, ok := l.accounts[workspace]
 	if !ok {
 		a = &account{}
-		l.of[workspace] = a
+		l.accounts[workspace] = a
 	}
 	if limits.ConcurrentStreams > 0 && a.streams >= l.streams(limits.ConcurrentStreams) {
 		return Decision{Reason: Streams}
@@ -98,31 +102,32 @@
 	return Decision{}
 }
 
-// Release ends admitted work.
+// Release records the end of an admitted request.
 func (l *Limiter) Release(workspace string) {
-	if a := l.of[workspace]; a != nil {
+	if a := l.accounts[workspace]; a != nil {
 		a.streams--
 	}
 }
 
-// Forget drops workspaces without work that keep does not name.
+// Forget removes the state of workspaces that have no stream and for which keep
+// returns false.
 func (l *Limiter) Forget(keep func(workspace string) bool) {
-	for name, a := range l.of {
+	for name, a := range l.accounts {
 		if a.streams == 0 && !keep(name) {
-			delete(l.of, name)
+			delete(l.accounts, name)
 		}
 	}
 }
 
 func (l *Limiter) share(rate float64) float64 { return rate / float64(l.entries) }
 
-// streams is this entry's part of a bound on concurrent streams, rounded up:
-// a bound below the number of entries must not shut a workspace out.
+// streams returns this entry's part of a limit on concurrent streams, rounded up so
+// that a limit below the number of entries does not exclude the workspace.
 func (l *Limiter) streams(limit int) int {
 	return (limit + l.entries - 1) / l.entries
 }
 
-// wait is the time until the bucket admits again; 0: now.
+// wait refills the bucket and returns the time until it admits again; 0: now.
 func (b *bucket) wait(now time.Time, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
@@ -134,13 +139,13 @@
 		b.level = min(full, b.level+rate*now.Sub(b.at).Seconds())
 	}
 	b.at = now
-	// Work larger than the whole bucket is admitted from a full one: a limit
-	// below one request a second must still let requests through.
-	due := min(1, full)
-	if b.level >= due {
+	// A full bucket always admits, even if it holds less than one: a limit below one
+	// request per second must still let requests through.
+	needed := min(1, full)
+	if b.level >= needed {
 		return 0
 	}
-	return time.Duration(math.Ceil((due - b.level) / rate * float64(time.Second)))
+	return time.Duration(math.Ceil((needed - b.level) / rate * float64(time.Second)))
 }
 
 func (b *bucket) take(rate, n float64) {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
-// fleet is N entries with one workspace's load in virtual time.
+// fleet is a set of entries under the load of one workspace, in virtual time.
 type fleet struct {
 	limiters []*quota.Limiter
 	random   *rand.Rand
@@ -30,8 +30,9 @@
 	return f
 }
 
-// run offers rate requests a second for the duration; toFirst of them come to
-// one entry, the others anywhere. It returns the admitted of each second.
+// run sends rate requests per second. The fraction toFirst of them goes to the first
+// entry, the others to entries drawn at random. It returns the number admitted in
+// each second.
 func (f *fleet) run(limits quota.Limits, rate float64, toFirst float64, seconds int, tokens float64) []float64 {
 	admitted := make([]float64, seconds)
 	for at := time.Duration(0); at < time.Duration(seconds)*time.Second; at += time.Duration(float64(time.Second) / rate) {
@@ -55,19 +56,17 @@
 	return total
 }
 
-// Story: a workspace sends ten times its limit through every entry. Other
-// workspaces' first tokens wait for it, unless the fleet as a whole holds it
-// to what was declared. Measures the error for even and skewed load; the
-// figures stand in the note on limits.
-func TestTheFleetHoldsALimitWithinItsStatedError(t *testing.T) {
+// Guards against a workspace that gets more than its limit, or less than the stated
+// accuracy allows, when it sends ten times the limit evenly or mostly to one entry.
+func TestTheFleetEnforcesALimitWithinItsStatedAccuracy(t *testing.T) {
 	const limit, seconds = 100.0, 60
 	for _, n := range []int{1, 3, 10, 40} {
 		for _, toFirst := range []float64{0, 0.5, 1} {
 			admitted := sum(newFleet(n, 1).run(quota.Limits{RequestsPerSecond: limit}, 10*limit, toFirst, seconds, 0))
-			most := limit*(seconds+quota.Depth.Seconds()) + float64(n)
-			assert.LessOrEqual(t, admitted, most, "%d entries", n)
+			upperBound := limit*(seconds+quota.Depth.Seconds()) + float64(n)
+			assert.LessOrEqual(t, admitted, upperBound, "%d entries", n)
 			assert.GreaterOrEqual(t, admitted, 0.99*limit*seconds/float64(n), "%d entries", n)
-			t.Logf("%2d entries, %3.0f%% of the load to one: %.1f requests/s admitted of %.0f declared", n, 100*toFirst, admitted/seconds, limit)
+			t.Logf("%2d entries, %3.0f%% of the load to the first: %.1f requests/s admitted, limit %.0f", n, 100*toFirst, admitted/seconds, limit)
 		}
 	}
 }
@@ -76,23 +75,23 @@
 	const limit, seconds = 100.0, 60
 	for _, n := range []int{1, 3, 10} {
 		admitted := sum(newFleet(n, 2).run(quota.Limits{RequestsPerSecond: limit}, 0.8*limit, 0, seconds, 0))
-		t.Logf("%2d entries, 80 requests/s evenly: %.1f admitted", n, admitted/seconds)
+		t.Logf("%2d entries, 80 requests/s spread evenly: %.1f admitted", n, admitted/seconds)
 		assert.GreaterOrEqual(t, admitted, 0.95*0.8*limit*seconds, "%d entries", n)
 	}
 }
 
-func TestTokensAreHeldAndALargePromptIsPaidBack(t *testing.T) {
+func TestTokensAreLimitedAndALargePromptIsRepaid(t *testing.T) {
 	l := quota.NewLimiter()
 	limits := quota.Limits{TokensPerSecond: 1000}
 	assert.Equal(t, quota.Admitted, l.Admit(start, "w", limits, 5000).Reason)
-	refused := l.Admit(start, "w", limits, 10)
-	assert.Equal(t, quota.Tokens, refused.Reason)
-	assert.InDelta(t, 4.0, refused.RetryAfter.Seconds(), 0.01)
+	rejected := l.Admit(start, "w", limits, 10)
+	assert.Equal(t, quota.Tokens, rejected.Reason)
+	assert.InDelta(t, 4.0, rejected.RetryAfter.Seconds(), 0.01)
 	assert.Equal(t, quota.Tokens, l.Admit(start.Add(3900*time.Millisecond), "w", limits, 10).Reason)
 	assert.Equal(t, quota.Admitted, l.Admit(start.Add(4100*time.Millisecond), "w", limits, 10).Reason)
 }
 
-func TestStreamsAtOnceAreSharedAndNobodyIsShutOut(t *testing.T) {
+func TestConcurrentStreamsAreDividedAndNoWorkspaceIsExcluded(t *testing.T) {
 	l := quota.NewLimiter()
 	l.SetEntries(4)
 	limits := quota.Limits{ConcurrentStreams: 6}
@@ -106,9 +105,8 @@
 	assert.Equal(t, quota.Admitted, l.Admit(start, "x", quota.Limits{}, 1e9).Reason, "no limit declared")
 }
 
-// The wait that a refusal names is honest: after it, and not much before, the
-// same request is admitted.
-func TestTheNamedWaitIsTheTrueOne(t *testing.T) {
+// A rejected request is admitted after its RetryAfter, and not after half of it.
+func TestRetryAfterIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := quota.NewLimiter()
 		l.SetEntries(rapid.IntRange(1, 50).Draw(t, "entries"))
@@ -116,15 +114,15 @@
 		now := start
 		for range 200 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
-			verdict := l.Admit(now, "w", limits, 0)
-			if verdict.Reason == quota.Admitted {
+			decision := l.Admit(now, "w", limits, 0)
+			if decision.Reason == quota.Admitted {
 				continue
 			}
-			if l.Admit(now.Add(verdict.RetryAfter/2), "w", limits, 0).Reason == quota.Admitted {
-				t.Fatalf("admitted long before the named wait of %v", verdict.RetryAfter)
+			if l.Admit(now.Add(decision.RetryAfter/2), "w", limits, 0).Reason == quota.Admitted {
+				t.Fatalf("admitted after half of RetryAfter %v", decision.RetryAfter)
 			}
-			if l.Admit(now.Add(verdict.RetryAfter+time.Microsecond), "w", limits, 0).Reason != quota.Admitted {
-				t.Fatalf("refused after the named wait of %v", verdict.RetryAfter)
+			if l.Admit(now.Add(decision.RetryAfter+time.Microsecond), "w", limits, 0).Reason != quota.Admitted {
+				t.Fatalf("rejected after RetryAfter %v", decision.RetryAfter)
 			}
 			return
 		}
