--- a/internal/kvplan/planner.go
+++ b/internal/kvplan/planner.go
@@ -1,6 +1,6 @@
-// Package kvplan decides when KV cache is worth fetching from the store of kept
-// KV cache, and which prefixes are worth keeping there. It has no I/O,
-// goroutine or clock; callers lock.
+// Package kvplan decides when an engine fetches KV cache from the KV cache store
+// instead of computing it, and which prefixes are saved there. It does no I/O, starts
+// no goroutine and reads no clock. It is not safe for concurrent use.
 package kvplan
 
 import (
@@ -12,47 +12,50 @@
 )
 
 const (
-	// rememberedPoints bounds the points whose use is counted.
-	rememberedPoints = 1 << 13
-	// hotUses of a point make it worth keeping.
-	hotUses = 3
-	// maxCandidates bounds the points that the store is asked for.
+	// maxPoints bounds the prefix points whose state is kept.
+	maxPoints = 1 << 13
+	// minUses is the number of uses from which a point is saved.
+	minUses = 3
+	// maxCandidates bounds the points that are looked up in the store for a prompt.
 	maxCandidates = 12
-	// absentFor is how long a point that the store did not have is not asked for.
-	absentFor = 5 * time.Second
-	// storedFor is how long a point that was put there is taken to be there.
-	storedFor = 10 * time.Minute
-	// guessedRate of a transfer in bytes a second, until one was measured.
-	guessedRate = 500e6
-	// rateWeight of a new transfer in the running mean.
+	// absentTTL is how long a point that the store did not have is not looked up again.
+	absentTTL = 5 * time.Second
+	// storedTTL is how long a point seen in the store is assumed to be there.
+	storedTTL = 10 * time.Minute
+	// initialRate is the transfer rate in bytes per second that is assumed before the
+	// first transfer.
+	initialRate = 500e6
+	// rateWeight is the weight of the latest transfer in the moving average of the rate.
 	rateWeight = 0.2
-	// worthShare of the time to compute, which a fetch may take at most.
-	worthShare = 0.7
-	// minGain is the least time to compute for which the store is asked at all.
-	minGain = 50 * time.Millisecond
+	// maxFetchShare is the longest time of a fetch, as a share of the time to compute
+	// the same tokens.
+	maxFetchShare = 0.7
+	// minComputeTime is the least time to compute for which the store is used.
+	minComputeTime = 50 * time.Millisecond
 )
 
+// pointState is what is known of a prefix point.
 type pointState struct {
 	uses     int
 	absentAt time.Time
 	storedAt time.Time
 }
 
-// Planner knows how often points of prompts are used here, and what the store
-// is known to have. Not safe for concurrent use.
+// Planner counts how often prefix points are used and records which of them the store
+// has. It is not safe for concurrent use.
 type Planner struct {
 	points *simplelru.LRU[uint64, *pointState]
-	// rate of transfers in bytes a second.
+	// rate of transfers in bytes per second.
 	rate float64
 }
 
-// New makes a planner that knows nothing.
+// New returns a planner without any recorded points.
 func New() *Planner {
-	points, err := simplelru.NewLRU[uint64, *pointState](rememberedPoints, nil)
+	points, err := simplelru.NewLRU[uint64, *pointState](maxPoints, nil)
 	if err != nil {
 		panic(err) // Only a size below 1 is refused.
 	}
-	return &Planner{points: points, rate: guessedRate}
+	return &Planner{points: points, rate: initialRate}
 }
 
 func (p *Planner) state(hash uint64) *pointState {
@@ -64,24 +67,25 @@
 	return state
 }
 
-// RecordUse counts a prompt.
+// RecordUse counts one use of each point of a prompt's prefix chain.
 func (p *Planner) RecordUse(chain []*jayv1.PrefixPoint) {
 	for _, point := range chain {
 		p.state(point.GetHash()).uses++
 	}
 }
 
-// PointToSave returns the deepest hot point of a prompt that is worth putting into the
-// store, nil when there is none or it is there already. tokensPerSecond is the
-// rate at which it would be computed, bytesPerToken the size of a token.
+// PointToSave returns the deepest point of a prompt that is used often enough to be
+// saved to the store; nil if there is none, or the store has it already, or it is
+// computed too quickly. tokensPerSecond is the rate at which the engine computes,
+// bytesPerToken the mean length of a token in the prompt.
 func (p *Planner) PointToSave(now time.Time, chain []*jayv1.PrefixPoint, tokensPerSecond, bytesPerToken float64) *jayv1.PrefixPoint {
 	for i := len(chain) - 1; i >= 0; i-- {
 		state := p.state(chain[i].GetHash())
-		if state.uses < hotUses {
+		if state.uses < minUses {
 			continue
 		}
-		there := !state.storedAt.IsZero() && now.Sub(state.storedAt) < storedFor
-		if there || computeTime(int(chain[i].GetBytes()), tokensPerSecond, bytesPerToken) < minGain {
+		stored := !state.storedAt.IsZero() && now.Sub(state.storedAt) < storedTTL
+		if stored || computeTime(int(chain[i].GetBytes()), tokensPerSecond, bytesPerToken) < minComputeTime {
 			return nil
 		}
 		return chain[i]
@@ -89,52 +93,53 @@
 	return nil
 }
 
-// Candidates are the points that the store may be asked for, the deepest
-// first: those whose missing part takes long enough to compute.
+// Candidates returns the points to look up in the store, the deepest first: those for
+// which the part beyond cachedBytes takes long enough to compute.
 func (p *Planner) Candidates(now time.Time, chain []*jayv1.PrefixPoint, cachedBytes int, tokensPerSecond, bytesPerToken float64) []*jayv1.PrefixPoint {
 	var candidates []*jayv1.PrefixPoint
 	for i := len(chain) - 1; i >= 0 && len(candidates) < maxCandidates; i-- {
 		missing := int(chain[i].GetBytes()) - cachedBytes
-		if computeTime(missing, tokensPerSecond, bytesPerToken) < minGain {
+		if computeTime(missing, tokensPerSecond, bytesPerToken) < minComputeTime {
 			break
 		}
 		state := p.state(chain[i].GetHash())
-		if state.absentAt.IsZero() || now.Sub(state.absentAt) >= absentFor {
+		if state.absentAt.IsZero() || now.Sub(state.absentAt) >= absentTTL {
 			candidates = append(candidates, chain[i])
 		}
 	}
 	return candidates
 }
 
-// WorthFetching tells whether fetching size bytes is cheaper than computing the
-// missing part of the prompt up to the point. The fetch must be clearly
-// cheaper: its estimate is rougher, and a fetch that fails is time lost.
+// WorthFetching reports whether fetching size bytes takes less time than computing
+// the prompt from cachedBytes up to the point. It must take clearly less, since its
+// estimate is less exact and a failed fetch costs time.
 func (p *Planner) WorthFetching(size int64, point *jayv1.PrefixPoint, cachedBytes int, tokensPerSecond, bytesPerToken float64) bool {
 	compute := computeTime(int(point.GetBytes())-cachedBytes, tokensPerSecond, bytesPerToken)
-	return float64(size)/p.rate <= worthShare*compute.Seconds()
+	return float64(size)/p.rate <= maxFetchShare*compute.Seconds()
 }
 
-// MarkAbsent tells that the store does not have the point.
+// MarkAbsent records that the store does not have the point.
 func (p *Planner) MarkAbsent(now time.Time, point *jayv1.PrefixPoint) {
 	state := p.state(point.GetHash())
 	state.absentAt, state.storedAt = now, time.Time{}
 }
 
-// MarkStored tells that the store has the point.
+// MarkStored records that the store has the point.
 func (p *Planner) MarkStored(now time.Time, point *jayv1.PrefixPoint) {
 	state := p.state(point.GetHash())
 	state.absentAt, state.storedAt = time.Time{}, now
 }
 
-// RecordTransfer tells how long a fetch with its import took.
+// RecordTransfer records the size in bytes of a fetch and how long it took, with its
+// import into the engine.
 func (p *Planner) RecordTransfer(size int64, took time.Duration) {
 	if took > 0 {
 		p.rate += rateWeight * (float64(size)/took.Seconds() - p.rate)
 	}
 }
 
-// computeTime is how long an engine takes for bytes of prompt; 0 when its rate
-// is unknown.
+// computeTime returns how long an engine takes to compute bytes of a prompt; 0 if its
+// rate is unknown.
 func computeTime(bytes int, tokensPerSecond, bytesPerToken float64) time.Duration {
 	if bytes <= 0 || tokensPerSecond <= 0 || bytesPerToken <= 0 {
 		return 0
--- a/internal/kvplan/planner_test.go
+++ b/internal/kvplan/planner_test.go
@@ -13,31 +13,31 @@
 var epoch = time.Unix(1_700_000_000, 0)
 
 const (
-	rate     = 8000.0 // tokens a second
-	perToken = 4.0
+	rate     = 8000.0 // tokens per second
+	perToken = 4.0    // bytes per token
 )
 
 func point(hash uint64, bytes uint32) *jayv1.PrefixPoint {
 	return &jayv1.PrefixPoint{Hash: hash, Bytes: bytes}
 }
 
-func TestKeepsTheDeepestPointThatIsHot(t *testing.T) {
+func TestSavesTheDeepestPointThatIsUsedOften(t *testing.T) {
 	p := kvplan.New()
-	rulebook := point(2, 20_000)
+	shared := point(2, 20_000)
 	for i := range uint64(3) {
-		chain := []*jayv1.PrefixPoint{point(1, 1024), rulebook, point(100+i, 22_000)}
-		assert.Nil(t, p.PointToSave(epoch, chain, rate, perToken), "not hot yet")
+		chain := []*jayv1.PrefixPoint{point(1, 1024), shared, point(100+i, 22_000)}
+		assert.Nil(t, p.PointToSave(epoch, chain, rate, perToken), "not used often enough yet")
 		p.RecordUse(chain)
 	}
-	chain := []*jayv1.PrefixPoint{point(1, 1024), rulebook, point(200, 22_000)}
-	assert.Equal(t, rulebook, p.PointToSave(epoch, chain, rate, perToken))
-	p.MarkStored(epoch, rulebook)
-	assert.Nil(t, p.PointToSave(epoch, chain, rate, perToken), "it is there")
-	assert.Equal(t, rulebook, p.PointToSave(epoch.Add(time.Hour), chain, rate, perToken))
-	assert.Nil(t, p.PointToSave(epoch, chain[:1], rate, perToken), "computed sooner than fetched")
+	chain := []*jayv1.PrefixPoint{point(1, 1024), shared, point(200, 22_000)}
+	assert.Equal(t, shared, p.PointToSave(epoch, chain, rate, perToken))
+	p.MarkStored(epoch, shared)
+	assert.Nil(t, p.PointToSave(epoch, chain, rate, perToken), "the store has it already")
+	assert.Equal(t, shared, p.PointToSave(epoch.Add(time.Hour), chain, rate, perToken))
+	assert.Nil(t, p.PointToSave(epoch, chain[:1], rate, perToken), "computing it takes less than minComputeTime")
 }
 
-func TestAsksOnlyForWhatTakesLongToCompute(t *testing.T) {
+func TestLooksUpOnlyPointsThatTakeLongToCompute(t *testing.T) {
 	p := kvplan.New()
 	chain := []*jayv1.PrefixPoint{point(1, 1024), point(2, 8000), point(3, 20_000)}
 	assert.Equal(t, []*jayv1.PrefixPoint{chain[2], chain[1]}, p.Candidates(epoch, chain, 0, rate, perToken))
@@ -50,12 +50,12 @@
 
 func TestFetchesOnlyWhenCheaperThanComputing(t *testing.T) {
 	p := kvplan.New()
-	rulebook := point(2, 32_000) // a second to compute
-	assert.True(t, p.WorthFetching(100e6, rulebook, 0, rate, perToken))
-	assert.False(t, p.WorthFetching(100e6, rulebook, 30_000, rate, perToken))
+	shared := point(2, 32_000) // takes 1 s to compute
+	assert.True(t, p.WorthFetching(100e6, shared, 0, rate, perToken))
+	assert.False(t, p.WorthFetching(100e6, shared, 30_000, rate, perToken))
 	for range 50 { // a slow store
 		p.RecordTransfer(10e6, time.Second)
 	}
-	assert.False(t, p.WorthFetching(100e6, rulebook, 0, rate, perToken))
-	assert.True(t, p.WorthFetching(5e6, rulebook, 0, rate, perToken))
+	assert.False(t, p.WorthFetching(100e6, shared, 0, rate, perToken))
+	assert.True(t, p.WorthFetching(5e6, shared, 0, rate, perToken))
 }
