--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,6 +1,7 @@
-// Package prefix turns a prompt into a nested chain of hashes. Two prompts
-// share a point exactly when they share all bytes up to it and the seed, but
-// for collisions, which cost time and never cross a workspace.
+// Package prefix computes the prefix chain of a prompt: the hashes of its prefixes,
+// called prefix points, from the shortest to the longest. Two prompts share a point
+// if and only if their seeds and all bytes up to the point are equal, apart from hash
+// collisions, which cost time and never cross workspaces.
 package prefix
 
 import (
@@ -13,20 +14,22 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// Stride is the distance in bytes between points inside a long message; it
-// doubles each time the offset does beyond strideDoublesAt, so that a chain
-// grows with the logarithm of the prompt and prompts still share their points.
+// Stride is the distance in bytes between points within a message. From
+// strideDoublesAt on, it doubles each time the offset does, so that the length of a
+// chain is logarithmic in that of the prompt, while the offsets of the points are
+// the same in all prompts.
 const (
 	Stride          = 1024
 	strideDoublesAt = 16 * Stride
-	// MaxPoints bounds a chain: 16 at the first stride and 8 a doubling, up to
-	// prompts of 16 MiB, and the message boundaries.
+	// MaxPoints bounds a chain: 16 points at the first stride and 8 for each doubling,
+	// up to prompts of 16 MiB, plus the message boundaries.
 	MaxPoints = 160
-	// MaxLevels bounds the message boundaries that become points.
+	// MaxLevels bounds the message boundaries in Prefix.Levels.
 	MaxLevels = 32
 )
 
-// Seed is what prompts must have in common before their text counts.
+// Seed is hashed before the text of a prompt: only prompts with equal seeds share
+// points.
 type Seed struct {
 	Workspace     string
 	Model         string
@@ -34,17 +37,18 @@
 	Adapter       string
 }
 
-// Prefix is the chain of a prompt.
+// Prefix is the prefix chain of a prompt.
 type Prefix struct {
-	// Points from the shortest to the longest.
+	// Points of the chain, from the shortest prefix to the longest.
 	Points []*jayv1.PrefixPoint
-	// Levels indexes into Points: the points at message boundaries.
+	// Levels holds the indexes in Points of the points at message boundaries.
 	Levels []int
-	// Bytes of the canonical prompt.
+	// Bytes is the length of the canonical prompt.
 	Bytes int
 }
 
-// Chain computes the chain of a prompt in its canonical parts, one a message.
+// Chain computes the prefix chain of a prompt. parts are its canonical parts, one for
+// each message.
 func Chain(seed Seed, parts []string) Prefix {
 	h := xxh3.New()
 	for _, field := range []string{seed.Workspace, seed.Model, seed.VersionDigest, seed.Adapter} {
@@ -63,20 +67,21 @@
 type builder struct {
 	hash   *xxh3.Hasher
 	prefix Prefix
-	next   int
+	// next is the offset of the next point at a stride.
+	next int
 }
 
 func (b *builder) write(part string) {
 	for len(part) > 0 {
-		room := b.next - b.prefix.Bytes
-		if len(part) < room {
+		remaining := b.next - b.prefix.Bytes
+		if len(part) < remaining {
 			_, _ = b.hash.WriteString(part)
 			b.prefix.Bytes += len(part)
 			return
 		}
-		_, _ = b.hash.WriteString(part[:room])
-		b.prefix.Bytes += room
-		part = part[room:]
+		_, _ = b.hash.WriteString(part[:remaining])
+		b.prefix.Bytes += remaining
+		part = part[remaining:]
 		b.point()
 		b.next += strideAt(b.next)
 	}
@@ -96,7 +101,8 @@
 	}
 }
 
-// boundary makes the end of a message a point, unless a stride point stands there.
+// boundary adds a point at the end of a message, unless there is one already at this
+// offset.
 func (b *builder) boundary() {
 	if len(b.prefix.Levels) >= MaxLevels {
 		return
@@ -109,9 +115,9 @@
 	b.prefix.Levels = append(b.prefix.Levels, last)
 }
 
-// Body is the part of a request body of /v1/chat/completions or
-// /v1/completions that the prompt is made of. Callers embed it, so that a long
-// body is decoded once.
+// Body holds the fields of a request body of /v1/chat/completions or
+// /v1/completions that make up the prompt. Users embed it in a type with the other
+// fields that they need, so that a long body is decoded only once.
 type Body struct {
 	Prompt   any       `json:"prompt"`
 	Messages []Message `json:"messages"`
@@ -124,17 +130,18 @@
 	Content any    `json:"content"`
 }
 
-// Render returns the canonical parts of a request body: what the engines' chat
-// template makes of it, as far as prefixes are concerned.
+// Render returns the canonical parts of a request body, one for each message. Equal
+// prefixes of the parts mean equal prefixes of the text that the engines' chat
+// template makes of the body.
 func Render(body []byte) ([]string, error) {
 	var parsed Body
 	if err := json.Unmarshal(body, &parsed); err != nil {
-		return nil, eris.Wrap(err, "request body")
+		return nil, eris.Wrap(err, "decode request body")
 	}
 	return parsed.Parts()
 }
 
-// Parts is Render for a body that is decoded already.
+// Parts is like Render, for a body that is already decoded.
 func (b *Body) Parts() ([]string, error) {
 	if len(b.Messages) == 0 {
 		text, err := renderContent(b.Prompt)
@@ -165,7 +172,8 @@
 	return "", errContent
 }
 
-// renderList joins a list of strings by lines, or the texts of typed parts.
+// renderList joins a list of strings with newlines, or the texts of typed parts
+// without a separator.
 func renderList(list []any) (string, error) {
 	texts := make([]string, len(list))
 	separator := "\n"
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -26,7 +26,7 @@
 	})
 }
 
-func TestEverySeedFieldSeparates(t *testing.T) {
+func TestPromptsWithDifferentSeedsShareNoPoint(t *testing.T) {
 	parts := []string{"the same text"}
 	seen := map[uint64]bool{}
 	for _, seed := range []prefix.Seed{
@@ -66,15 +66,15 @@
 		body string
 		want []string
 	}{
-		"string":        {`{"messages":[{"role":"user","content":"a\nb"}]}`, []string{"<|user|>a\nb\n"}},
-		"no content":    {`{"messages":[{"role":"assistant","content":null}]}`, []string{"<|assistant|>\n"}},
-		"parts":         {`{"messages":[{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}]}`, []string{"<|user|>ab\n"}},
-		"strings":       {`{"prompt":["a","b"]}`, []string{"a\nb"}},
-		"prompt":        {`{"prompt":"a"}`, []string{"a"}},
-		"number":        {`{"prompt":5}`, nil},
-		"tokens":        {`{"prompt":[1,2]}`, nil},
-		"image":         {`{"messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, nil},
-		"text a number": {`{"messages":[{"role":"user","content":[{"type":"text","text":1}]}]}`, nil},
+		"string":         {`{"messages":[{"role":"user","content":"a\nb"}]}`, []string{"<|user|>a\nb\n"}},
+		"no content":     {`{"messages":[{"role":"assistant","content":null}]}`, []string{"<|assistant|>\n"}},
+		"parts":          {`{"messages":[{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}]}`, []string{"<|user|>ab\n"}},
+		"strings":        {`{"prompt":["a","b"]}`, []string{"a\nb"}},
+		"prompt":         {`{"prompt":"a"}`, []string{"a"}},
+		"numeric prompt": {`{"prompt":5}`, nil},
+		"token IDs":      {`{"prompt":[1,2]}`, nil},
+		"image":          {`{"messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, nil},
+		"numeric text":   {`{"messages":[{"role":"user","content":[{"type":"text","text":1}]}]}`, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// BenchmarkRender64KiB is the price of a long prompt's decoding.
+// BenchmarkRender64KiB measures the decoding and rendering of a long prompt.
 func BenchmarkRender64KiB(b *testing.B) {
 	text := strings.Repeat("A hire contract's line, with a break.\\n", 64<<10/39)
 	body := []byte(`{"model":"m","messages":[{"role":"system","content":"` + text + `"},{"role":"user","content":"which?"}]}`)
