--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,6 +1,7 @@
-// Package call holds the typed heads of forwarded calls: what a caller asks
-// for, what a backend server is told, and what its answer says. The words of
-// the wire are decoded into these types at the boundary and used nowhere else.
+// Package call defines types for the headers of forwarded calls: those of a caller's
+// request, those that the router adds for the backend server, and those of the
+// answer. Wire formats are converted to these types at the edge and used nowhere
+// else.
 package call
 
 import (
@@ -8,34 +9,35 @@
 	"time"
 )
 
-// ErrMalformed means that a head of a call can't be understood.
+// ErrMalformed means that a header of a call can't be decoded.
 var ErrMalformed = errors.New("malformed call")
 
-// Part is one nested part of a prompt, outermost first.
+// Part is one part of a prompt. Parts are in the order of the prompt, so that the first
+// ones are those that the most prompts share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Head is what a caller says of its request.
+// Head holds the headers of a caller's request.
 type Head struct {
-	// ID is new with every attempt of the caller.
+	// ID is unique for each attempt of the caller.
 	ID string
-	// Key is the caller's secret; never logged, never forwarded.
+	// Key is the caller's API key, a secret: it must not be logged or forwarded.
 	Key string
-	// Timeout is how long the caller waits; 0: not said.
+	// Timeout is how long the caller waits; 0: not given.
 	Timeout time.Duration
 	Model   string
-	// InputTokens of the prompt, OutputTokens at most.
+	// InputTokens is the length of the prompt, OutputTokens the longest answer.
 	InputTokens  int
 	OutputTokens int
 	Parts        []Part
-	// LastEventID that the caller has of a stream that it resumes.
+	// LastEventID is the last event that the caller has of a stream that it resumes.
 	LastEventID string
 }
 
 // Shared returns the parts that other requests may have in common: all but the
-// last, which belongs to the request or its session.
+// last, which is specific to the request or its session.
 func (h *Head) Shared() []Part {
 	if len(h.Parts) < 2 {
 		return nil
@@ -43,151 +45,172 @@
 	return h.Parts[:len(h.Parts)-1]
 }
 
-// ForwardOptions is what the system tells a backend server beside the caller's request.
+// ForwardOptions is what an entry sends to a backend server in addition to the
+// caller's request.
 type ForwardOptions struct {
-	// Instance that must answer; any other refuses.
+	// Instance that must answer; any other instance refuses the request.
 	Instance string
-	// Timeout is the time that the backend server has.
+	// Timeout is the time that the backend server has to answer.
 	Timeout time.Duration
 	// Workspace of the caller; empty: none.
 	Workspace string
-	// Priority 0 to 9, 0 first; negative: not told.
+	// Priority from 0, the highest, to 9; negative: not sent.
 	Priority int
-	// Salt keeps cached parts apart; empty: not told.
+	// Salt separates cached parts: those with different salts are not shared; empty:
+	// not sent.
 	Salt string
-	// Version of the weights that must answer; 0: any.
+	// Version of the weights that the server must answer with; 0: any.
 	Version uint64
-	// FetchFrom is the address of a holder of the prompt's parts; empty: none.
+	// FetchFrom is the address from which the backend server can fetch the KV cache of
+	// the prompt's parts; empty: none.
 	FetchFrom string
-	// SaveTo is the address of a store that the parts are sent to; empty: none.
+	// SaveTo is the address of the KV cache store that the backend server saves the KV
+	// cache of the parts to; empty: none.
 	SaveTo string
-	// LastEventID after which a stream goes on; empty: as the caller sent it.
+	// LastEventID is the event after which a stream continues; empty: as the caller
+	// sent it.
 	LastEventID string
 }
 
-// Load that a backend server tells of itself with an answer.
+// Load is the load that a backend server reports with an answer: its running and
+// waiting requests, and how many it can run at once.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// Answer is the head of a backend server's answer.
+// Answer holds the status and headers of a backend server's answer.
 type Answer struct {
 	Status int
-	// ID of the request that it belongs to; empty: not said.
+	// ID of the request that it belongs to; empty: not given.
 	ID string
-	// NotRun: the backend server proves that the request did not run there.
+	// NotRun: the backend server states that the request did not run there.
 	NotRun bool
-	// Sealed: the answer carries the backend server's signature.
+	// Sealed: the answer carries a seal, the backend server's signature.
 	Sealed bool
-	// HasLoad tells whether Load was told.
+	// HasLoad: Load was reported.
 	HasLoad bool
 	Load    Load
-	// Version of the weights that answered; 0: not said.
+	// Version of the weights that answered; 0: not given.
 	Version uint64
-	// RetryAfter that the backend server asks for; 0: none.
+	// RetryAfter is the delay that the backend server asks for; 0: none.
 	RetryAfter time.Duration
-	// KeepAlive is how long an idle connection may be used again; 0: not said.
+	// KeepAlive is how long the backend server keeps the connection open while it is
+	// idle; 0: not given.
 	KeepAlive time.Duration
-	// Encoded: the body is not as the backend server made it.
+	// Encoded: the body has a content encoding, so it is not as the backend server
+	// produced it.
 	Encoded bool
-	// Instance that answered; empty: not said.
+	// Instance that answered; empty: not given.
 	Instance string
 }
 
-// Refused tells whether the answer proves that nothing ran.
+// Refused reports whether the answer proves that the request did not run. Status 421
+// (Misdirected Request) does so, too.
 func (a *Answer) Refused() bool { return a.NotRun || a.Status == 421 }
 
-// Report is a backend server's own state, some hundred milliseconds old.
+// Report is the state that a backend server reports of itself, a few hundred
+// milliseconds old.
 type Report struct {
-	// StartedAt is when the server started, in Unix ms; 0: it does not say.
+	// StartedAt is when the server started, in Unix ms; 0: not given.
 	StartedAt int64
-	Versions  map[string]uint64
-	Busy      bool
-	Orders    uint64
-	Running   int
-	Queued    int
-	KVUsed    int
-	KVTotal   int
+	// Versions of the loaded weights, by model.
+	Versions map[string]uint64
+	// Busy: it is loading weights.
+	Busy bool
+	// Orders is how many orders it has accepted.
+	Orders uint64
+	// Running and Queued are numbers of requests.
+	Running int
+	Queued  int
+	// KVUsed and KVTotal are the used part and the size of its KV cache.
+	KVUsed  int
+	KVTotal int
 }
 
-// PartChange is a store's word on one part that it keeps.
+// PartChange is a change to one part of a prompt in a KV cache store.
 type PartChange struct {
 	Salt, Part string
-	// Dropped: it has given up the part, or some of its end.
+	// Dropped: the store has evicted the part, or the end of it. Otherwise it has stored
+	// the part.
 	Dropped bool
 }
 
-// StoreChanges is what a store of kept cache took in and dropped, some 100 ms
-// late; a few changes never show.
+// StoreChanges lists what a KV cache store has stored and evicted since an earlier
+// call. Changes are listed about 100 ms late, and a few never are.
 type StoreChanges struct {
-	// Epoch changes when the store starts again, empty.
+	// Epoch changes when the store restarts, empty.
 	Epoch uint64
-	// Next is where the next question goes on. Lost: changes in between are gone.
+	// Next is the position at which the next call continues. Lost: some changes since
+	// the earlier call are no longer available.
 	Next  uint64
 	Lost  bool
 	Parts []PartChange
 }
 
-// LoadOrder tells a backend server to take new weights.
+// LoadOrder orders a backend server to load new weights.
 type LoadOrder struct {
 	Instance string
 	Address  string
 	Model    string
 	Version  uint64
-	// Mode of what happens to requests that run.
-	Mode   LoadMode
+	// Mode says what happens to running requests.
+	Mode LoadMode
+	// Holder is the name of the lease's holder.
 	Holder string
 	// Fence is the fencing number of the holder's lease.
 	Fence uint64
-	// Expected number of orders that the server accepted so far; negative: not checked.
+	// Expected is how many orders the server must have accepted so far; negative: not
+	// checked.
 	Expected int64
 }
 
-// LoadMode says what happens to requests that run when weights change.
+// LoadMode says what happens to running requests when the weights change.
 type LoadMode int
 
 // The modes.
 const (
-	// LoadAfterRunning: they finish first.
+	// LoadAfterRunning: the server loads when they have finished.
 	LoadAfterRunning LoadMode = iota
-	// LoadAbortRunning: they are reset.
+	// LoadAbortRunning: they are aborted.
 	LoadAbortRunning
-	// LoadKeepRunning: they go on under the new weights.
+	// LoadKeepRunning: they continue with the new weights.
 	LoadKeepRunning
 )
 
-// ErrBusy tells that a server is there but takes no more such calls for now.
+// ErrBusy means that the server was reached but accepts no more such calls for now.
 var ErrBusy = errors.New("too many calls")
 
-// ErrOtherInstance tells that another lifetime has the address of the one that was asked.
+// ErrOtherInstance means that a different instance than the one called has the
+// address.
 var ErrOtherInstance = errors.New("another instance has the address")
 
-// OrderOutcome is what became of an order.
+// OrderOutcome is the outcome of an order.
 type OrderOutcome int
 
 // The outcomes.
 const (
-	// OrderUnknown: no answer; it may be carried out at any later time.
+	// OrderUnknown: no answer; the order may still be carried out at any time.
 	OrderUnknown OrderOutcome = iota
 	// OrderAccepted: it is being carried out.
 	OrderAccepted
-	// OrderAlreadyLoaded already.
+	// OrderAlreadyLoaded: the server has the version already.
 	OrderAlreadyLoaded
-	// OrderBusy: another order is in progress, or the count differs.
+	// OrderBusy: another order is in progress, or the count of orders differs from
+	// LoadOrder.Expected.
 	OrderBusy
-	// OrderFenced: a higher fencing number was seen.
+	// OrderFenced: the server has seen a higher fencing number.
 	OrderFenced
-	// OrderInvalid: the server does not know such an order or version.
+	// OrderInvalid: the server does not support the order, or does not have the version.
 	OrderInvalid
-	// OrderMisdirected: another instance has the address.
+	// OrderMisdirected: a different instance has the address.
 	OrderMisdirected
-	// OrderNotSent: no connection was had.
+	// OrderNotSent: no connection could be opened.
 	OrderNotSent
 )
 
 var outcomeNames = [...]string{"unknown", "accepted", "holds", "busy", "fenced", "invalid", "misdirected", "not_sent"}
 
-// String is the word for logs.
+// String returns the name for logs and metrics.
 func (o OrderOutcome) String() string { return outcomeNames[o] }
