--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -17,41 +17,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// Errors of an exchange, for errors.Is. Which one it is tells how far the
-// request came.
+// Errors of an exchange, for errors.Is. They distinguish how far the request got.
 var (
-	// ErrNotSent: no byte of the request left; it surely did not run. The cause
-	// is wrapped too, ErrNoListener for one.
+	// ErrNotSent: no byte of the request was sent, so it did not run. The cause is
+	// wrapped too, for example ErrNoListener.
 	ErrNotSent = errors.New("request not sent")
-	// ErrNoAnswer: it was sent, wholly or in part, and may have run.
+	// ErrNoAnswer: the request was sent, at least in part, and may have run.
 	ErrNoAnswer = errors.New("no answer")
-	// ErrInvalidAnswer: bytes came that are no answer to the request; it may have run.
-	ErrInvalidAnswer = errors.New("answer not understood")
-	// ErrNoListener: nothing listens at the address, the process has ended.
+	// ErrInvalidAnswer: the bytes received are not an answer to the request, which may
+	// have run.
+	ErrInvalidAnswer = errors.New("invalid answer")
+	// ErrNoListener: nothing listens at the address; the process has ended.
 	ErrNoListener error = syscall.ECONNREFUSED
 )
 
 const (
 	readBufferBytes = 4 << 10
-	// maxStrays of answers to earlier requests that are skipped on one connection.
+	// maxStrays is how many stray answers, that is answers to earlier requests, are
+	// skipped in one exchange.
 	maxStrays = 2
-	// writtenWait is how long after the whole answer the writer may take to say
-	// that it is done. It only has to run once more.
-	writtenWait = 10 * time.Millisecond
-	// maxStrayBytes of one stray body.
+	// writeDoneTimeout is how long after the complete answer the goroutine that wrote
+	// the request may take to report that it has finished.
+	writeDoneTimeout = 10 * time.Millisecond
+	// maxStrayBytes bounds the body of a stray answer that is skipped.
 	maxStrayBytes = 1 << 20
 )
 
-// Request is one message to a backend server. Its body is held whole, so that
-// it can be sent again elsewhere.
+// Request is one request to a backend server. Its body is in memory, so that it can
+// be sent to another server, too.
 type Request struct {
 	Method string
-	// Target as the caller sent it: path and query, not decoded.
+	// Target is the path and query as the caller sent them, not decoded.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody: the caller's request had a body, perhaps an empty one.
+	// HasBody: the caller's request had a body, which may be empty.
 	HasBody bool
 }
 
@@ -59,7 +60,7 @@
 	var b bytes.Buffer
 	b.Grow(len(r.Body) + 1024)
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	_ = r.Header.Write(&b) // A bytes.Buffer takes all.
+	_ = r.Header.Write(&b) // Writes to a bytes.Buffer don't fail.
 	if r.HasBody || len(r.Body) > 0 {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
@@ -68,43 +69,47 @@
 	return b.Bytes()
 }
 
-// conn is one connection to a backend server; one request at a time.
+// conn is one connection to a backend server. It carries one request at a time.
 type conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// used counts exchanges; 0: fresh.
+	// used counts the exchanges so far; 0: a new connection.
 	used int
-	// idleUntil is when it must not be used again.
+	// idleUntil is when the idle connection expires.
 	idleUntil time.Time
 	idleSince time.Time
 }
 
-// Response is an answer whose head was read. Close it in any case.
+// Response is an answer whose header has been read. It must be closed.
 type Response struct {
 	Status int
 	Header http.Header
 	// Body ends with io.EOF only when the answer is complete.
 	Body io.Reader
-	// Reused tells whether the connection had carried other requests.
+	// Reused: the connection has carried other requests before.
 	Reused bool
-	// Bounded: the answer's length is given by its framing, not by the end of
-	// the connection.
+	// Bounded: the answer's end is given by its framing, not by the end of the
+	// connection.
 	Bounded bool
 
-	conn    *conn
-	pool    *Pool
-	inner   *http.Response
+	conn  *conn
+	pool  *Pool
+	inner *http.Response
+	// written receives the result of writing the request.
 	written chan error
-	stop    func() bool
-	ended   atomic.Bool
-	keep    time.Duration
-	closed  bool
+	// stop ends the watch on the context; false: the connection was closed by it.
+	stop func() bool
+	// ended: the end of the body was read.
+	ended atomic.Bool
+	// keep is how long the connection may be idle in the pool; 0: not at all.
+	keep   time.Duration
+	closed bool
 }
 
-// alive looks, without waiting, whether the connection is still open and has
-// no bytes to read. Bytes that come while nothing was asked belong to no
-// request, and a connection that was closed would lose the next one.
+// alive reports, without blocking, whether the connection is open and has no bytes
+// to read. Bytes received while no request is in progress belong to none, and a
+// request sent on a closed connection would be lost.
 func (c *conn) alive() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -117,30 +122,30 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		idle = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// exchange sends the request and reads the head of its answer. belongs tells
-// whether a head is that of an answer to this request.
+// exchange sends the request and reads the header of its answer. belongs reports
+// whether a header is that of an answer to this request.
 func (c *conn) exchange(ctx context.Context, r *Request, belongs func(http.Header) bool) (*Response, error) {
 	response := &Response{conn: c, Reused: c.used > 0, written: make(chan error, 1)}
 	c.used++
-	// A caller that leaves ends the work at once: the backend server sees the
-	// connection close.
+	// When the context ends, the closed connection tells the backend server to stop
+	// working on the request.
 	response.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
 	message := r.bytes()
 	go func() {
 		_, err := c.Write(message)
 		response.written <- err
 	}()
-	if err := response.readHead(r.Method, belongs); err != nil {
+	if err := response.readHeader(r.Method, belongs); err != nil {
 		response.stop()
 		_ = c.Close()
 		return nil, err
@@ -148,37 +153,39 @@
 	return response, nil
 }
 
-func (r *Response) readHead(method string, belongs func(http.Header) bool) error {
+func (r *Response) readHeader(method string, belongs func(http.Header) bool) error {
 	request := &http.Request{Method: method}
 	for strays := 0; ; {
 		inner, err := http.ReadResponse(r.conn.reader, request) //nolint:bodyclose // Response.Close ends or keeps the connection
 		if err != nil {
-			return headError(err)
+			return headerError(err)
 		}
 		if inner.StatusCode >= 100 && inner.StatusCode < 200 {
 			continue
 		}
 		if belongs(inner.Header) {
-			r.take(inner)
+			r.setHeader(inner)
 			return nil
 		}
-		// An answer to an earlier request stands where ours is due.
+		// A stray answer to an earlier request on the connection.
 		strays++
 		if strays > maxStrays || !skip(inner) {
-			return eris.Wrap(ErrInvalidAnswer, "answer of another request")
+			return eris.Wrap(ErrInvalidAnswer, "got the answer of another request")
 		}
 	}
 }
 
-func headError(err error) error {
-	var network net.Error
-	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &network) || errors.Is(err, net.ErrClosed) {
+// headerError converts an error of reading a header to one of the errors of an exchange.
+func headerError(err error) error {
+	var netErr net.Error
+	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &netErr) || errors.Is(err, net.ErrClosed) {
 		return eris.Wrapf(ErrNoAnswer, "%v", err)
 	}
 	return eris.Wrapf(ErrInvalidAnswer, "%v", err)
 }
 
-// skip reads a stray answer to its end; false when its end can't be known.
+// skip reads a stray answer to its end; false if the end is not
+// given by its framing, or the body is too long.
 func skip(stray *http.Response) bool {
 	if stray.ContentLength < 0 && len(stray.TransferEncoding) == 0 {
 		return false
@@ -187,14 +194,14 @@
 	return err == nil && n < maxStrayBytes
 }
 
-func (r *Response) take(inner *http.Response) {
+func (r *Response) setHeader(inner *http.Response) {
 	r.inner = inner
 	r.Status, r.Header = inner.StatusCode, inner.Header
 	r.Bounded = inner.ContentLength >= 0 || len(inner.TransferEncoding) > 0
 	r.Body = &body{response: r}
 }
 
-// body notes that the end of the answer was seen.
+// body is the body of a Response. It records that the end was read.
 type body struct{ response *Response }
 
 // Read implements io.Reader.
@@ -206,34 +213,33 @@
 	return n, err
 }
 
-// KeepFor allows the connection to be used again for a time.
+// KeepFor lets the connection be reused within the time d after Close.
 func (r *Response) KeepFor(d time.Duration) { r.keep = d }
 
-// Close ends the exchange. The connection is kept only after a complete answer
-// to a request that was sent whole, with nothing left to read: rest of a body
-// that the server has not read yet, or bytes that belong to no request, would
-// be taken for part of the next exchange.
+// Close ends the exchange. The connection is kept only if the request was completely
+// written, the answer completely read, and no bytes are left over: what remained of
+// either would be taken for part of the next exchange.
 func (r *Response) Close() {
 	if r.closed {
 		return
 	}
 	r.closed = true
-	whole := r.ended.Load() && r.stop() && r.sent()
-	reusable := whole && r.Bounded && r.keep > 0 && !r.inner.Close && r.inner.ProtoAtLeast(1, 1)
+	complete := r.ended.Load() && r.stop() && r.sent()
+	reusable := complete && r.Bounded && r.keep > 0 && !r.inner.Close && r.inner.ProtoAtLeast(1, 1)
 	if !reusable || r.conn.reader.Buffered() > 0 {
 		r.stop()
-		r.pool.drop(r.conn)
+		r.pool.discard(r.conn)
 		return
 	}
 	r.pool.put(r.conn, r.keep)
 }
 
-// sent tells whether the request left whole. The whole answer may be here before
-// the goroutine that wrote the request has said that it is done: a busy process
-// then gave up a sound connection and opened another. A server that answered
-// before it had read the request is the only other reason, and shows by the wait.
+// sent reports whether the request was completely written. The answer may be complete
+// before the goroutine that wrote the request has reported its result, so sent waits
+// for it. If none comes in time, the server has answered before it has read the
+// request.
 func (r *Response) sent() bool {
-	timer := time.NewTimer(writtenWait)
+	timer := time.NewTimer(writeDoneTimeout)
 	defer timer.Stop()
 	select {
 	case err := <-r.written:
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -1,6 +1,6 @@
-// Package upstream exchanges HTTP/1.1 messages with backend servers over
-// connections that it owns. It repeats nothing by itself and tells exactly how
-// far an exchange came, since what may be repeated is decided by others.
+// Package upstream exchanges HTTP/1.1 messages with backend servers over its own
+// connections. It never retries: its errors say how far an exchange got, and the
+// caller decides whether to retry.
 package upstream
 
 import (
@@ -12,33 +12,34 @@
 )
 
 const (
-	// probeIdle, probeInterval and probeCount find a connection that went
-	// silent while nothing is sent: it ends after about three seconds.
-	probeIdle     = time.Second
-	probeInterval = time.Second
-	probeCount    = 2
+	// TCP keep-alive settings: a connection on which nothing is sent is closed about
+	// three seconds after the peer has become unreachable.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
 )
 
-// Dialer opens TCP connections that end by themselves when the other side goes
-// silent. silence is how long sent bytes may stay unacknowledged: without it a
-// cut link or a peer without power would hold a call until its deadline.
-func Dialer(connect, silence time.Duration) *net.Dialer {
+// Dialer returns a dialer for TCP connections that are closed when the peer becomes
+// unreachable. connectTimeout bounds the opening of a connection, ackTimeout how long
+// sent bytes may stay unacknowledged: without that limit, a call to a peer that has
+// lost its network or power would last until its deadline.
+func Dialer(connectTimeout, ackTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout: connect,
+		Timeout: connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
-		Control: func(_, _ string, raw syscall.RawConn) error { return limitSilence(raw, silence) },
+		Control: func(_, _ string, raw syscall.RawConn) error { return setAckTimeout(raw, ackTimeout) },
 	}
 }
 
-func limitSilence(raw syscall.RawConn, silence time.Duration) error {
-	var failed error
+func setAckTimeout(raw syscall.RawConn, ackTimeout time.Duration) error {
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// maxIdlePerAddress bounds the connections kept to one backend server.
+// maxIdlePerAddress bounds the idle connections to one backend server.
 const maxIdlePerAddress = 64
 
-// Pool keeps connections to backend servers. Safe for concurrent use.
+// Pool is a pool of connections to backend servers. It is safe for concurrent use.
 type Pool struct {
 	dialer *net.Dialer
 
@@ -25,64 +25,67 @@
 	opened atomic.Int64
 }
 
-// NewPool makes a pool; connect bounds the opening of a connection, silence
-// how long sent bytes may stay unacknowledged.
-func NewPool(connect, silence time.Duration) *Pool {
-	return &Pool{dialer: Dialer(connect, silence), idle: map[string][]*conn{}, open: map[string]int{}}
+// NewPool returns an empty pool. connectTimeout bounds the opening of a connection,
+// ackTimeout how long sent bytes may stay unacknowledged.
+func NewPool(connectTimeout, ackTimeout time.Duration) *Pool {
+	return &Pool{dialer: Dialer(connectTimeout, ackTimeout), idle: map[string][]*conn{}, open: map[string]int{}}
 }
 
-// Opened counts the connections opened so far.
+// Opened returns how many connections the pool has tried to open so far.
 func (p *Pool) Opened() int64 { return p.opened.Load() }
 
-// Open counts the connections to an address, idle ones too.
+// Open returns the number of connections to an address, idle ones included.
 func (p *Pool) Open(address string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open[address]
 }
 
-// Busy counts the connections to an address that carry a request.
+// Busy returns the number of connections to an address that carry a request.
 func (p *Pool) Busy(address string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open[address] - len(p.idle[address])
 }
 
-// ReusePolicy says how idle a kept connection may have been.
+// ReusePolicy says which idle connections may be reused.
 type ReusePolicy struct {
-	// MaxIdle of a kept connection; 0: only a new one will do.
+	// MaxIdle is how long the connection may have been idle; 0: use a new one.
 	MaxIdle time.Duration
 }
 
-// Send sends a request to an address and returns the head of the answer. The
-// request is sent once, or not at all (ErrNotSent). When ctx ends the
-// connection is closed, whatever was under way.
-func (p *Pool) Send(ctx context.Context, address string, r *Request, fresh ReusePolicy, belongs func(h http.Header, reused bool) bool) (*Response, error) {
-	c, err := p.take(ctx, address, fresh)
+// Send sends a request to an address and returns the answer once its header has been
+// read. belongs reports whether a header is that of an answer to this request; reused
+// says whether the connection has carried other requests. The request is sent at most
+// once, and not at all if the error is ErrNotSent. When ctx ends, the connection is
+// closed.
+func (p *Pool) Send(ctx context.Context, address string, r *Request, reuse ReusePolicy, belongs func(h http.Header, reused bool) bool) (*Response, error) {
+	c, err := p.take(ctx, address, reuse)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	reused := c.used > 0
 	response, err := c.exchange(ctx, r, func(h http.Header) bool { return belongs(h, reused) })
 	if err != nil {
-		p.closed(c)
+		p.countClosed(c)
 		return nil, err
 	}
 	response.pool = p
 	return response, nil
 }
 
-func (p *Pool) take(ctx context.Context, address string, fresh ReusePolicy) (*conn, error) {
+// take returns an idle connection that may be reused, or a new one.
+func (p *Pool) take(ctx context.Context, address string, reuse ReusePolicy) (*conn, error) {
 	now := time.Now()
-	for fresh.MaxIdle > 0 {
+	for reuse.MaxIdle > 0 {
 		c := p.pop(address)
 		if c == nil {
 			break
 		}
-		if now.Before(c.idleUntil) && now.Sub(c.idleSince) <= fresh.MaxIdle && c.alive() {
+		if now.Before(c.idleUntil) && now.Sub(c.idleSince) <= reuse.MaxIdle && c.alive() {
 			return c, nil
 		}
-		p.drop(c)
+		p.discard(c)
 	}
 	p.opened.Add(1)
 	opened, err := p.dialer.DialContext(ctx, "tcp", address)
@@ -95,9 +98,8 @@
 	return &conn{Conn: opened, address: address, reader: bufio.NewReaderSize(opened, readBufferBytes)}, nil
 }
 
-// Probe opens a connection to an address, to find out whether its server
-// listens: ErrNoListener when it does not. The connection is kept for later
-// requests.
+// Probe opens a connection to an address to check that a server listens there; if not,
+// the error is ErrNoListener. The connection stays in the pool for the time keep.
 func (p *Pool) Probe(ctx context.Context, address string, keep time.Duration) error {
 	c, err := p.take(ctx, address, ReusePolicy{})
 	if err != nil {
@@ -107,40 +109,42 @@
 	return nil
 }
 
-// pop takes the connection that was used last: it is the least likely to have
-// been closed by the other side.
+// pop removes and returns the most recently used idle connection, nil if there is
+// none. It is the least likely to have been closed by the peer.
 func (p *Pool) pop(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[address]
-	if len(kept) == 0 {
+	idle := p.idle[address]
+	if len(idle) == 0 {
 		return nil
 	}
-	c := kept[len(kept)-1]
-	p.idle[address] = kept[:len(kept)-1]
+	c := idle[len(idle)-1]
+	p.idle[address] = idle[:len(idle)-1]
 	return c
 }
 
+// put adds a connection to the idle ones, unless there are enough of them.
 func (p *Pool) put(c *conn, keep time.Duration) {
 	c.idleSince = time.Now()
 	c.idleUntil = c.idleSince.Add(keep)
 	p.mu.Lock()
-	kept := p.idle[c.address]
-	if len(kept) < maxIdlePerAddress {
-		p.idle[c.address] = append(kept, c)
+	idle := p.idle[c.address]
+	if len(idle) < maxIdlePerAddress {
+		p.idle[c.address] = append(idle, c)
 		p.mu.Unlock()
 		return
 	}
 	p.mu.Unlock()
-	p.drop(c)
+	p.discard(c)
 }
 
-func (p *Pool) drop(c *conn) {
+func (p *Pool) discard(c *conn) {
 	_ = c.Close()
-	p.closed(c)
+	p.countClosed(c)
 }
 
-func (p *Pool) closed(c *conn) {
+// countClosed records that a connection has been closed.
+func (p *Pool) countClosed(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open[c.address]--; p.open[c.address] <= 0 {
@@ -148,39 +152,39 @@
 	}
 }
 
-// CloseIdle closes the idle connections to an address: its server is gone, or
-// answered under another name.
+// CloseIdle closes the idle connections to an address, for when its server is gone or
+// another instance has the address.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
-	kept := p.idle[address]
+	idle := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
-	for _, c := range kept {
-		p.drop(c)
+	for _, c := range idle {
+		p.discard(c)
 	}
 }
 
-// CloseExpired closes connections whose time is over.
+// CloseExpired closes the idle connections that have expired.
 func (p *Pool) CloseExpired(now time.Time) {
-	var over []*conn
+	var expired []*conn
 	p.mu.Lock()
-	for address, kept := range p.idle {
-		var still []*conn
-		for _, c := range kept {
+	for address, idle := range p.idle {
+		var remaining []*conn
+		for _, c := range idle {
 			if now.Before(c.idleUntil) {
-				still = append(still, c)
+				remaining = append(remaining, c)
 				continue
 			}
-			over = append(over, c)
+			expired = append(expired, c)
 		}
-		if len(still) == 0 {
+		if len(remaining) == 0 {
 			delete(p.idle, address)
 			continue
 		}
-		p.idle[address] = still
+		p.idle[address] = remaining
 	}
 	p.mu.Unlock()
-	for _, c := range over {
-		p.drop(c)
+	for _, c := range expired {
+		p.discard(c)
 	}
 }
--- a/internal/upstream/sent_test.go
+++ b/internal/upstream/sent_test.go
@@ -8,19 +8,18 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A busy process opened a connection for a request though a sound one was
-// there: the answer was read to its end before the goroutine that had written
-// the request ran again.
-func TestAnAnswerMayOvertakeTheWordThatItsRequestWasSent(t *testing.T) {
+// Guards against a reusable connection being closed because the answer is complete
+// before the goroutine that wrote the request has reported its result.
+func TestTheAnswerMayCompleteBeforeTheWriteIsReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		after time.Duration
 		err   error
 		want  bool
 	}{
-		"at once":      {0, nil, true},
-		"a bit later":  {2 * time.Millisecond, nil, true},
-		"not written":  {0, errors.New("broken"), false},
-		"never so far": {time.Second, nil, false},
+		"at once":        {0, nil, true},
+		"a little later": {2 * time.Millisecond, nil, true},
+		"write failed":   {0, errors.New("broken"), false},
+		"not in time":    {time.Second, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &Response{written: make(chan error, 1)}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,7 +17,9 @@
 	"github.com/jayproxy/jayproxy/internal/upstream"
 )
 
-// server answers each request of a connection with what script says; nil ends it.
+// server starts a server and returns its address. It calls script for each request of
+// a connection, with its number n from 1, and closes the connection if script returns
+// false.
 func server(t *testing.T, script func(n int, r *http.Request, c net.Conn) bool) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,22 +76,21 @@
 	assert.Equal(t, int64(1), p.Opened())
 }
 
-// A late answer to a request that was given up stands where the next answer is
-// due. Its id tells, and it is read over.
+// Guards against a late answer to an abandoned request that is taken for the answer to
+// the next one. It is recognized by its id and skipped.
 func TestAStrayAnswerIsSkipped(t *testing.T) {
 	address := server(t, func(_ int, r *http.Request, c net.Conn) bool {
-		reply(c, "somebody else", "not yours")
-		reply(c, r.Header.Get("Id"), "yours")
+		reply(c, "other", "wrong")
+		reply(c, r.Header.Get("Id"), "right")
 		return true
 	})
 	text, _, err := send(newPool(), address, "1", "")
 	require.NoError(t, err)
-	assert.Equal(t, "yours", text)
+	assert.Equal(t, "right", text)
 }
 
-// A server answers before it has read a long body, and keeps the connection.
-// The rest of that body is still due there: the next request's head would be
-// taken for it.
+// Guards against the reuse of a connection whose server has answered before it has
+// read the whole body: it would take the next request for the rest of the body.
 func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -101,7 +102,7 @@
 				return
 			}
 			go func() {
-				_, _ = http.ReadRequest(bufio.NewReaderSize(c, 16)) // the head, not the body
+				_, _ = http.ReadRequest(bufio.NewReaderSize(c, 16)) // reads the header, not the whole body
 				reply(c, "1", "early")
 				time.Sleep(2 * time.Second)
 				_ = c.Close()
@@ -113,11 +114,11 @@
 	text, _, err := send(p, address, "1", strings.Repeat("x", 64<<20))
 	require.NoError(t, err)
 	assert.Equal(t, "early", text)
-	assert.Zero(t, p.Open(address), "not kept")
+	assert.Zero(t, p.Open(address), "the connection is not reused")
 }
 
-// An answer without a length that is reset on the way would look complete.
-func TestAnAnswerThatBreaksOffIsAnError(t *testing.T) {
+// Guards against an interrupted answer that looks complete, whatever its framing.
+func TestAnInterruptedAnswerIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf",
 		"chunks": "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -138,17 +139,20 @@
 	}
 }
 
-func TestErrorsTellHowFarTheRequestCame(t *testing.T) {
+func TestErrorsSayHowFarTheRequestGot(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	closed := l.Addr().String()
 	_ = l.Close()
 	_, _, err = send(newPool(), closed, "1", "")
 	assert.ErrorIs(t, err, upstream.ErrNotSent)
-	silent := server(t, func(int, *http.Request, net.Conn) bool { return false })
-	_, _, err = send(newPool(), silent, "1", "")
+	unanswered := server(t, func(int, *http.Request, net.Conn) bool { return false })
+	_, _, err = send(newPool(), unanswered, "1", "")
 	assert.ErrorIs(t, err, upstream.ErrNoAnswer)
-	garbled := server(t, func(_ int, _ *http.Request, c net.Conn) bool { _, _ = io.WriteString(c, "what?\r\n\r\n"); return true })
-	_, _, err = send(newPool(), garbled, "1", "")
+	invalid := server(t, func(_ int, _ *http.Request, c net.Conn) bool {
+		_, _ = io.WriteString(c, "not HTTP\r\n\r\n")
+		return true
+	})
+	_, _, err = send(newPool(), invalid, "1", "")
 	assert.ErrorIs(t, err, upstream.ErrInvalidAnswer)
 }
