--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -1,6 +1,7 @@
-// Package routetable holds what operators declare for forwarded calls: routes,
-// services, workspaces and limits. A Table is immutable; a process swaps it
-// whole and only for a higher version. It has no I/O, goroutine or clock.
+// Package routetable holds what operators configure for forwarded calls: routes,
+// services, workspaces and limits. A Table is immutable; a process replaces it only by
+// one of a higher version. The package does no I/O, starts no goroutine and reads no
+// clock.
 package routetable
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Kind says what may be repeated.
+// Kind is the kind of a route. It determines whether a call may run more than once.
 type Kind int
 
 // The kinds of route.
@@ -18,67 +19,72 @@
 	Once Kind = iota
 	// Idempotent: a call may run more than once.
 	Idempotent
-	// Stream: the answer is a series of events; runs at most once unless the
+	// Stream: the answer is a stream of events. A call may run at most once unless the
 	// route is resumable.
 	Stream
 )
 
-// Target is a service that a route sends a share of its calls to.
+// Target is a service that a route sends a part of its calls to.
 type Target struct {
 	Service string
-	// Weight is the share among the route's targets, any unit.
+	// Weight of the service, relative to the route's other targets.
 	Weight float64
 }
 
-// Route is one entry of the table.
+// Route is one route of the table.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time a caller is kept waiting; 0: none.
+	// Timeout is the longest time that a caller waits; 0: no limit.
 	Timeout time.Duration
-	// Target latency within which an answer is worth its full credit.
+	// Target is the latency objective of an answer.
 	Target time.Duration
-	// GapTarget is the longest pause between events that is still on time.
+	// GapTarget is the objective for the time between two events of a stream.
 	GapTarget time.Duration
-	// EventTimeout is after how long without an event callers leave a stream,
-	// before its first one too; 0: only at their deadline.
+	// EventTimeout is how long callers wait for the first or next event of a stream
+	// before they abandon it; 0: until their deadline.
 	EventTimeout time.Duration
-	// Priority: 0 is the highest.
-	Priority    int
-	Targets     []Target
+	// Priority of the route's calls; 0 is the highest.
+	Priority int
+	Targets  []Target
+	// MaxAttempts bounds the attempts of a call that may have run.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public: calls need no API key.
 	Public bool
-	// Sticky routes carry prompts whose prefixes are cached.
+	// Sticky: calls carry prompts whose prefixes backend servers cache.
 	Sticky bool
-	// Resumable streams may go on at another backend server.
+	// Resumable: a stream may be continued by another backend server.
 	Resumable bool
 }
 
-// Repeatable tells whether a call may run more than once.
+// Repeatable reports whether a call may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Engine is what a service's model engines can do.
+// Engine describes the model engines of a service.
 type Engine struct {
-	Slots            int
+	// Slots is how many requests one engine runs at once.
+	Slots int
+	// KVCapacityTokens is how many tokens the KV cache of one engine can hold.
 	KVCapacityTokens int
-	TokenBytes       int
-	// MaxEventCalls is how many event calls one engine holds at once, from all callers.
+	// TokenBytes is the size of one token's KV cache in bytes.
+	TokenBytes int
+	// MaxEventCalls is how many event calls to one engine may be open at once, from all
+	// callers together.
 	MaxEventCalls int
 	Models        []string
 }
 
-// KVStore is a store of kept KV cache.
+// KVStore is a KV cache store: it keeps KV cache outside the engines.
 type KVStore struct {
 	Address    string
 	DataCentre string
-	// CapacityTokens that it has room for.
+	// CapacityTokens is how many tokens it can hold.
 	CapacityTokens int
-	// LinkBytes that its link carries a second; 0: unknown.
+	// LinkBytes is the rate of its network link in bytes per second; 0: unknown.
 	LinkBytes float64
 }
 
@@ -86,26 +92,27 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns is how many connections one backend server takes from all callers; 0: unknown.
+	// MaxConns is how many connections one backend server accepts in total; 0:
+	// unknown.
 	MaxConns int
-	// Engine is nil for plain services.
+	// Engine is nil for services without model engines.
 	Engine *Engine
-	// KVStore is nil but for stores of kept KV cache.
+	// KVStore is nil unless the service is a KV cache store.
 	KVStore *KVStore
 }
 
-// Workspace is a customer of the fleet.
+// Workspace is a customer of the fleet, identified by its API keys.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority replaces the route's where HasPriority.
+	// Priority takes precedence over the route's if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Isolated workspaces share no cached prefix with any other.
+	// Isolated: it shares no cached prefixes with other workspaces.
 	Isolated bool
 }
 
-// Limits bound what a caller may send. Zero means no limit of its own.
+// Limits bound the requests of callers. A field that is zero sets no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -113,26 +120,27 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is one configuration.
+// Table is one version of the configuration.
 type Table struct {
 	Version    uint64
 	Limits     Limits
 	Workspaces []Workspace
 	Services   map[string]*Service
-	// Stores of kept KV cache, in order of their services' names. Services name no
-	// store of their own, so all serve all engines.
+	// Stores are the KV cache stores, sorted by the names of their services. Every store
+	// serves all engines.
 	Stores []KVStore
-	// byHost holds the routes of a host, longest prefix first.
+	// byHost holds the routes of each host, longest prefix first.
 	byHost map[string][]*Route
-	// byKey finds the workspace of a key.
+	// byKey holds the workspace of each API key.
 	byKey map[string]*Workspace
-	// urgencies ranks what routes and workspaces declare.
-	urgencies map[urgency]int
-	// enginePriorities of the routes to model engines, each once.
+	// priorityRanks ranks all priorities that requests to model engines can have.
+	priorityRanks map[requestPriority]int
+	// enginePriorities are the distinct priorities of the routes to model engines.
 	enginePriorities []int
 }
 
-// New builds a table. It keeps the slices.
+// New builds a table. The table keeps references to the slices, which must not change
+// afterwards.
 func New(version uint64, limits Limits, routes []Route, services []Service, workspaces []Workspace) *Table {
 	t := &Table{
 		Version: version, Limits: limits, Workspaces: workspaces,
@@ -144,8 +152,8 @@
 		host := strings.ToLower(routes[i].Host)
 		t.byHost[host] = append(t.byHost[host], &routes[i])
 	}
-	for _, of := range t.byHost {
-		sort.SliceStable(of, func(i, j int) bool { return len(of[i].Prefix) > len(of[j].Prefix) })
+	for _, hostRoutes := range t.byHost {
+		sort.SliceStable(hostRoutes, func(i, j int) bool { return len(hostRoutes[i].Prefix) > len(hostRoutes[j].Prefix) })
 	}
 	for i := range services {
 		t.Services[services[i].Name] = &services[i]
@@ -156,27 +164,27 @@
 		}
 	}
 	t.Stores = storesOf(services)
-	t.rankUrgencies()
+	t.rankPriorities()
 	return t
 }
 
 func storesOf(services []Service) []KVStore {
-	var with []*Service
+	var storeServices []*Service
 	for i := range services {
 		if services[i].KVStore != nil {
-			with = append(with, &services[i])
+			storeServices = append(storeServices, &services[i])
 		}
 	}
-	sort.Slice(with, func(i, j int) bool { return with[i].Name < with[j].Name })
-	stores := make([]KVStore, 0, len(with))
-	for _, service := range with {
+	sort.Slice(storeServices, func(i, j int) bool { return storeServices[i].Name < storeServices[j].Name })
+	stores := make([]KVStore, 0, len(storeServices))
+	for _, service := range storeServices {
 		stores = append(stores, *service.KVStore)
 	}
 	return stores
 }
 
-// Match returns the route of a host with the longest prefix that begins the
-// path, nil when there is none. host may carry a port.
+// Match returns the host's route with the longest prefix of the path, nil if there is
+// none. host may include a port.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
@@ -189,8 +197,8 @@
 	return nil
 }
 
-// RequiresKeys tells whether calls on routes that are not public carry a key.
+// RequiresKeys reports whether calls on routes that are not public need an API key.
 func (t *Table) RequiresKeys() bool { return len(t.Workspaces) > 0 }
 
-// WorkspaceOf returns the workspace that holds the key, nil when none does.
+// WorkspaceOf returns the workspace of an API key, nil if there is none.
 func (t *Table) WorkspaceOf(key string) *Workspace { return t.byKey[key] }
--- a/internal/routetable/table_test.go
+++ b/internal/routetable/table_test.go
@@ -26,7 +26,7 @@
 		require.NotNil(t, route, path)
 		assert.Equal(t, want, route.Name, path)
 	}
-	assert.Nil(t, table().Match("a.example", "/ab/"), "a prefix ends with its slash")
+	assert.Nil(t, table().Match("a.example", "/ab/"), "the slash is part of the prefix")
 	assert.Nil(t, table().Match("c.example", "/a/"))
 }
 
--- a/internal/routetable/urgency.go
+++ b/internal/routetable/urgency.go
@@ -2,33 +2,33 @@
 
 import "sort"
 
-// PriorityLevels is how many degrees of urgency a backend server tells apart.
+// PriorityLevels is the number of priorities that a backend server distinguishes.
 const PriorityLevels = 10
 
-// urgency orders requests: a workspace's priority goes first, and among equals
-// the route's own decides. With the workspace's alone, short calls that an
-// operator ranked first waited behind long prompts of the same workspace.
-type urgency struct{ declared, route int }
+// requestPriority orders requests: by the priority of the workspace, or of the route if
+// the workspace has none, and among equals by that of the route. So routes of one
+// workspace still differ in priority.
+type requestPriority struct{ primary, route int }
 
-func (u urgency) before(v urgency) bool {
-	if u.declared != v.declared {
-		return u.declared < v.declared
+func (p requestPriority) before(q requestPriority) bool {
+	if p.primary != q.primary {
+		return p.primary < q.primary
 	}
-	return u.route < v.route
+	return p.route < q.route
 }
 
-func urgencyOf(route *Route, workspace *Workspace) urgency {
-	u := urgency{declared: route.Priority, route: route.Priority}
+func requestPriorityOf(route *Route, workspace *Workspace) requestPriority {
+	p := requestPriority{primary: route.Priority, route: route.Priority}
 	if workspace != nil && workspace.HasPriority {
-		u.declared = workspace.Priority
+		p.primary = workspace.Priority
 	}
-	return u
+	return p
 }
 
-// rankUrgencies numbers all pairs that the table can bring about, the most
-// urgent first.
-func (t *Table) rankUrgencies() {
-	t.urgencies = map[urgency]int{}
+// rankPriorities numbers all priorities that requests to model engines can have under
+// this table, from the highest on.
+func (t *Table) rankPriorities() {
+	t.priorityRanks = map[requestPriority]int{}
 	priorities := map[int]bool{}
 	for _, routes := range t.byHost {
 		for _, route := range routes {
@@ -36,22 +36,22 @@
 				continue
 			}
 			priorities[route.Priority] = true
-			t.urgencies[urgencyOf(route, nil)] = 0
+			t.priorityRanks[requestPriorityOf(route, nil)] = 0
 			for i := range t.Workspaces {
-				t.urgencies[urgencyOf(route, &t.Workspaces[i])] = 0
+				t.priorityRanks[requestPriorityOf(route, &t.Workspaces[i])] = 0
 			}
 		}
 	}
 	for priority := range priorities {
 		t.enginePriorities = append(t.enginePriorities, priority)
 	}
-	order := make([]urgency, 0, len(t.urgencies))
-	for u := range t.urgencies {
-		order = append(order, u)
+	sorted := make([]requestPriority, 0, len(t.priorityRanks))
+	for p := range t.priorityRanks {
+		sorted = append(sorted, p)
 	}
-	sort.Slice(order, func(i, j int) bool { return order[i].before(order[j]) })
-	for i, u := range order {
-		t.urgencies[u] = i
+	sort.Slice(sorted, func(i, j int) bool { return sorted[i].before(sorted[j]) })
+	for i, p := range sorted {
+		t.priorityRanks[p] = i
 	}
 }
 
@@ -64,20 +64,20 @@
 	return false
 }
 
-// PriorityLevel is the degree of a request on a route to model engines, 0 for the
-// most urgent, below Levels. Where a table brings about more pairs than there
-// are degrees, neighbours share one.
+// PriorityLevel returns the priority of a request on a route to model engines, from 0,
+// the highest, to PriorityLevels-1. If the table has more priorities than there are
+// levels, adjacent ones share a level.
 func (t *Table) PriorityLevel(route *Route, workspace *Workspace) int {
-	rank, pairs := t.urgencies[urgencyOf(route, workspace)], len(t.urgencies)
-	if pairs <= PriorityLevels {
+	rank, total := t.priorityRanks[requestPriorityOf(route, workspace)], len(t.priorityRanks)
+	if total <= PriorityLevels {
 		return rank
 	}
-	return rank * PriorityLevels / pairs
+	return rank * PriorityLevels / total
 }
 
-// RoutePriorityRank tells the place of a route's own priority among those of all routes to
-// model engines, 0 for the most urgent.
-func (t *Table) RoutePriorityRank(route *Route) (rank, of int) {
+// RoutePriorityRank returns the rank of the route's priority among the priorities of
+// all routes to model engines, 0 for the highest, and how many of these there are.
+func (t *Table) RoutePriorityRank(route *Route) (rank, count int) {
 	for _, priority := range t.enginePriorities {
 		if priority < route.Priority {
 			rank++
--- a/internal/routetable/urgency_test.go
+++ b/internal/routetable/urgency_test.go
@@ -22,28 +22,27 @@
 	return routetable.New(1, routetable.Limits{}, routes, services, workspaces)
 }
 
-// Under load, calls of 2,000 tokens that their operator ranked first waited
-// behind prompts of 12,000 of the same workspace: the workspace's priority took
-// the place of the route's, so that the engine saw both as equals.
-func TestAmongEqualsOfAWorkspaceTheRoutesPriorityDecides(t *testing.T) {
+// Guards against short calls that wait behind long prompts of the same workspace
+// although their route has a higher priority.
+func TestTheRoutesPriorityDecidesWithinAWorkspace(t *testing.T) {
 	table := tableWithPriorities([]int{0, 1}, []int{0, 2})
-	urgent, patient := table.Match("h", "/0/"), table.Match("h", "/1/")
+	high, low := table.Match("h", "/0/"), table.Match("h", "/1/")
 	first, last := &table.Workspaces[0], &table.Workspaces[1]
-	order := []int{table.PriorityLevel(urgent, first), table.PriorityLevel(patient, first), table.PriorityLevel(urgent, last), table.PriorityLevel(patient, last)}
+	order := []int{table.PriorityLevel(high, first), table.PriorityLevel(low, first), table.PriorityLevel(high, last), table.PriorityLevel(low, last)}
 	assert.IsIncreasing(t, order, "the workspace's priority first, then the route's")
-	assert.Equal(t, table.PriorityLevel(urgent, first), table.PriorityLevel(urgent, nil), "a request without a workspace has its route's")
+	assert.Equal(t, table.PriorityLevel(high, first), table.PriorityLevel(high, nil), "without a workspace the route's priority counts")
 }
 
-func TestUrgencyKeepsItsOrderWithMorePairsThanDegrees(t *testing.T) {
+func TestLevelsKeepTheOrderOfMorePrioritiesThanLevels(t *testing.T) {
 	table := tableWithPriorities([]int{0, 1, 2, 3}, []int{0, 1, 2, 3, 4, 5})
-	before := 0
+	previous := 0
 	for w := range table.Workspaces {
 		for p := range 4 {
-			now := table.PriorityLevel(table.Match("h", fmt.Sprintf("/%d/", p)), &table.Workspaces[w])
-			assert.GreaterOrEqual(t, now, before)
-			assert.Less(t, now, routetable.PriorityLevels)
-			before = now
+			level := table.PriorityLevel(table.Match("h", fmt.Sprintf("/%d/", p)), &table.Workspaces[w])
+			assert.GreaterOrEqual(t, level, previous)
+			assert.Less(t, level, routetable.PriorityLevels)
+			previous = level
 		}
 	}
-	assert.Positive(t, before)
+	assert.Positive(t, previous)
 }
