--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -88,7 +88,7 @@
 	w := &waiter{job: j, granted: make(chan placed, 1)}
 	request := waitroom.Request{
 		ID: j.head.ID, Urgency: j.table.PriorityLevel(j.route, j.workspace), Arrived: j.arrived,
-		Reading: reading, InTimeUntil: j.arrived.Add(j.route.Target), Deadline: j.firstBy(),
+		Reading: reading, InTimeUntil: j.arrived.Add(j.route.LatencyTarget), Deadline: j.firstBy(),
 	}
 	s.mu.Lock()
 	// A second send may come when there is no time left to wait. And where a
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -39,8 +39,8 @@
 	Kind   Kind
 	// Timeout is the longest time that a caller waits; 0: no limit.
 	Timeout time.Duration
-	// Target is the latency objective of an answer.
-	Target time.Duration
+	// LatencyTarget is the latency objective of an answer.
+	LatencyTarget time.Duration
 	// GapTarget is the objective for the time between two events of a stream.
 	GapTarget time.Duration
 	// EventTimeout is how long callers wait for the first or next event of a stream
