--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -146,7 +146,7 @@
 
 // Guards against a server that is idle until the load timeout after a lost order,
 // although it reports that it loads nothing.
-func TestALostOrderIsGivenAgainAsSoonAsItShows(t *testing.T) {
+func TestALostOrderIsGivenAgainBeforeTheLoadTimeout(t *testing.T) {
 	sim := newSimulation(1)
 	lost := 0
 	sim.lose = func(string) bool { lost++; return lost == 1 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -184,8 +184,8 @@
 	return eris.Wrapf(ErrInvalidAnswer, "%v", err)
 }
 
-// skip reads a stray answer to its end; false if the end is not
-// given by its framing, or the body is too long.
+// skip reads a stray answer to its end; false if its framing does not give the end, or
+// the body is too long.
 func skip(stray *http.Response) bool {
 	if stray.ContentLength < 0 && len(stray.TransferEncoding) == 0 {
 		return false
