--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -233,7 +233,7 @@
 	}
 	request.Tokens, request.OutputTokens = j.head.InputTokens, j.head.OutputTokens
 	request.Prefix, request.Stores = j.head.Shared(), s.storesLocked(j.table, j.service.Engine)
-	request.MemoryShare = routing.MemoryShare(j.table.RankOf(j.route))
+	request.MemoryShare = routing.MemoryShare(j.table.RoutePriorityRank(j.route))
 	if j.workspace != nil && j.workspace.Isolated {
 		request.Wall = j.workspace.Name
 	}
@@ -266,9 +266,9 @@
 
 // directions returns the instructions sent to the chosen server with the
 // request.
-func (j *job) directions(choice *routing.DirectChoice) call.Directions {
-	d := call.Directions{
-		Instance: choice.Server.Instance, Left: serverTimeout(time.Until(j.deadline)), Priority: -1,
+func (j *job) directions(choice *routing.DirectChoice) call.ForwardOptions {
+	d := call.ForwardOptions{
+		Instance: choice.Server.Instance, Timeout: serverTimeout(time.Until(j.deadline)), Priority: -1,
 		LastEventID: j.stream.lastID,
 	}
 	if j.workspace != nil {
@@ -279,7 +279,7 @@
 	}
 	d.Salt, d.Version = choice.Salt, choice.Server.Version
 	d.FetchFrom, d.SaveTo = choice.FetchFrom, choice.SaveTo
-	d.Priority = j.table.Urgency(j.route, j.workspace)
+	d.Priority = j.table.PriorityLevel(j.route, j.workspace)
 	return d
 }
 
@@ -301,7 +301,7 @@
 	}
 	defer response.Close()
 	answer := g.ports.Dialect.Answer(response.Status, response.Header)
-	response.KeepFor(keepAliveFor(answer.KeepFor))
+	response.KeepFor(keepAliveFor(answer.KeepAlive))
 	g.state.told(time.Now(), server.ID, j.modelName(), &answer)
 	outcome := j.handleResponse(choice, response, &answer)
 	j.sendFinished(choice, outcome)
@@ -315,11 +315,11 @@
 	return j.head.Model
 }
 
-func (j *job) freshness() upstream.Freshness {
+func (j *job) freshness() upstream.ReusePolicy {
 	if j.route.Repeatable() {
-		return upstream.Freshness{MaxIdle: maxIdleRepeatable}
+		return upstream.ReusePolicy{MaxIdle: maxIdleRepeatable}
 	}
-	return upstream.Freshness{MaxIdle: maxIdleNonRepeatable}
+	return upstream.ReusePolicy{MaxIdle: maxIdleNonRepeatable}
 }
 
 func keepAliveFor(announced time.Duration) time.Duration {
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -22,7 +22,7 @@
 	// Decode reads a caller's header; call.ErrMalformed if that is malformed.
 	Decode(h http.Header) (call.Head, error)
 	// RequestHeader returns the header of a request to a backend server.
-	RequestHeader(from http.Header, d call.Directions) http.Header
+	RequestHeader(from http.Header, d call.ForwardOptions) http.Header
 	// Answer reads the header of a backend server's response; ResponseHeader
 	// returns the one for the caller.
 	Answer(status int, h http.Header) call.Answer
@@ -54,7 +54,7 @@
 	IsConfig func(key string) bool
 	Config   func(value []byte) (*routetable.Table, error)
 	// Named decodes a row that names weights; ok is false for any other row.
-	Named   func(key string, value []byte) (named weights.Named, ok bool, err error)
+	Named   func(key string, value []byte) (named weights.Target, ok bool, err error)
 	Backend func(id string, value []byte) (*fleet.Backend, error)
 	// SameBackend reports whether two values of a backend server's row differ in
 	// nothing but the heartbeat.
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -132,7 +132,7 @@
 	if j.route = j.table.Match(r.Host, rawPath(r)); j.route == nil {
 		return j.respondClientError(http.StatusNotFound, "no route")
 	}
-	if j.table.WantsKeys() {
+	if j.table.RequiresKeys() {
 		j.workspace = j.table.WorkspaceOf(j.head.Key)
 		if j.workspace == nil && !j.route.Public {
 			return j.respondClientError(http.StatusUnauthorized, "unknown key")
@@ -191,7 +191,7 @@
 }
 
 func (j *job) setDeadline() {
-	timeout := j.head.Patience
+	timeout := j.head.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -89,8 +89,8 @@
 	now := time.Now()
 	w := &waiter{job: j, granted: make(chan grant, 1)}
 	request := waitroom.Request{
-		ID: j.head.ID, Urgency: j.table.Urgency(j.route, j.workspace), Arrived: j.arrived,
-		Reading: readTime, InTimeUntil: j.arrived.Add(j.route.Target), Deadline: j.firstEventDeadline(),
+		ID: j.head.ID, Urgency: j.table.PriorityLevel(j.route, j.workspace), Arrived: j.arrived,
+		Reading: readTime, InTimeUntil: j.arrived.Add(j.route.LatencyTarget), Deadline: j.firstEventDeadline(),
 	}
 	s.mu.Lock()
 	// A second send may begin when no time is left to wait. And if a caller uses an
@@ -119,10 +119,10 @@
 // Callers abandon a stream without events after the route's quiet limit, long
 // before their deadline.
 func (j *job) firstEventDeadline() time.Time {
-	if j.route.QuietLimit <= 0 {
+	if j.route.EventTimeout <= 0 {
 		return j.deadline
 	}
-	quiet := j.arrived.Add(j.route.QuietLimit)
+	quiet := j.arrived.Add(j.route.EventTimeout)
 	if quiet.Before(j.deadline) {
 		return quiet
 	}
--- a/internal/gateway/waiting_test.go
+++ b/internal/gateway/waiting_test.go
@@ -21,7 +21,7 @@
 		"quiet limit after deadline":  {20 * time.Second, 15 * time.Second},
 		"no quiet limit":              {0, 15 * time.Second},
 	} {
-		j := &job{arrived: arrived, deadline: deadline, route: &routetable.Route{QuietLimit: c.quiet}}
+		j := &job{arrived: arrived, deadline: deadline, route: &routetable.Route{EventTimeout: c.quiet}}
 		assert.Equal(t, arrived.Add(c.want), j.firstEventDeadline(), name)
 	}
 }
--- a/internal/routetable/table_test.go
+++ b/internal/routetable/table_test.go
@@ -26,14 +26,14 @@
 		require.NotNil(t, route, path)
 		assert.Equal(t, want, route.Name, path)
 	}
-	assert.Nil(t, table().Match("a.example", "/ab/"), "a prefix ends with its slash")
+	assert.Nil(t, table().Match("a.example", "/ab/"), "the slash is part of the prefix")
 	assert.Nil(t, table().Match("c.example", "/a/"))
 }
 
 func TestKeysBelongToTheirWorkspace(t *testing.T) {
 	assert.Equal(t, "w", table().WorkspaceOf("k2").Name)
 	assert.Nil(t, table().WorkspaceOf(""))
-	assert.True(t, table().WantsKeys())
+	assert.True(t, table().RequiresKeys())
 }
 
 func TestOnlyIdempotentAndResumableMayBeRepeated(t *testing.T) {
