--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -32,14 +32,14 @@
 // is no row to claim it by, so only those in doubt have one.
 func crashSettings() quarantine.Settings {
 	settings := quarantine.DefaultSettings()
-	settings.TrialAfter = []time.Duration{settings.Forget}
-	settings.HeldFor = settings.Forget
+	settings.TrialDelays = []time.Duration{settings.SuspectTTL}
+	settings.QuarantineTTL = settings.SuspectTTL
 	return settings
 }
 
 // crashWord is one word on a request, as it is told on.
 type crashWord struct {
-	strike  quarantine.Strike
+	strike  quarantine.Crash
 	cleared bool
 }
 
@@ -50,13 +50,13 @@
 	known atomic.Int64
 
 	mu   sync.Mutex
-	book *quarantine.Book
+	book *quarantine.Registry
 	// words by when their evidence came up.
 	words map[crashWord]time.Time
 }
 
 func newCrashes() *crashes {
-	return &crashes{book: quarantine.NewBook(crashSettings()), words: map[crashWord]time.Time{}}
+	return &crashes{book: quarantine.NewRegistry(crashSettings()), words: map[crashWord]time.Time{}}
 }
 
 // take takes in a word from any source. One that is older than the request's last
@@ -69,7 +69,7 @@
 		return
 	}
 	f := word.strike.Request
-	cleared := c.words[crashWord{strike: quarantine.Strike{Request: f}, cleared: true}]
+	cleared := c.words[crashWord{strike: quarantine.Crash{Request: f}, cleared: true}]
 	if !word.cleared && !at.After(cleared.Add(wordDrift)) || len(c.words) >= maxCrashWords {
 		return
 	}
@@ -82,8 +82,8 @@
 	c.known.Store(int64(c.book.Len()))
 }
 
-func (c *crashes) strikeLocked(now time.Time, strike quarantine.Strike) {
-	held := c.book.Add(now, []quarantine.Strike{strike})
+func (c *crashes) strikeLocked(now time.Time, strike quarantine.Crash) {
+	held := c.book.Add(now, []quarantine.Crash{strike})
 	klog.InfoS("engine crashed under request", "fingerprint", strike.Request.String(), "engine", strike.Server)
 	for _, f := range held {
 		klog.InfoS("request held", "fingerprint", f.String())
@@ -107,7 +107,7 @@
 		if len(one.GetRequest()) != len(quarantine.Fingerprint{}) {
 			continue
 		}
-		word := crashWord{strike: quarantine.Strike{Request: quarantine.Fingerprint(one.GetRequest()), Server: one.GetServer()}, cleared: one.GetCleared()}
+		word := crashWord{strike: quarantine.Crash{Request: quarantine.Fingerprint(one.GetRequest()), Server: one.GetServer()}, cleared: one.GetCleared()}
 		c.take(now, now.Add(-time.Duration(one.GetAgeMs())*time.Millisecond), word)
 	}
 }
@@ -131,7 +131,7 @@
 		}
 		f := word.strike.Request
 		one := &jayv1.CrashNews{Request: f[:], Server: word.strike.Server, Cleared: word.cleared, AgeMs: uint32(max(0, age.Milliseconds()))} //nolint:gosec // minutes
-		if word.cleared || c.book.Verdict(now, f).Held {
+		if word.cleared || c.book.Verdict(now, f).Quarantined {
 			held = append(held, one)
 			continue
 		}
@@ -147,7 +147,7 @@
 	defer c.mu.Unlock()
 	c.book.Tick(now)
 	c.known.Store(int64(c.book.Len()))
-	life := crashSettings().Forget
+	life := crashSettings().SuspectTTL
 	for word, at := range c.words {
 		if now.Sub(at) >= life {
 			delete(c.words, word)
@@ -163,7 +163,7 @@
 	head := hashes.Head()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.book.MayKnow(head)
+	return c.book.MayContain(head)
 }
 
 // verdict on a request. A trial that is due is taken.
@@ -172,7 +172,7 @@
 	defer c.mu.Unlock()
 	v := c.book.Verdict(now, f)
 	if v.Trial > 0 {
-		c.book.Tried(now, f, v.Trial)
+		c.book.TrialClaimed(now, f, v.Trial)
 	}
 	return v
 }
@@ -189,7 +189,7 @@
 		return nil
 	}
 	v := e.crashes.verdict(time.Now(), w.hashes.Fingerprint())
-	if !v.Held || v.Trial > 0 {
+	if !v.Quarantined || v.Trial > 0 {
 		return nil
 	}
 	klog.InfoS("request held back", "request", w.id, "fingerprint", w.hashes.Fingerprint().String(), "retryAfterMS", v.RetryAfter.Milliseconds())
@@ -204,7 +204,7 @@
 	engine := a.server + "@" + strconv.FormatUint(a.end.GetIncarnation(), 36)
 	h.crashed = append(h.crashed, engine)
 	now := time.Now()
-	h.entry.crashes.take(now, now, crashWord{strike: quarantine.Strike{Request: h.work.hashes.Fingerprint(), Server: engine}})
+	h.entry.crashes.take(now, now, crashWord{strike: quarantine.Crash{Request: h.work.hashes.Fingerprint(), Server: engine}})
 }
 
 // crashesAllowRepeat tells whether a request may be started again as far as the
@@ -219,5 +219,5 @@
 		return
 	}
 	now := time.Now()
-	e.crashes.take(now, now, crashWord{strike: quarantine.Strike{Request: w.hashes.Fingerprint()}, cleared: true})
+	e.crashes.take(now, now, crashWord{strike: quarantine.Crash{Request: w.hashes.Fingerprint()}, cleared: true})
 }
--- a/internal/entry/crashes_test.go
+++ b/internal/entry/crashes_test.go
@@ -12,7 +12,7 @@
 )
 
 func crashOf(n int, engine string) crashWord {
-	return crashWord{strike: quarantine.Strike{Request: requestNumber(n), Server: engine}}
+	return crashWord{strike: quarantine.Crash{Request: requestNumber(n), Server: engine}}
 }
 
 func requestNumber(n int) quarantine.Fingerprint {
@@ -22,7 +22,7 @@
 func (c *crashes) holds(now time.Time, n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.book.Verdict(now, requestNumber(n)).Held
+	return c.book.Verdict(now, requestNumber(n)).Quarantined
 }
 
 // Guards against entries that count each for itself: words go through others.
@@ -56,7 +56,7 @@
 	old := one.tell(now, false)
 	other.heard(now, old)
 	whole := now.Add(2 * time.Second)
-	one.take(whole, whole, crashWord{strike: quarantine.Strike{Request: requestNumber(1)}, cleared: true})
+	one.take(whole, whole, crashWord{strike: quarantine.Crash{Request: requestNumber(1)}, cleared: true})
 	assert.False(t, one.holds(whole, 1))
 	other.heard(whole, one.tell(whole, false))
 	assert.False(t, other.holds(whole, 1))
@@ -89,7 +89,7 @@
 		assert.Equal(t, held[:], word.GetRequest(), "what is held goes first")
 	}
 	c.heard(now, []*jayv1.CrashNews{{Request: []byte("short"), Server: "a"}, {}})
-	c.tick(now.Add(crashSettings().Forget))
-	assert.Empty(t, c.tell(now.Add(crashSettings().Forget), true))
+	c.tick(now.Add(crashSettings().SuspectTTL))
+	assert.Empty(t, c.tell(now.Add(crashSettings().SuspectTTL), true))
 	assert.Zero(t, c.known.Load())
 }
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -51,7 +51,7 @@
 		j.trial = v.Trial
 		return 0, false
 	}
-	return v.RetryAfter, v.Held
+	return v.RetryAfter, v.Quarantined
 }
 
 // turnBack answers a request that is held.
@@ -105,7 +105,7 @@
 		return
 	}
 	j.brokeEarly = append(j.brokeEarly, server.ID)
-	g.state.suspects.broke(now, quarantine.Strike{Request: j.fingerprint(), Server: server.ID})
+	g.state.suspects.broke(now, quarantine.Crash{Request: j.fingerprint(), Server: server.ID})
 	if g.state.suspects.mayAsk(server.ID) {
 		g.spawn(func() { g.askListens(server.ID, server.Address) })
 	}
--- a/internal/gateway/suspectadmin.go
+++ b/internal/gateway/suspectadmin.go
@@ -30,8 +30,8 @@
 	views := []suspectView{}
 	for _, r := range g.state.suspects.list() {
 		views = append(views, suspectView{
-			Fingerprint: r.Fingerprint.String(), Held: r.Held, Servers: r.Servers, Unexplained: r.Unexplained,
-			Trials: r.Trials, Doubtful: r.Doubtful, LastNewsMS: now.Sub(r.LastNews).Milliseconds(),
+			Fingerprint: r.Fingerprint.String(), Held: r.Quarantined, Servers: r.Servers, Unexplained: r.Unexplained,
+			Trials: r.Trials, Doubtful: r.Uncertain, LastNewsMS: now.Sub(r.LastUpdate).Milliseconds(),
 		})
 	}
 	return c.JSON(http.StatusOK, views)
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -38,7 +38,7 @@
 
 // suspectRow is the key of a row.
 type suspectRow struct {
-	strike quarantine.Strike
+	strike quarantine.Crash
 	// trial number; 0: the row holds the strike.
 	trial int
 }
@@ -48,7 +48,7 @@
 	Entry string `json:"entry"`
 }
 
-func strikeKey(strike quarantine.Strike) string {
+func strikeKey(strike quarantine.Crash) string {
 	return suspectPrefix + strike.Request.String() + "/" + strikeMark + "/" + strike.Server
 }
 
@@ -131,7 +131,7 @@
 	}
 }
 
-func strikeWords(strikes []quarantine.Strike, cleared []quarantine.Fingerprint) []*jayv1.Datagram {
+func strikeWords(strikes []quarantine.Crash, cleared []quarantine.Fingerprint) []*jayv1.Datagram {
 	var words []*jayv1.Datagram
 	for len(strikes)+len(cleared) > 0 {
 		news := &jayv1.StrikeNews{}
@@ -151,14 +151,14 @@
 
 // takeStrikes takes in a word of another entry.
 func (g *Gateway) takeStrikes(news *jayv1.StrikeNews, source string) {
-	var strikes []quarantine.Strike
+	var strikes []quarantine.Crash
 	var cleared []quarantine.Fingerprint
 	for _, one := range news.GetStrikes() {
 		if len(one.GetRequest()) != len(quarantine.Fingerprint{}) {
 			g.metrics.Count("datagrams", "malformed", 1)
 			return
 		}
-		strikes = append(strikes, quarantine.Strike{Request: quarantine.Fingerprint(one.GetRequest()), Server: one.GetServer()})
+		strikes = append(strikes, quarantine.Crash{Request: quarantine.Fingerprint(one.GetRequest()), Server: one.GetServer()})
 	}
 	for _, f := range news.GetCleared() {
 		if len(f) != len(quarantine.Fingerprint{}) {
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -22,12 +22,12 @@
 	wake chan struct{}
 
 	mu     sync.Mutex
-	book   *quarantine.Book
-	breaks *quarantine.Breaks
+	book   *quarantine.Registry
+	breaks *quarantine.Interruptions
 	// asked are the lifetimes that are being asked whether they listen.
 	asked map[string]bool
 	// untold strikes and cleared requests, for datagrams.
-	untold        []quarantine.Strike
+	untold        []quarantine.Crash
 	untoldCleared []quarantine.Fingerprint
 	// unwritten rows by their keys; false: to be removed.
 	unwritten map[string]bool
@@ -38,17 +38,17 @@
 
 func newSuspects() *suspects {
 	return &suspects{
-		book: quarantine.NewBook(quarantine.DefaultSettings()), breaks: quarantine.NewBreaks(),
+		book: quarantine.NewRegistry(quarantine.DefaultSettings()), breaks: quarantine.NewInterruptions(),
 		asked: map[string]bool{}, unwritten: map[string]bool{}, wake: make(chan struct{}, 1),
 	}
 }
 
 // broke takes in that a run broke off early.
-func (s *suspects) broke(now time.Time, run quarantine.Strike) {
+func (s *suspects) broke(now time.Time, run quarantine.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.breaks.Broke(now, run) {
-		s.struckLocked(now, []quarantine.Strike{run})
+	if s.breaks.Add(now, run) {
+		s.struckLocked(now, []quarantine.Crash{run})
 	}
 	s.countLocked()
 }
@@ -59,7 +59,7 @@
 func (s *suspects) crashed(now time.Time, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.struckLocked(now, s.breaks.Crashed(now, server))
+	s.struckLocked(now, s.breaks.ServerCrashed(now, server))
 	s.countLocked()
 }
 
@@ -67,7 +67,7 @@
 func (s *suspects) left(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.breaks.Left(server)
+	s.breaks.ServerDrained(server)
 	s.countLocked()
 }
 
@@ -88,12 +88,12 @@
 	defer s.mu.Unlock()
 	delete(s.asked, server)
 	if alive {
-		s.breaks.Alive(now, server)
+		s.breaks.ServerListening(now, server)
 	}
 }
 
 // struckLocked takes in strikes that this entry saw.
-func (s *suspects) struckLocked(now time.Time, strikes []quarantine.Strike) {
+func (s *suspects) struckLocked(now time.Time, strikes []quarantine.Crash) {
 	if len(strikes) == 0 {
 		return
 	}
@@ -106,8 +106,8 @@
 }
 
 // addLocked takes in strikes from any source. Most come from several.
-func (s *suspects) addLocked(now time.Time, strikes []quarantine.Strike, source string) {
-	strikes = slices.DeleteFunc(slices.Clone(strikes), s.book.Knows)
+func (s *suspects) addLocked(now time.Time, strikes []quarantine.Crash, source string) {
+	strikes = slices.DeleteFunc(slices.Clone(strikes), s.book.Contains)
 	held := s.book.Add(now, strikes)
 	s.countLocked()
 	for _, strike := range strikes {
@@ -120,7 +120,7 @@
 }
 
 // heard takes in the words of another entry.
-func (s *suspects) heard(now time.Time, strikes []quarantine.Strike, cleared []quarantine.Fingerprint, source string) {
+func (s *suspects) heard(now time.Time, strikes []quarantine.Crash, cleared []quarantine.Fingerprint, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addLocked(now, strikes, source)
@@ -134,11 +134,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if row.trial > 0 {
-		s.book.Tried(now, row.strike.Request, row.trial)
+		s.book.TrialClaimed(now, row.strike.Request, row.trial)
 		s.countLocked()
 		return
 	}
-	s.addLocked(now, []quarantine.Strike{row.strike}, source)
+	s.addLocked(now, []quarantine.Crash{row.strike}, source)
 }
 
 func (s *suspects) rowGone(row suspectRow) {
@@ -168,7 +168,7 @@
 }
 
 func (s *suspects) clearLocked(f quarantine.Fingerprint, why string) (quarantine.Request, bool) {
-	s.breaks.RanWhole(f)
+	s.breaks.Completed(f)
 	defer s.countLocked()
 	request, ok := s.book.Clear(time.Now(), f)
 	if !ok {
@@ -177,7 +177,7 @@
 	for _, strike := range strikesOf(request) {
 		delete(s.unwritten, strikeKey(strike))
 	}
-	klog.InfoS("Request cleared", "fingerprint", f.String(), "why", why, "held", request.Held, "servers", request.Servers, "trials", request.Trials)
+	klog.InfoS("Request cleared", "fingerprint", f.String(), "why", why, "held", request.Quarantined, "servers", request.Servers, "trials", request.Trials)
 	return request, true
 }
 
@@ -214,7 +214,7 @@
 	head := hashes.Head()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.MayKnow(head) || s.breaks.MayKnow(head)
+	return s.book.MayContain(head) || s.breaks.MayContain(head)
 }
 
 func (s *suspects) verdict(now time.Time, f quarantine.Fingerprint) quarantine.Verdict {
@@ -226,7 +226,7 @@
 func (s *suspects) strikes(f quarantine.Fingerprint) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Strikes(f)
+	return s.book.CrashCount(f)
 }
 
 func (s *suspects) mayRepeat(f quarantine.Fingerprint, broken []string) bool {
@@ -239,7 +239,7 @@
 func (s *suspects) tried(now time.Time, f quarantine.Fingerprint, trial int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Tried(now, f, trial)
+	s.book.TrialClaimed(now, f, trial)
 }
 
 func (s *suspects) released(f quarantine.Fingerprint, trial int) {
@@ -260,7 +260,7 @@
 func (s *suspects) counts() (known, held int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Len(), s.book.Held()
+	return s.book.Len(), s.book.QuarantinedCount()
 }
 
 // tick forgets what is too old. One entry removes its rows for all.
@@ -271,7 +271,7 @@
 	forgotten := s.book.Tick(now)
 	s.countLocked()
 	for _, request := range forgotten {
-		klog.InfoS("Request forgotten", "fingerprint", request.Fingerprint.String(), "held", request.Held, "servers", request.Servers)
+		klog.InfoS("Request forgotten", "fingerprint", request.Fingerprint.String(), "held", request.Quarantined, "servers", request.Servers)
 		if removes {
 			s.removeRowsLocked(request)
 			s.wakeUp()
@@ -282,12 +282,12 @@
 // takeUntold returns what others are still to be told by datagrams. Of more than
 // most strikes only those of requests that have another one are told: the store
 // tells the rest in time.
-func (s *suspects) takeUntold(most int) ([]quarantine.Strike, []quarantine.Fingerprint) {
+func (s *suspects) takeUntold(most int) ([]quarantine.Crash, []quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	strikes := s.untold
 	if len(strikes) > most {
-		strikes = slices.DeleteFunc(strikes, func(one quarantine.Strike) bool { return s.book.Strikes(one.Request) < 2 })
+		strikes = slices.DeleteFunc(strikes, func(one quarantine.Crash) bool { return s.book.CrashCount(one.Request) < 2 })
 	}
 	cleared := s.untoldCleared
 	s.untold, s.untoldCleared = nil, nil
@@ -320,10 +320,10 @@
 	}
 }
 
-func strikesOf(request quarantine.Request) []quarantine.Strike {
-	strikes := make([]quarantine.Strike, 0, len(request.Servers))
+func strikesOf(request quarantine.Request) []quarantine.Crash {
+	strikes := make([]quarantine.Crash, 0, len(request.Servers))
 	for _, server := range request.Servers {
-		strikes = append(strikes, quarantine.Strike{Request: request.Fingerprint, Server: server})
+		strikes = append(strikes, quarantine.Crash{Request: request.Fingerprint, Server: server})
 	}
 	return strikes
 }
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -34,7 +34,7 @@
 // crash takes in that servers crashed while the request began to run there.
 func (g *Gateway) crash(f quarantine.Fingerprint, servers ...string) {
 	for _, server := range servers {
-		g.state.suspects.broke(time.Now(), quarantine.Strike{Request: f, Server: server})
+		g.state.suspects.broke(time.Now(), quarantine.Crash{Request: f, Server: server})
 		g.state.suspects.crashed(time.Now(), server)
 	}
 }
@@ -60,7 +60,7 @@
 	require.True(t, one.writeSuspects(t.Context()))
 	require.True(t, two.writeSuspects(t.Context()))
 	late.read(t)
-	assert.True(t, late.state.suspects.verdict(time.Now(), suspect(1)).Held)
+	assert.True(t, late.state.suspects.verdict(time.Now(), suspect(1)).Quarantined)
 	require.True(t, late.state.suspects.clear(suspect(1), "operator"))
 	require.True(t, late.writeSuspects(t.Context()))
 	again := entryOn(table, "gw4")
@@ -104,10 +104,10 @@
 
 func TestWordsOnStrikesFitTheirDatagrams(t *testing.T) {
 	g := entryOn(platformtest.New(), "gw1")
-	var strikes []quarantine.Strike
+	var strikes []quarantine.Crash
 	var cleared []quarantine.Fingerprint
 	for n := range 45 {
-		strikes = append(strikes, quarantine.Strike{Request: suspect(n), Server: strings.Repeat("s", 24)})
+		strikes = append(strikes, quarantine.Crash{Request: suspect(n), Server: strings.Repeat("s", 24)})
 		cleared = append(cleared, suspect(100+n))
 	}
 	words := strikeWords(strikes, cleared)
@@ -159,7 +159,7 @@
 // Guards against a planned end of a server that counts against the requests it ran.
 func TestALeavingServerThatEndsIsNoCrash(t *testing.T) {
 	s := newSuspects()
-	s.broke(time.Now(), quarantine.Strike{Request: suspect(1), Server: "a"})
+	s.broke(time.Now(), quarantine.Crash{Request: suspect(1), Server: "a"})
 	s.left("a")
 	s.crashed(time.Now(), "a")
 	assert.Empty(t, s.list())
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -18,15 +18,15 @@
 
 // Settings of a Book.
 type Settings struct {
-	// HoldAt strikes a request is held.
-	HoldAt int
-	// TrialAfter is how long after the last news of a held request it may be run
+	// CrashThreshold strikes a request is held.
+	CrashThreshold int
+	// TrialDelays is how long after the last news of a held request it may be run
 	// once more, for each trial; there are no more trials than entries.
-	TrialAfter []time.Duration
-	// Forget is how long after the last news a request that is not held is forgotten.
-	Forget time.Duration
-	// HeldFor is the same for one that is held.
-	HeldFor time.Duration
+	TrialDelays []time.Duration
+	// SuspectTTL is how long after the last news a request that is not held is forgotten.
+	SuspectTTL time.Duration
+	// QuarantineTTL is the same for one that is held.
+	QuarantineTTL time.Duration
 	// MaxRequests that are remembered.
 	MaxRequests int
 }
@@ -37,11 +37,11 @@
 // the one at fault each time, which its trial shows.
 func DefaultSettings() Settings {
 	return Settings{
-		HoldAt:      3,
-		TrialAfter:  []time.Duration{5 * time.Minute, time.Hour},
-		Forget:      10 * time.Minute,
-		HeldFor:     24 * time.Hour,
-		MaxRequests: 4096,
+		CrashThreshold: 3,
+		TrialDelays:    []time.Duration{5 * time.Minute, time.Hour},
+		SuspectTTL:     10 * time.Minute,
+		QuarantineTTL:  24 * time.Hour,
+		MaxRequests:    4096,
 	}
 }
 
@@ -58,8 +58,8 @@
 	claimShare = 0.5
 )
 
-// Strike is a lifetime of a server that crashed while a request began to run there.
-type Strike struct {
+// Crash is a lifetime of a server that crashed while a request began to run there.
+type Crash struct {
 	Request Fingerprint
 	// Server is the ID of the lifetime.
 	Server string
@@ -67,8 +67,8 @@
 
 // Verdict on a request.
 type Verdict struct {
-	// Held: it must not be sent, but for a trial.
-	Held bool
+	// Quarantined: it must not be sent, but for a trial.
+	Quarantined bool
 	// Trial that may be claimed now, from 1; 0: none.
 	Trial int
 	// RetryAfter is how long until a trial, or until the request is forgotten.
@@ -83,11 +83,11 @@
 	// Unexplained counts those that no other held request accounts for.
 	Unexplained int
 	Trials      int
-	Held        bool
-	// Doubtful: another held request was there at each crash.
-	Doubtful bool
-	// LastNews is when a strike or a trial was last learned.
-	LastNews time.Time
+	Quarantined bool
+	// Uncertain: another held request was there at each crash.
+	Uncertain bool
+	// LastUpdate is when a strike or a trial was last learned.
+	LastUpdate time.Time
 }
 
 type record struct {
@@ -104,8 +104,8 @@
 
 func (r *record) doubtful() bool { return !r.doubtSince.IsZero() }
 
-// Book holds the strikes and what follows from them.
-type Book struct {
+// Registry holds the strikes and what follows from them.
+type Registry struct {
 	settings Settings
 	requests map[Fingerprint]*record
 	// heads counts the requests of each head.
@@ -119,28 +119,28 @@
 	evicted []Request
 }
 
-// NewBook makes an empty book.
-func NewBook(settings Settings) *Book {
-	return &Book{settings: settings, requests: map[Fingerprint]*record{}, heads: map[Head]int{}, heavy: map[Fingerprint]bool{}}
+// NewRegistry makes an empty book.
+func NewRegistry(settings Settings) *Registry {
+	return &Registry{settings: settings, requests: map[Fingerprint]*record{}, heads: map[Head]int{}, heavy: map[Fingerprint]bool{}}
 }
 
 // Len counts the requests of which something is known.
-func (b *Book) Len() int { return len(b.requests) }
+func (b *Registry) Len() int { return len(b.requests) }
 
-// Held counts the requests that are held.
-func (b *Book) Held() int { return b.held }
+// QuarantinedCount counts the requests that are held.
+func (b *Registry) QuarantinedCount() int { return b.held }
 
-// MayKnow tells whether anything may be known of a request with this head.
-func (b *Book) MayKnow(head Head) bool { return b.heads[head] > 0 }
+// MayContain tells whether anything may be known of a request with this head.
+func (b *Registry) MayContain(head Head) bool { return b.heads[head] > 0 }
 
-// Knows tells whether the strike was taken in before.
-func (b *Book) Knows(strike Strike) bool {
+// Contains tells whether the strike was taken in before.
+func (b *Registry) Contains(strike Crash) bool {
 	r := b.requests[strike.Request]
 	return r != nil && r.servers[strike.Server]
 }
 
-// Strikes counts the servers that crashed under a request.
-func (b *Book) Strikes(f Fingerprint) int {
+// CrashCount counts the servers that crashed under a request.
+func (b *Registry) CrashCount(f Fingerprint) int {
 	if r := b.requests[f]; r != nil {
 		return len(r.servers)
 	}
@@ -148,7 +148,7 @@
 }
 
 // Add takes in strikes. It returns the requests that are held by them.
-func (b *Book) Add(now time.Time, strikes []Strike) []Fingerprint {
+func (b *Registry) Add(now time.Time, strikes []Crash) []Fingerprint {
 	changed := false
 	for _, strike := range strikes {
 		r := b.record(strike.Request)
@@ -157,7 +157,7 @@
 		}
 		r.servers[strike.Server] = true
 		r.lastAt = now
-		if len(r.servers) >= b.settings.HoldAt {
+		if len(r.servers) >= b.settings.CrashThreshold {
 			b.heavy[strike.Request] = true
 			changed = true
 		}
@@ -172,13 +172,13 @@
 }
 
 // Remove takes back one strike.
-func (b *Book) Remove(now time.Time, strike Strike) {
+func (b *Registry) Remove(now time.Time, strike Crash) {
 	r := b.requests[strike.Request]
 	if r == nil || !r.servers[strike.Server] {
 		return
 	}
 	delete(r.servers, strike.Server)
-	if len(r.servers) < b.settings.HoldAt {
+	if len(r.servers) < b.settings.CrashThreshold {
 		delete(b.heavy, strike.Request)
 		r.held, r.doubtSince = false, time.Time{}
 	}
@@ -186,8 +186,8 @@
 	b.judge(now)
 }
 
-// Tried takes in that a trial is claimed.
-func (b *Book) Tried(now time.Time, f Fingerprint, trial int) {
+// TrialClaimed takes in that a trial is claimed.
+func (b *Registry) TrialClaimed(now time.Time, f Fingerprint, trial int) {
 	r := b.record(f)
 	if trial > r.trials {
 		r.trials, r.lastAt = trial, now
@@ -195,7 +195,7 @@
 }
 
 // TrialReleased takes in that a claimed trial did not run the request.
-func (b *Book) TrialReleased(f Fingerprint, trial int) {
+func (b *Registry) TrialReleased(f Fingerprint, trial int) {
 	r := b.requests[f]
 	if r == nil || r.trials != trial {
 		return
@@ -206,7 +206,7 @@
 
 // Clear forgets a request: it ran whole, or an operator frees it. It returns
 // what was known.
-func (b *Book) Clear(now time.Time, f Fingerprint) (Request, bool) {
+func (b *Registry) Clear(now time.Time, f Fingerprint) (Request, bool) {
 	r := b.requests[f]
 	if r == nil {
 		return Request{}, false
@@ -218,29 +218,29 @@
 }
 
 // Verdict tells whether a request may be sent.
-func (b *Book) Verdict(now time.Time, f Fingerprint) Verdict {
+func (b *Registry) Verdict(now time.Time, f Fingerprint) Verdict {
 	r := b.requests[f]
 	if r == nil || !r.held {
 		return Verdict{}
 	}
 	wait := b.trialIn(now, r)
 	if wait > 0 {
-		return Verdict{Held: true, RetryAfter: wait}
+		return Verdict{Quarantined: true, RetryAfter: wait}
 	}
-	return Verdict{Held: true, Trial: r.trials + 1, RetryAfter: trialTurn}
+	return Verdict{Quarantined: true, Trial: r.trials + 1, RetryAfter: trialTurn}
 }
 
 // trialIn is how long until the next trial, or until the request is forgotten. In
 // doubt the first trial comes with the request's turn: it tells which of those
 // that ran side by side is at fault, and at most one of them is.
-func (b *Book) trialIn(now time.Time, r *record) time.Duration {
+func (b *Registry) trialIn(now time.Time, r *record) time.Duration {
 	switch {
-	case r.trials >= len(b.settings.TrialAfter):
-		return r.lastAt.Add(b.settings.HeldFor).Sub(now)
+	case r.trials >= len(b.settings.TrialDelays):
+		return r.lastAt.Add(b.settings.QuarantineTTL).Sub(now)
 	case r.doubtful() && r.trials == 0:
 		return r.turnIn(now)
 	}
-	return r.lastAt.Add(b.settings.TrialAfter[r.trials]).Sub(now)
+	return r.lastAt.Add(b.settings.TrialDelays[r.trials]).Sub(now)
 }
 
 // turnIn is how long until the request's turn; 0: it has begun just now.
@@ -258,7 +258,7 @@
 
 // MayRepeat tells whether a request may be sent again within one attempt, in
 // which it has broken off early at these servers.
-func (b *Book) MayRepeat(f Fingerprint, broken []string) bool {
+func (b *Registry) MayRepeat(f Fingerprint, broken []string) bool {
 	strikes := 0
 	r := b.requests[f]
 	if r != nil {
@@ -273,13 +273,13 @@
 }
 
 // Tick forgets what is too old, and returns it.
-func (b *Book) Tick(now time.Time) []Request {
+func (b *Registry) Tick(now time.Time) []Request {
 	forgotten := b.evicted
 	b.evicted = nil
 	for f, r := range b.requests {
-		life := b.settings.Forget
+		life := b.settings.SuspectTTL
 		if r.held {
-			life = b.settings.HeldFor
+			life = b.settings.QuarantineTTL
 		}
 		if now.Sub(r.lastAt) >= life {
 			forgotten = append(forgotten, b.request(f, r))
@@ -293,7 +293,7 @@
 }
 
 // List returns all that is known, the most strikes first.
-func (b *Book) List() []Request {
+func (b *Registry) List() []Request {
 	list := make([]Request, 0, len(b.requests))
 	all := make([]Fingerprint, 0, len(b.requests))
 	for f := range b.requests {
@@ -306,7 +306,7 @@
 	return list
 }
 
-func (b *Book) request(f Fingerprint, r *record) Request {
+func (b *Registry) request(f Fingerprint, r *record) Request {
 	servers := make([]string, 0, len(r.servers))
 	for server := range r.servers {
 		servers = append(servers, server)
@@ -314,11 +314,11 @@
 	slices.Sort(servers)
 	return Request{
 		Fingerprint: f, Servers: servers, Unexplained: b.unexplained(r), Trials: r.trials,
-		Held: r.held, Doubtful: r.doubtful(), LastNews: r.lastAt,
+		Quarantined: r.held, Uncertain: r.doubtful(), LastUpdate: r.lastAt,
 	}
 }
 
-func (b *Book) record(f Fingerprint) *record {
+func (b *Registry) record(f Fingerprint) *record {
 	r := b.requests[f]
 	if r == nil {
 		r = &record{servers: map[string]bool{}}
@@ -328,13 +328,13 @@
 	return r
 }
 
-func (b *Book) dropEmpty(f Fingerprint, r *record) {
+func (b *Registry) dropEmpty(f Fingerprint, r *record) {
 	if len(r.servers) == 0 && r.trials == 0 {
 		b.drop(f)
 	}
 }
 
-func (b *Book) drop(f Fingerprint) {
+func (b *Registry) drop(f Fingerprint) {
 	delete(b.requests, f)
 	delete(b.heavy, f)
 	if b.heads[f.Head()]--; b.heads[f.Head()] == 0 {
@@ -347,7 +347,7 @@
 
 // evict makes room: those that are not held go first, the oldest news first.
 // False: there was room.
-func (b *Book) evict() bool {
+func (b *Registry) evict() bool {
 	if len(b.requests) <= b.settings.MaxRequests {
 		return false
 	}
@@ -374,7 +374,7 @@
 	return r.lastAt.Compare(other.lastAt)
 }
 
-func (b *Book) sortByStrikes(order []Fingerprint) {
+func (b *Registry) sortByStrikes(order []Fingerprint) {
 	slices.SortFunc(order, func(x, y Fingerprint) int {
 		if more := len(b.requests[y].servers) - len(b.requests[x].servers); more != 0 {
 			return more
@@ -384,7 +384,7 @@
 }
 
 // unexplained counts the crashes that no held request with more strikes accounts for.
-func (b *Book) unexplained(r *record) int {
+func (b *Registry) unexplained(r *record) int {
 	n := 0
 	for server := range r.servers {
 		if b.most[server] <= len(r.servers) {
@@ -397,7 +397,7 @@
 // judge works out who is held, from the strikes alone: all entries that know the
 // same strikes hold the same requests. A crash under a held request counts for
 // no other with fewer strikes. It returns those that were not held before.
-func (b *Book) judge(now time.Time) []Fingerprint {
+func (b *Registry) judge(now time.Time) []Fingerprint {
 	order := make([]Fingerprint, 0, len(b.heavy))
 	for f := range b.heavy {
 		order = append(order, f)
@@ -409,7 +409,7 @@
 	for _, f := range order {
 		r := b.requests[f]
 		was := r.held
-		r.held = b.unexplained(r) >= b.settings.HoldAt
+		r.held = b.unexplained(r) >= b.settings.CrashThreshold
 		if !r.held {
 			r.doubtSince = time.Time{}
 			continue
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -18,44 +18,44 @@
 	return (&Identity{Target: fmt.Sprint(n)}).Fingerprint()
 }
 
-func strikes(f Fingerprint, servers ...string) []Strike {
-	var all []Strike
+func strikes(f Fingerprint, servers ...string) []Crash {
+	var all []Crash
 	for _, server := range servers {
-		all = append(all, Strike{Request: f, Server: server})
+		all = append(all, Crash{Request: f, Server: server})
 	}
 	return all
 }
 
 func TestARequestUnderWhichThreeServersCrashedIsHeld(t *testing.T) {
-	b := NewBook(DefaultSettings())
+	b := NewRegistry(DefaultSettings())
 	assert.Empty(t, b.Add(begin, strikes(fp(1), "a", "b", "b", "a")))
-	assert.False(t, b.Verdict(begin, fp(1)).Held)
+	assert.False(t, b.Verdict(begin, fp(1)).Quarantined)
 	assert.Equal(t, []Fingerprint{fp(1)}, b.Add(begin, strikes(fp(1), "c")))
-	assert.True(t, b.Verdict(begin, fp(1)).Held)
-	assert.False(t, b.Verdict(begin, fp(2)).Held)
-	assert.Equal(t, 1, b.Held())
+	assert.True(t, b.Verdict(begin, fp(1)).Quarantined)
+	assert.False(t, b.Verdict(begin, fp(2)).Quarantined)
+	assert.Equal(t, 1, b.QuarantinedCount())
 	assert.Empty(t, b.Add(begin, strikes(fp(1), "d")), "held before")
 }
 
 // Guards against bystanders that are held because the same servers crashed under them.
 func TestACrashCountsOnceForTheRequestThatAccountsForMost(t *testing.T) {
-	b := NewBook(DefaultSettings())
+	b := NewRegistry(DefaultSettings())
 	culprit, bystander := fp(1), fp(2)
 	b.Add(begin, strikes(culprit, "a", "b", "c"))
 	b.Add(begin, strikes(bystander, "a", "b"))
 	b.Add(begin, strikes(culprit, "d"))
 	b.Add(begin, strikes(bystander, "c"))
-	assert.True(t, b.Verdict(begin, culprit).Held)
-	assert.False(t, b.Verdict(begin, bystander).Held)
+	assert.True(t, b.Verdict(begin, culprit).Quarantined)
+	assert.False(t, b.Verdict(begin, bystander).Quarantined)
 	assert.True(t, b.MayRepeat(bystander, []string{"e"}), "its crashes are accounted for")
 	b.Add(begin, strikes(bystander, "f", "g", "h"))
-	assert.True(t, b.Verdict(begin, bystander).Held, "three crashes without the other")
+	assert.True(t, b.Verdict(begin, bystander).Quarantined, "three crashes without the other")
 }
 
 // Guards against a bystander that pays for good because it ran beside the
 // request at fault each time.
 func TestInDoubtATrialTellsWhoIsAtFault(t *testing.T) {
-	b := NewBook(DefaultSettings())
+	b := NewRegistry(DefaultSettings())
 	culprit, bystander := fp(1), fp(2)
 	b.Add(begin, append(strikes(culprit, "a", "b", "c"), strikes(bystander, "a", "b", "c")...))
 	first, second := culprit, bystander
@@ -70,33 +70,33 @@
 	next := begin.Add(trialTurn)
 	assert.Equal(t, 1, b.Verdict(next, second).Trial)
 	assert.Zero(t, b.Verdict(next, first).Trial)
-	b.Tried(begin, culprit, 1)
+	b.TrialClaimed(begin, culprit, 1)
 	assert.Zero(t, b.Verdict(begin, culprit).Trial, "one trial")
 	b.Add(after(time.Second), strikes(culprit, "d"))
-	assert.False(t, b.Verdict(after(time.Second), bystander).Held, "the other accounts for all three")
-	assert.True(t, b.Verdict(after(time.Second), culprit).Held)
+	assert.False(t, b.Verdict(after(time.Second), bystander).Quarantined, "the other accounts for all three")
+	assert.True(t, b.Verdict(after(time.Second), culprit).Quarantined)
 	assert.Zero(t, b.Verdict(after(time.Second), culprit).Trial)
 }
 
 func TestWhoRanWholeInDoubtLeavesTheOtherHeld(t *testing.T) {
-	b := NewBook(DefaultSettings())
+	b := NewRegistry(DefaultSettings())
 	culprit, bystander := fp(1), fp(2)
 	b.Add(begin, append(strikes(culprit, "a", "b", "c"), strikes(bystander, "a", "b", "c")...))
 	b.Clear(after(time.Second), bystander)
 	v := b.Verdict(after(time.Second), culprit)
-	assert.True(t, v.Held)
+	assert.True(t, v.Quarantined)
 	assert.Zero(t, v.Trial, "no doubt is left")
 }
 
 func TestARequestThatRanWholeIsForgotten(t *testing.T) {
-	b := NewBook(DefaultSettings())
+	b := NewRegistry(DefaultSettings())
 	b.Add(begin, strikes(fp(1), "a", "b", "c"))
 	known, ok := b.Clear(begin, fp(1))
 	require.True(t, ok)
 	assert.Equal(t, []string{"a", "b", "c"}, known.Servers)
-	assert.False(t, b.Verdict(begin, fp(1)).Held)
-	assert.False(t, b.MayKnow(fp(1).Head()))
-	assert.Zero(t, b.Held())
+	assert.False(t, b.Verdict(begin, fp(1)).Quarantined)
+	assert.False(t, b.MayContain(fp(1).Head()))
+	assert.Zero(t, b.QuarantinedCount())
 	_, ok = b.Clear(begin, fp(1))
 	assert.False(t, ok)
 }
@@ -104,30 +104,30 @@
 // Guards against more than three servers that a request ends after it is held.
 func TestTrialsOfAHeldRequestAreFew(t *testing.T) {
 	settings := DefaultSettings()
-	b := NewBook(settings)
+	b := NewRegistry(settings)
 	b.Add(begin, strikes(fp(1), "a", "b", "c"))
 	ran := 0
-	for d := time.Duration(0); d < settings.HeldFor; d += time.Second {
+	for d := time.Duration(0); d < settings.QuarantineTTL; d += time.Second {
 		v := b.Verdict(after(d), fp(1))
-		require.True(t, v.Held)
+		require.True(t, v.Quarantined)
 		require.Positive(t, v.RetryAfter)
 		if v.Trial > 0 {
 			ran++
-			b.Tried(after(d), fp(1), v.Trial)
+			b.TrialClaimed(after(d), fp(1), v.Trial)
 			b.Add(after(d), strikes(fp(1), fmt.Sprint("trial", v.Trial)))
 		}
 		b.Tick(after(d))
 	}
-	assert.Equal(t, len(settings.TrialAfter), ran)
+	assert.Equal(t, len(settings.TrialDelays), ran)
 	assert.Less(t, ran, 3)
 }
 
 func TestATrialThatDidNotRunIsGivenBack(t *testing.T) {
-	b := NewBook(DefaultSettings())
+	b := NewRegistry(DefaultSettings())
 	b.Add(begin, strikes(fp(1), "a", "b", "c"))
 	due := after(5 * time.Minute)
 	require.Equal(t, 1, b.Verdict(due, fp(1)).Trial)
-	b.Tried(due, fp(1), 1)
+	b.TrialClaimed(due, fp(1), 1)
 	require.Zero(t, b.Verdict(due, fp(1)).Trial)
 	b.TrialReleased(fp(1), 1)
 	assert.Equal(t, 1, b.Verdict(due.Add(5*time.Minute), fp(1)).Trial)
@@ -137,7 +137,7 @@
 
 // Guards against a third server that the system's own repeat ends.
 func TestASuspectIsNotSentTwiceInOneAttempt(t *testing.T) {
-	b := NewBook(DefaultSettings())
+	b := NewRegistry(DefaultSettings())
 	assert.True(t, b.MayRepeat(fp(1), []string{"a"}), "the first crash may be another's")
 	assert.False(t, b.MayRepeat(fp(1), []string{"a", "b"}))
 	assert.True(t, b.MayRepeat(fp(1), []string{"a", "a"}))
@@ -149,22 +149,22 @@
 // Guards against entries that hold different requests: words come in any order,
 // twice, and are taken back.
 func TestTheOrderOfWordsChangesNothing(t *testing.T) {
-	var words []Strike
+	var words []Crash
 	for i, servers := range [][]string{{"a", "b", "c", "d"}, {"a", "b", "c"}, {"b", "c", "e"}, {"x"}, {"x", "y", "z"}, {"x", "y", "z"}} {
 		words = append(words, strikes(fp(i), servers...)...)
 	}
-	want := NewBook(DefaultSettings())
+	want := NewRegistry(DefaultSettings())
 	want.Add(begin, words)
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		b := NewBook(DefaultSettings())
-		order := append(append([]Strike{}, words...), words[:5]...)
+		b := NewRegistry(DefaultSettings())
+		order := append(append([]Crash{}, words...), words[:5]...)
 		r.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 		for _, one := range order {
-			b.Add(begin, []Strike{one})
+			b.Add(begin, []Crash{one})
 			if r.IntN(4) == 0 {
 				b.Remove(begin, one)
-				b.Add(begin, []Strike{one})
+				b.Add(begin, []Crash{one})
 			}
 		}
 		assert.Equal(t, want.List(), b.List(), "seed %d", seed)
@@ -173,62 +173,62 @@
 
 func TestWhatIsOldIsForgotten(t *testing.T) {
 	settings := DefaultSettings()
-	b := NewBook(settings)
+	b := NewRegistry(settings)
 	b.Add(begin, strikes(fp(1), "a"))
 	b.Add(begin, strikes(fp(2), "x", "y", "z"))
-	assert.Empty(t, b.Tick(after(settings.Forget-1)))
-	gone := b.Tick(after(settings.Forget))
+	assert.Empty(t, b.Tick(after(settings.SuspectTTL-1)))
+	gone := b.Tick(after(settings.SuspectTTL))
 	require.Len(t, gone, 1)
 	assert.Equal(t, fp(1), gone[0].Fingerprint)
-	assert.True(t, b.Verdict(after(settings.Forget), fp(2)).Held)
-	assert.Len(t, b.Tick(after(settings.HeldFor)), 1)
+	assert.True(t, b.Verdict(after(settings.SuspectTTL), fp(2)).Quarantined)
+	assert.Len(t, b.Tick(after(settings.QuarantineTTL)), 1)
 	assert.Zero(t, b.Len())
 }
 
 func TestAFullBookKeepsWhatIsHeld(t *testing.T) {
 	settings := DefaultSettings()
 	settings.MaxRequests = 10
-	b := NewBook(settings)
+	b := NewRegistry(settings)
 	b.Add(begin, strikes(fp(0), "a", "b", "c"))
 	for i := 1; i <= 20; i++ {
 		b.Add(after(time.Duration(i)*time.Second), strikes(fp(i), fmt.Sprint("s", i)))
 	}
 	assert.LessOrEqual(t, b.Len(), 10)
-	assert.True(t, b.Verdict(after(time.Minute), fp(0)).Held)
-	assert.Equal(t, 1, b.Strikes(fp(20)))
+	assert.True(t, b.Verdict(after(time.Minute), fp(0)).Quarantined)
+	assert.Equal(t, 1, b.CrashCount(fp(20)))
 	assert.Equal(t, 21, b.Len()+len(b.Tick(after(time.Minute))), "the evicted are told")
 }
 
 func TestOnlyACrashMakesAStrike(t *testing.T) {
-	b := NewBreaks()
-	assert.False(t, b.Broke(begin, Strike{fp(1), "a"}))
-	assert.False(t, b.Broke(begin, Strike{fp(2), "a"}))
-	assert.False(t, b.Broke(begin, Strike{fp(3), "b"}))
-	assert.Len(t, b.Crashed(after(time.Second), "a"), 2)
-	assert.Empty(t, b.Crashed(after(time.Second), "a"), "once")
-	assert.True(t, b.Broke(after(2*time.Second), Strike{fp(4), "a"}), "the proof came first")
-	b.Left("b")
-	assert.Empty(t, b.Crashed(after(time.Second), "b"), "it left as planned")
-	b.Broke(begin, Strike{fp(5), "c"})
-	b.Alive(begin, "c")
+	b := NewInterruptions()
+	assert.False(t, b.Add(begin, Crash{fp(1), "a"}))
+	assert.False(t, b.Add(begin, Crash{fp(2), "a"}))
+	assert.False(t, b.Add(begin, Crash{fp(3), "b"}))
+	assert.Len(t, b.ServerCrashed(after(time.Second), "a"), 2)
+	assert.Empty(t, b.ServerCrashed(after(time.Second), "a"), "once")
+	assert.True(t, b.Add(after(2*time.Second), Crash{fp(4), "a"}), "the proof came first")
+	b.ServerDrained("b")
+	assert.Empty(t, b.ServerCrashed(after(time.Second), "b"), "it left as planned")
+	b.Add(begin, Crash{fp(5), "c"})
+	b.ServerListening(begin, "c")
 	b.Tick(after(aliveWait))
-	assert.Empty(t, b.Crashed(after(2*time.Second), "c"), "it listened; the crash is another matter")
-	b.Broke(begin, Strike{fp(7), "e"})
-	assert.True(t, b.MayKnow(fp(7).Head()))
-	b.RanWhole(fp(7))
-	assert.False(t, b.MayKnow(fp(7).Head()))
-	assert.Empty(t, b.Crashed(after(time.Second), "e"), "it ran whole since")
-	b.Broke(begin, Strike{fp(6), "d"})
+	assert.Empty(t, b.ServerCrashed(after(2*time.Second), "c"), "it listened; the crash is another matter")
+	b.Add(begin, Crash{fp(7), "e"})
+	assert.True(t, b.MayContain(fp(7).Head()))
+	b.Completed(fp(7))
+	assert.False(t, b.MayContain(fp(7).Head()))
+	assert.Empty(t, b.ServerCrashed(after(time.Second), "e"), "it ran whole since")
+	b.Add(begin, Crash{fp(6), "d"})
 	b.Tick(after(proofWait))
-	assert.Empty(t, b.Crashed(after(proofWait), "d"))
+	assert.Empty(t, b.ServerCrashed(after(proofWait), "d"))
 	assert.Zero(t, b.Len())
 }
 
 // BenchmarkJudge is one more strike in a full book.
 func BenchmarkJudge(b *testing.B) {
 	settings := DefaultSettings()
-	book := NewBook(settings)
-	var all []Strike
+	book := NewRegistry(settings)
+	var all []Crash
 	for n := range settings.MaxRequests {
 		all = append(all, strikes(fp(n), fmt.Sprint("s", n%100), fmt.Sprint("t", n%90))...)
 	}
@@ -240,7 +240,7 @@
 	for b.Loop() {
 		n++
 		book.Add(begin, strikes(fp(0), fmt.Sprint("u", n%2000)))
-		book.Remove(begin, Strike{fp(0), fmt.Sprint("u", n%2000)})
+		book.Remove(begin, Crash{fp(0), fmt.Sprint("u", n%2000)})
 	}
 }
 
--- a/internal/quarantine/breaks.go
+++ b/internal/quarantine/breaks.go
@@ -23,9 +23,9 @@
 	return firstAt.IsZero() || now.Sub(firstAt) < earlyTime
 }
 
-// Breaks holds runs that broke off early until it is known whether their
+// Interruptions holds runs that broke off early until it is known whether their
 // servers crashed: a stream is cut by much else.
-type Breaks struct {
+type Interruptions struct {
 	// waiting are the requests by the lifetime, with when they are given up.
 	waiting map[string]map[Fingerprint]time.Time
 	// heads counts the runs that wait, by the heads of their requests.
@@ -36,13 +36,13 @@
 	crashed map[string]time.Time
 }
 
-// NewBreaks makes an empty one.
-func NewBreaks() *Breaks {
-	return &Breaks{waiting: map[string]map[Fingerprint]time.Time{}, heads: map[Head]int{}, crashed: map[string]time.Time{}}
+// NewInterruptions makes an empty one.
+func NewInterruptions() *Interruptions {
+	return &Interruptions{waiting: map[string]map[Fingerprint]time.Time{}, heads: map[Head]int{}, crashed: map[string]time.Time{}}
 }
 
-// Broke takes in that a run broke off early. True: its server is known to have crashed.
-func (b *Breaks) Broke(now time.Time, run Strike) bool {
+// Add takes in that a run broke off early. True: its server is known to have crashed.
+func (b *Interruptions) Add(now time.Time, run Crash) bool {
 	if _, ok := b.crashed[run.Server]; ok {
 		return true
 	}
@@ -62,25 +62,25 @@
 	return false
 }
 
-// Crashed takes in the proof that a lifetime crashed and returns its strikes.
-func (b *Breaks) Crashed(now time.Time, server string) []Strike {
+// ServerCrashed takes in the proof that a lifetime crashed and returns its strikes.
+func (b *Interruptions) ServerCrashed(now time.Time, server string) []Crash {
 	b.crashed[server] = now.Add(proofWait)
-	var strikes []Strike
+	var strikes []Crash
 	for request := range b.waiting[server] {
-		strikes = append(strikes, Strike{Request: request, Server: server})
+		strikes = append(strikes, Crash{Request: request, Server: server})
 	}
 	b.forget(server)
 	return strikes
 }
 
 // Len counts the runs that wait for a proof.
-func (b *Breaks) Len() int { return b.count }
+func (b *Interruptions) Len() int { return b.count }
 
-// MayKnow tells whether a run of a request with this head may wait.
-func (b *Breaks) MayKnow(head Head) bool { return b.heads[head] > 0 }
+// MayContain tells whether a run of a request with this head may wait.
+func (b *Interruptions) MayContain(head Head) bool { return b.heads[head] > 0 }
 
-// RanWhole takes in that a request ran whole: no crash from before is laid to it.
-func (b *Breaks) RanWhole(request Fingerprint) {
+// Completed takes in that a request ran whole: no crash from before is laid to it.
+func (b *Interruptions) Completed(request Fingerprint) {
 	for server, at := range b.waiting {
 		if _, ok := at[request]; ok {
 			b.remove(server, request)
@@ -88,11 +88,11 @@
 	}
 }
 
-// Left takes in that a lifetime ended as planned.
-func (b *Breaks) Left(server string) { b.forget(server) }
+// ServerDrained takes in that a lifetime ended as planned.
+func (b *Interruptions) ServerDrained(server string) { b.forget(server) }
 
-// Alive takes in that the server listens.
-func (b *Breaks) Alive(now time.Time, server string) {
+// ServerListening takes in that the server listens.
+func (b *Interruptions) ServerListening(now time.Time, server string) {
 	until := now.Add(aliveWait)
 	for request, at := range b.waiting[server] {
 		if at.After(until) {
@@ -102,7 +102,7 @@
 }
 
 // Tick gives up runs for which no proof came.
-func (b *Breaks) Tick(now time.Time) {
+func (b *Interruptions) Tick(now time.Time) {
 	for server, at := range b.waiting {
 		for request, until := range at {
 			if !now.Before(until) {
@@ -117,13 +117,13 @@
 	}
 }
 
-func (b *Breaks) forget(server string) {
+func (b *Interruptions) forget(server string) {
 	for request := range b.waiting[server] {
 		b.remove(server, request)
 	}
 }
 
-func (b *Breaks) remove(server string, request Fingerprint) {
+func (b *Interruptions) remove(server string, request Fingerprint) {
 	b.count--
 	if b.heads[request.Head()]--; b.heads[request.Head()] == 0 {
 		delete(b.heads, request.Head())
