--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -55,7 +55,7 @@
 	budgets     map[string]*retry.Window
 	entries     int
 	// room holds the requests that wait for memory, waiters who asked.
-	room    *waitroom.Room
+	room    *waitroom.Queue
 	waiters map[string]*waiter
 	// stores of kept cache as the engines storesOf see them.
 	stores   []routing.KeptStore
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -87,17 +87,17 @@
 	now := time.Now()
 	w := &waiter{job: j, granted: make(chan placed, 1)}
 	request := waitroom.Request{
-		ID: j.head.ID, Urgency: j.table.Urgency(j.route, j.workspace), Arrived: j.arrived,
-		Reading: reading, InTimeUntil: j.arrived.Add(j.route.Target), Deadline: j.firstBy(),
+		ID: j.head.ID, Priority: j.table.Urgency(j.route, j.workspace), Arrived: j.arrived,
+		Prefill: reading, FirstTokenTarget: j.arrived.Add(j.route.Target), Deadline: j.firstBy(),
 	}
 	s.mu.Lock()
 	// A second send may come when there is no time left to wait. And where a
 	// caller sent an id twice only one of the two can be told apart.
-	if _, twice := s.waiters[j.head.ID]; twice || !now.Before(request.Until()) {
+	if _, twice := s.waiters[j.head.ID]; twice || !now.Before(request.SendAt()) {
 		s.mu.Unlock()
 		return j.place(false)
 	}
-	after, ok := s.room.Enter(now, request)
+	after, ok := s.room.Add(now, request)
 	if ok {
 		s.waiters[j.head.ID] = w
 	}
@@ -109,7 +109,7 @@
 		return routing.DirectChoice{}, errTurnedAway
 	}
 	j.gateway.metrics.Count("waited_for_memory", j.class(), 1)
-	klog.InfoS("Waits for memory", "request", j.head.ID, "urgency", request.Urgency, "waiting", waiting, "sendAt", request.Until())
+	klog.InfoS("Waits for memory", "request", j.head.ID, "urgency", request.Priority, "waiting", waiting, "sendAt", request.SendAt())
 	return j.awaitGrant(w)
 }
 
@@ -141,7 +141,7 @@
 	s := j.gateway.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.room.Leave(j.head.ID) {
+	if s.room.Remove(j.head.ID) {
 		delete(s.waiters, j.head.ID)
 		if w.offer != nil {
 			go j.gateway.placing.giveBack(w.offer, nil)
@@ -161,7 +161,7 @@
 	s := g.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	away := s.room.Serve(now, func(id string, anyway bool) bool {
+	away := s.room.Dispatch(now, func(id string, anyway bool) bool {
 		w := s.waiters[id]
 		// A process that stops has no time to wait.
 		choice, err := w.placeLocked(now, anyway || g.stopping.Load())
@@ -173,7 +173,7 @@
 		return true
 	})
 	for _, id := range away {
-		s.waiters[id].granted <- placed{err: errTurnedAway, after: waitroom.ComeBack}
+		s.waiters[id].granted <- placed{err: errTurnedAway, after: waitroom.RetryAfter}
 		delete(s.waiters, id)
 	}
 }
--- a/internal/routing/fleetmodel_test.go
+++ b/internal/routing/fleetmodel_test.go
@@ -84,7 +84,7 @@
 	ordered  []*modelEngine
 	servers  []routing.DirectServer
 	entries  []*routing.Direct
-	rooms    []*waitroom.Room
+	rooms    []*waitroom.Queue
 	requests map[string]*modelRequest
 	// mayWait: requests wait in the entries rather than at full engines.
 	mayWait bool
@@ -206,9 +206,9 @@
 		return
 	}
 	class := r.class
-	_, ok := f.rooms[r.entry].Enter(modelTime(now), waitroom.Request{
-		ID: r.id, Urgency: class.urgency, Arrived: modelTime(now), Reading: routing.ReadingTime(r.tokens()),
-		InTimeUntil: modelTime(now + class.aimMS), Deadline: modelTime(r.firstBy),
+	_, ok := f.rooms[r.entry].Add(modelTime(now), waitroom.Request{
+		ID: r.id, Priority: class.urgency, Arrived: modelTime(now), Prefill: routing.ReadingTime(r.tokens()),
+		FirstTokenTarget: modelTime(now + class.aimMS), Deadline: modelTime(r.firstBy),
 	})
 	if !ok {
 		f.turnAway(r, now)
@@ -320,7 +320,7 @@
 		if (i+int(now/modelHintMS))%modelServeTicks != 0 {
 			continue
 		}
-		away := room.Serve(modelTime(now), func(id string, anyway bool) bool { return f.place(f.requests[id], now, anyway) })
+		away := room.Dispatch(modelTime(now), func(id string, anyway bool) bool { return f.place(f.requests[id], now, anyway) })
 		for _, id := range away {
 			f.turnAway(f.requests[id], now)
 		}
--- a/internal/waitroom/waitroom.go
+++ b/internal/waitroom/waitroom.go
@@ -13,13 +13,13 @@
 // Request is one that wants to wait.
 type Request struct {
 	ID string
-	// Urgency: 0 is the most urgent.
-	Urgency int
-	Arrived time.Time
-	// Reading is how long its prompt is expected to take at a server.
-	Reading time.Duration
-	// InTimeUntil is until when its first token is worth its full credit.
-	InTimeUntil time.Time
+	// Priority: 0 is the most urgent.
+	Priority int
+	Arrived  time.Time
+	// Prefill is how long its prompt is expected to take at a server.
+	Prefill time.Duration
+	// FirstTokenTarget is until when its first token is worth its full credit.
+	FirstTokenTarget time.Time
 	// Deadline of its caller.
 	Deadline time.Time
 
@@ -39,9 +39,9 @@
 	// 800 long prompts failed at 1.8 times the load without, 56 so, and the net
 	// share rose from 0.595 to 0.617; with 0.5 it was 0.607, with 0.7 0.598.
 	hopeShare = 0.3
-	// ComeBack is when to come back for one that is turned away while it waits:
+	// RetryAfter is when to come back for one that is turned away while it waits:
 	// by then about half of those that run have ended.
-	ComeBack = 1500 * time.Millisecond
+	RetryAfter = 1500 * time.Millisecond
 	// fullFor is how long new requests are turned away after one that is no less
 	// urgent had to be sent without room: more come than the fleet can take, and
 	// who would wait for nothing hears so while there is time to come back.
@@ -52,32 +52,32 @@
 	turnsAtOnce = 4
 )
 
-// Until is when the request is sent though no memory is free.
-func (r *Request) Until() time.Time {
+// SendAt is when the request is sent though no memory is free.
+func (r *Request) SendAt() time.Time {
 	return r.Arrived.Add(time.Duration(waitShare * float64(r.Deadline.Sub(r.Arrived))))
 }
 
 // late tells whether its first token can't be in time any more.
-func (r *Request) late(now time.Time) bool { return now.Add(r.Reading).After(r.InTimeUntil) }
+func (r *Request) late(now time.Time) bool { return now.Add(r.Prefill).After(r.FirstTokenTarget) }
 
-// Room holds the requests that wait.
-type Room struct {
+// Queue holds the requests that wait.
+type Queue struct {
 	waiting map[string]*Request
 	// fullUntil by urgency: new requests are turned away.
 	fullUntil map[int]time.Time
 }
 
 // New makes an empty room.
-func New() *Room { return &Room{waiting: map[string]*Request{}, fullUntil: map[int]time.Time{}} }
+func New() *Queue { return &Queue{waiting: map[string]*Request{}, fullUntil: map[int]time.Time{}} }
 
 // Len counts those that wait.
-func (r *Room) Len() int { return len(r.waiting) }
+func (r *Queue) Len() int { return len(r.waiting) }
 
-// Enter lets a request wait. False: there is no hope for it, and after is when
+// Add lets a request wait. False: there is no hope for it, and after is when
 // it may be worth another try.
-func (r *Room) Enter(now time.Time, req Request) (after time.Duration, ok bool) {
+func (r *Queue) Add(now time.Time, req Request) (after time.Duration, ok bool) {
 	for urgency, until := range r.fullUntil {
-		if urgency <= req.Urgency {
+		if urgency <= req.Priority {
 			after = max(after, until.Sub(now))
 		}
 	}
@@ -88,38 +88,38 @@
 	return 0, true
 }
 
-// Leave takes a request out whose caller has gone. False: it did not wait.
-func (r *Room) Leave(id string) bool {
+// Remove takes a request out whose caller has gone. False: it did not wait.
+func (r *Queue) Remove(id string) bool {
 	_, ok := r.waiting[id]
 	delete(r.waiting, id)
 	return ok
 }
 
-// Serve tries to place those that wait, in their order, and takes out those
+// Dispatch tries to place those that wait, in their order, and takes out those
 // for which place returns true. anyway: the request must be sent now, whether
 // there is room or not; it is taken out in any case. Those that it returns are
 // turned away: what is late already leaves no hope for them.
-func (r *Room) Serve(now time.Time, place func(id string, anyway bool) bool) (away []string) {
+func (r *Queue) Dispatch(now time.Time, place func(id string, anyway bool) bool) (away []string) {
 	if len(r.waiting) == 0 {
 		return nil
 	}
 	away = r.dropHopeless(now)
 	noRoom := map[int]int{}
 	for _, w := range r.order(now) {
-		if !now.Before(w.Until()) {
-			r.fullUntil[w.Urgency] = now.Add(fullFor)
+		if !now.Before(w.SendAt()) {
+			r.fullUntil[w.Priority] = now.Add(fullFor)
 			delete(r.waiting, w.ID)
 			place(w.ID, true)
 			continue
 		}
-		if noRoom[w.Urgency] >= turnsAtOnce {
+		if noRoom[w.Priority] >= turnsAtOnce {
 			continue
 		}
 		if place(w.ID, false) {
 			delete(r.waiting, w.ID)
 			continue
 		}
-		noRoom[w.Urgency]++
+		noRoom[w.Priority]++
 	}
 	return away
 }
@@ -127,18 +127,18 @@
 // dropHopeless takes out those that became late since the last call while one
 // of their urgency has been late for long: the late ones are served in the order
 // in which they came, and it has not had its turn yet.
-func (r *Room) dropHopeless(now time.Time) (away []string) {
+func (r *Queue) dropHopeless(now time.Time) (away []string) {
 	stuck := map[int]bool{}
 	for _, w := range r.waiting {
-		if w.queuedLate && float64(now.Sub(w.Arrived)) > hopeShare*float64(w.Until().Sub(w.Arrived)) {
-			stuck[w.Urgency] = true
+		if w.queuedLate && float64(now.Sub(w.Arrived)) > hopeShare*float64(w.SendAt().Sub(w.Arrived)) {
+			stuck[w.Priority] = true
 		}
 	}
 	for id, w := range r.waiting {
 		if w.queuedLate || !w.late(now) {
 			continue
 		}
-		if stuck[w.Urgency] {
+		if stuck[w.Priority] {
 			away = append(away, id)
 			delete(r.waiting, id)
 			continue
@@ -153,15 +153,15 @@
 // those that are late anyway, then those that came first. With the late ones
 // in their place in the row, all behind them became late as well: in the model
 // 2,210 of 3,400 long prompts were in time at the highest load, 2,441 so.
-func (r *Room) order(now time.Time) []*Request {
+func (r *Queue) order(now time.Time) []*Request {
 	order := make([]*Request, 0, len(r.waiting))
 	for _, w := range r.waiting {
 		order = append(order, w)
 	}
 	sort.Slice(order, func(i, j int) bool {
 		a, b := order[i], order[j]
-		if a.Urgency != b.Urgency {
-			return a.Urgency < b.Urgency
+		if a.Priority != b.Priority {
+			return a.Priority < b.Priority
 		}
 		if late := b.late(now); late != a.late(now) {
 			return late
--- a/internal/waitroom/waitroom_test.go
+++ b/internal/waitroom/waitroom_test.go
@@ -20,22 +20,22 @@
 // request with a second to be in time and ten until its deadline.
 func request(id string, urgency int, arrived time.Duration) waitroom.Request {
 	return waitroom.Request{
-		ID: id, Urgency: urgency, Arrived: after(arrived), Reading: 200 * time.Millisecond,
-		InTimeUntil: after(arrived + time.Second), Deadline: after(arrived + 10*time.Second),
+		ID: id, Priority: urgency, Arrived: after(arrived), Prefill: 200 * time.Millisecond,
+		FirstTokenTarget: after(arrived + time.Second), Deadline: after(arrived + 10*time.Second),
 	}
 }
 
-func enter(t *testing.T, room *waitroom.Room, requests ...waitroom.Request) {
+func enter(t *testing.T, room *waitroom.Queue, requests ...waitroom.Request) {
 	t.Helper()
 	for _, r := range requests {
-		_, ok := room.Enter(r.Arrived, r)
+		_, ok := room.Add(r.Arrived, r)
 		require.True(t, ok)
 	}
 }
 
 // served lists those that the room tries to place, in order.
-func served(room *waitroom.Room, at time.Duration, place bool) (ids []string, anyway []bool) {
-	room.Serve(after(at), func(id string, must bool) bool {
+func served(room *waitroom.Queue, at time.Duration, place bool) (ids []string, anyway []bool) {
+	room.Dispatch(after(at), func(id string, must bool) bool {
 		ids, anyway = append(ids, id), append(anyway, must)
 		return place
 	})
@@ -64,10 +64,10 @@
 func TestOneThatFindsNoRoomDoesNotStopTheNext(t *testing.T) {
 	room := waitroom.New()
 	enter(t, room, request("large", 1, 0), request("small", 1, time.Millisecond))
-	room.Serve(after(10*time.Millisecond), func(id string, _ bool) bool { return id == "small" })
+	room.Dispatch(after(10*time.Millisecond), func(id string, _ bool) bool { return id == "small" })
 	assert.Equal(t, 1, room.Len())
-	assert.True(t, room.Leave("large"))
-	assert.False(t, room.Leave("small"))
+	assert.True(t, room.Remove("large"))
+	assert.False(t, room.Remove("small"))
 }
 
 func TestAFullFleetIsNotSearchedForEach(t *testing.T) {
@@ -97,12 +97,12 @@
 	room := waitroom.New()
 	enter(t, room, request("a", 1, 0))
 	served(room, 9*time.Second, false)
-	back, ok := room.Enter(after(9100*time.Millisecond), request("b", 1, 9100*time.Millisecond))
+	back, ok := room.Add(after(9100*time.Millisecond), request("b", 1, 9100*time.Millisecond))
 	assert.False(t, ok)
 	assert.Equal(t, 900*time.Millisecond, back)
-	_, ok = room.Enter(after(9100*time.Millisecond), request("urgent", 0, 9100*time.Millisecond))
+	_, ok = room.Add(after(9100*time.Millisecond), request("urgent", 0, 9100*time.Millisecond))
 	assert.True(t, ok, "what is more urgent is served before them")
-	_, ok = room.Enter(after(10*time.Second), request("c", 1, 10*time.Second))
+	_, ok = room.Add(after(10*time.Second), request("c", 1, 10*time.Second))
 	assert.True(t, ok, "it may have passed")
 }
 
@@ -112,10 +112,10 @@
 func TestWhoBecomesLateBehindOthersIsTurnedAwayAtOnce(t *testing.T) {
 	room := waitroom.New()
 	enter(t, room, request("first", 1, 0))
-	assert.Empty(t, room.Serve(after(900*time.Millisecond), noRoom), "nobody is late before it")
+	assert.Empty(t, room.Dispatch(after(900*time.Millisecond), noRoom), "nobody is late before it")
 	enter(t, room, request("second", 1, 2*time.Second), request("urgent", 0, 2*time.Second))
-	assert.Empty(t, room.Serve(after(2500*time.Millisecond), noRoom), "it may still be in time")
-	assert.Equal(t, []string{"second"}, room.Serve(after(2900*time.Millisecond), noRoom))
+	assert.Empty(t, room.Dispatch(after(2500*time.Millisecond), noRoom), "it may still be in time")
+	assert.Equal(t, []string{"second"}, room.Dispatch(after(2900*time.Millisecond), noRoom))
 	assert.Equal(t, 2, room.Len(), "who is late already keeps its turn, others have their own row")
 }
 
@@ -130,16 +130,16 @@
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause")) * time.Millisecond
 			r := request(fmt.Sprint(step), rapid.IntRange(0, 3).Draw(t, "urgency"), now)
-			if _, ok := room.Enter(after(now), r); ok {
+			if _, ok := room.Add(after(now), r); ok {
 				inside[r.ID] = r
 			}
 			free := rapid.IntRange(0, 3).Draw(t, "free")
-			away := room.Serve(after(now), func(id string, anyway bool) bool {
+			away := room.Dispatch(after(now), func(id string, anyway bool) bool {
 				waiting, ok := inside[id]
 				if !ok {
 					t.Fatalf("%s was placed twice", id)
 				}
-				if until := waiting.Until(); anyway != !after(now).Before(until) {
+				if until := waiting.SendAt(); anyway != !after(now).Before(until) {
 					t.Fatalf("%s: anyway %v at %v, until %v", id, anyway, now, until)
 				}
 				if !anyway && free == 0 {
