--- a/internal/entry/picker.go
+++ b/internal/entry/picker.go
@@ -67,7 +67,7 @@
 		servers = append(servers, membership.Server{Name: b.GetName(), Group: group, Host: host, Draining: b.GetDraining()})
 	}
 	p.members.SetServers(now, servers)
-	p.members.VMs(now, platform.VMList{VMs: p.vmsKnown()})
+	p.members.ReceiveVMs(now, platform.VMList{VMs: p.vmsKnown()})
 }
 
 func (p *picker) vmsKnown() []platform.VM {
@@ -104,7 +104,7 @@
 		return
 	}
 	p.router.Learn(now, server, state)
-	p.members.Heard(now, server, state)
+	p.members.ReceiveAgentState(now, server, state)
 }
 
 // ended takes in how an attempt ended.
@@ -121,7 +121,7 @@
 	case workFailed:
 		p.members.Failed(now, a.server)
 	case serverLeaves:
-		p.members.RefusedLeaving(now, a.server)
+		p.members.RefusedDraining(now, a.server)
 	}
 }
 
@@ -181,7 +181,7 @@
 	for _, vm := range list.VMs {
 		p.listed[vm.Name] = vm
 	}
-	p.members.VMs(now, list)
+	p.members.ReceiveVMs(now, list)
 }
 
 // entries is the number of live entries in the platform's list.
@@ -200,13 +200,13 @@
 func (p *picker) news(now time.Time, news []*jayv1.MemberNews) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.members.News(now, news)
+	p.members.ReceivePeerUpdates(now, news)
 }
 
 func (p *picker) tell(now time.Time) []*jayv1.MemberNews {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.members.Tell(now)
+	return p.members.PeerUpdates(now)
 }
 
 func (p *picker) tick(now time.Time, table *catalog.Table) {
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -57,8 +57,8 @@
 	b.record.failures = 0
 	b.facts.aliveAt = now
 	switch {
-	case b.state == StateSuspect && b.record.successes >= m.settings.TrustStreak,
-		b.state == StateProbation && b.record.successes >= m.settings.RecoverStreak:
+	case b.state == StateSuspect && b.record.successes >= m.settings.SuspectSuccesses,
+		b.state == StateProbation && b.record.successes >= m.settings.ProbationSuccesses:
 		m.fire(now, b, eventRecover)
 	}
 	m.applyFacts(now, b)
@@ -80,7 +80,7 @@
 		return
 	}
 	m.fire(now, b, eventFail)
-	if b.record.failures >= m.settings.Streak || b.record.share >= m.settings.FailureShare {
+	if b.record.failures >= m.settings.FailureStreak || b.record.share >= m.settings.FailureShare {
 		m.eject(now, b, eventTrip)
 	}
 }
--- a/internal/membership/facts.go
+++ b/internal/membership/facts.go
@@ -42,7 +42,7 @@
 // heard of it, and it would stay out for ever. Offered work again it takes it,
 // or refuses before anything ran and is out for another while.
 func (f *facts) expire(now time.Time, settings Settings) {
-	if f.selfLeaving && now.Sub(f.selfAt) >= settings.SelfLife {
+	if f.selfLeaving && now.Sub(f.selfAt) >= settings.AgentReportTTL {
 		f.selfLeaving = false
 	}
 	if f.newsLeaving && !now.Before(f.newsUntil) {
@@ -57,16 +57,16 @@
 		m.fire(now, b, eventVanish)
 	case b.facts.leaving():
 		m.fire(now, b, eventLeave)
-	case b.state == StateLeaving || b.state == StateGone:
+	case b.state == StateDraining || b.state == StateGone:
 		m.fire(now, b, eventComeBack)
 	}
 }
 
-// Heard takes the state that rode on an agent's answer. An agent that says it
+// ReceiveAgentState takes the state that rode on an agent's answer. An agent that says it
 // leaves is believed at once. Its word to the contrary counts only after the
 // settle time or from a new boot: answers overtake each other, and an older
 // one must not bring a leaving server back.
-func (m *Members) Heard(now time.Time, server string, state *jayv1.AgentState) {
+func (m *Members) ReceiveAgentState(now time.Time, server string, state *jayv1.AgentState) {
 	b := m.members[server]
 	if b == nil || state == nil {
 		return
@@ -76,7 +76,7 @@
 	switch {
 	case state.GetLeaving():
 		f.selfLeaving, f.selfAt = true, now
-	case f.selfLeaving && (reborn || now.Sub(f.selfAt) >= m.settings.Settle):
+	case f.selfLeaving && (reborn || now.Sub(f.selfAt) >= m.settings.ReorderWindow):
 		f.selfLeaving = false
 		f.newsLeaving = false
 	}
@@ -87,17 +87,17 @@
 	m.applyFacts(now, b)
 }
 
-// RefusedLeaving takes in that the server refused work because it is leaving.
-func (m *Members) RefusedLeaving(now time.Time, server string) {
+// RefusedDraining takes in that the server refused work because it is leaving.
+func (m *Members) RefusedDraining(now time.Time, server string) {
 	if b := m.members[server]; b != nil {
 		b.facts.selfLeaving, b.facts.selfAt = true, now
 		m.applyFacts(now, b)
 	}
 }
 
-// VMs takes an answer of the platform's list. A VM is matched by the name of
+// ReceiveVMs takes an answer of the platform's list. A VM is matched by the name of
 // the backend server, else by its IP number.
-func (m *Members) VMs(now time.Time, list platform.VMList) {
+func (m *Members) ReceiveVMs(now time.Time, list platform.VMList) {
 	named := map[*member]bool{}
 	for _, vm := range list.VMs {
 		for _, b := range m.ofVM(vm) {
@@ -149,17 +149,17 @@
 	f.vm, f.vmIncarnation = vm.State, vm.Incarnation
 }
 
-// News takes what other entries tell. That a server leaves is believed for a
+// ReceivePeerUpdates takes what other entries tell. That a server leaves is believed for a
 // while. That another entry ejected it is not: that entry's own link may be cut.
-func (m *Members) News(now time.Time, news []*jayv1.MemberNews) {
+func (m *Members) ReceivePeerUpdates(now time.Time, news []*jayv1.MemberNews) {
 	for _, n := range news {
 		b := m.members[n.GetName()]
-		if b == nil || n.GetState() != StateLeaving || n.GetIncarnation() < b.facts.incarnation {
+		if b == nil || n.GetState() != StateDraining || n.GetIncarnation() < b.facts.incarnation {
 			continue
 		}
 		said := now.Add(-time.Duration(n.GetAgeMs()) * time.Millisecond)
-		if now.Sub(said) < m.settings.NewsLife {
-			b.facts.newsLeaving, b.facts.newsUntil = true, said.Add(m.settings.NewsLife)
+		if now.Sub(said) < m.settings.PeerReportTTL {
+			b.facts.newsLeaving, b.facts.newsUntil = true, said.Add(m.settings.PeerReportTTL)
 			m.applyFacts(now, b)
 		}
 	}
@@ -168,17 +168,17 @@
 // maxNews bounds what a digest carries.
 const maxNews = 16
 
-// Tell returns what other entries should hear: servers that said themselves,
+// PeerUpdates returns what other entries should hear: servers that said themselves,
 // not through the news, that they leave.
-func (m *Members) Tell(now time.Time) []*jayv1.MemberNews {
+func (m *Members) PeerUpdates(now time.Time) []*jayv1.MemberNews {
 	var news []*jayv1.MemberNews
 	for name, b := range m.members {
 		age := now.Sub(b.facts.selfAt)
-		if !b.facts.selfLeaving || age >= m.settings.NewsLife || len(news) == maxNews {
+		if !b.facts.selfLeaving || age >= m.settings.PeerReportTTL || len(news) == maxNews {
 			continue
 		}
 		news = append(news, &jayv1.MemberNews{
-			Name: name, State: StateLeaving, Incarnation: b.facts.incarnation, AgeMs: uint32(age.Milliseconds()), //nolint:gosec // below NewsLife
+			Name: name, State: StateDraining, Incarnation: b.facts.incarnation, AgeMs: uint32(age.Milliseconds()), //nolint:gosec // below NewsLife
 		})
 	}
 	return news
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -22,7 +22,7 @@
 	StateSuspect   = "suspect"
 	StateEjected   = "ejected"
 	StateProbation = "probation"
-	StateLeaving   = "leaving"
+	StateDraining  = "leaving"
 	StateGone      = "gone"
 )
 
@@ -40,15 +40,15 @@
 
 // Settings of the conclusions.
 type Settings struct {
-	// Streak of failures that ejects.
-	Streak int
+	// FailureStreak of failures that ejects.
+	FailureStreak int
 	// FailureShare of the work of late that ejects.
 	FailureShare float64
 	// HalfLife after which the failure share fades to half.
 	HalfLife time.Duration
-	// RecoverStreak of successes that ends probation, TrustStreak suspicion.
-	RecoverStreak int
-	TrustStreak   int
+	// ProbationSuccesses of successes that ends probation, TrustStreak suspicion.
+	ProbationSuccesses int
+	SuspectSuccesses   int
 	// Backoff of the first ejection; doubles up to MaxBackoff.
 	Backoff    time.Duration
 	MaxBackoff time.Duration
@@ -57,23 +57,23 @@
 	// SuspectWeight and ProbationWeight scale the work of such servers.
 	SuspectWeight   float64
 	ProbationWeight float64
-	// Settle is how long after a server said that it leaves its answers to the
+	// ReorderWindow is how long after a server said that it leaves its answers to the
 	// contrary still count as delayed ones.
-	Settle time.Duration
-	// SelfLife is how long a server's own word that it leaves counts without
+	ReorderWindow time.Duration
+	// AgentReportTTL is how long a server's own word that it leaves counts without
 	// being heard again.
-	SelfLife time.Duration
-	// NewsLife is how long the word of another entry counts.
-	NewsLife time.Duration
+	AgentReportTTL time.Duration
+	// PeerReportTTL is how long the word of another entry counts.
+	PeerReportTTL time.Duration
 }
 
 // DefaultSettings eject after a few failures in a row for two seconds.
 func DefaultSettings() Settings {
 	return Settings{
-		Streak: 3, FailureShare: 0.5, HalfLife: 10 * time.Second,
-		RecoverStreak: 3, TrustStreak: 10, Backoff: 2 * time.Second, MaxBackoff: time.Minute,
+		FailureStreak: 3, FailureShare: 0.5, HalfLife: 10 * time.Second,
+		ProbationSuccesses: 3, SuspectSuccesses: 10, Backoff: 2 * time.Second, MaxBackoff: time.Minute,
 		MaxEjectedShare: 0.34, SuspectWeight: 0.5, ProbationWeight: 0.2,
-		Settle: 5 * time.Second, SelfLife: 10 * time.Second, NewsLife: 10 * time.Second,
+		ReorderWindow: 5 * time.Second, AgentReportTTL: 10 * time.Second, PeerReportTTL: 10 * time.Second,
 	}
 }
 
@@ -148,7 +148,7 @@
 		return false
 	}
 	switch b.state {
-	case StateLeaving, StateGone, StateEjected:
+	case StateDraining, StateGone, StateEjected:
 		return false
 	}
 	return true
@@ -242,7 +242,7 @@
 func count(group []*member) (ejected, present int) {
 	for _, b := range group {
 		switch b.state {
-		case StateLeaving, StateGone:
+		case StateDraining, StateGone:
 		case StateEjected:
 			ejected++
 			present++
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -42,17 +42,17 @@
 func TestTheFirstSourceThatSaysLeavingCounts(t *testing.T) {
 	sources := map[string]func(m *membership.Members){
 		"agent's answer": func(m *membership.Members) {
-			m.Heard(start, "b00", &jayv1.AgentState{Incarnation: 1, Leaving: true})
+			m.ReceiveAgentState(start, "b00", &jayv1.AgentState{Incarnation: 1, Leaving: true})
 		},
-		"agent's refusal": func(m *membership.Members) { m.RefusedLeaving(start, "b00") },
+		"agent's refusal": func(m *membership.Members) { m.RefusedDraining(start, "b00") },
 		"another entry": func(m *membership.Members) {
-			m.News(start, []*jayv1.MemberNews{{Name: "b00", State: membership.StateLeaving, AgeMs: 500}})
+			m.ReceivePeerUpdates(start, []*jayv1.MemberNews{{Name: "b00", State: membership.StateDraining, AgeMs: 500}})
 		},
 		"VM list by name": func(m *membership.Members) {
-			m.VMs(start, platform.VMList{VMs: []platform.VM{{Name: "b00", State: platform.VMLeaving}}})
+			m.ReceiveVMs(start, platform.VMList{VMs: []platform.VM{{Name: "b00", State: platform.VMLeaving}}})
 		},
 		"VM list by address": func(m *membership.Members) {
-			m.VMs(start, platform.VMList{VMs: []platform.VM{{Name: "vm-7", Address: "10.0.0.0", State: platform.VMLeaving}}})
+			m.ReceiveVMs(start, platform.VMList{VMs: []platform.VM{{Name: "vm-7", Address: "10.0.0.0", State: platform.VMLeaving}}})
 		},
 		"operator": func(m *membership.Members) {
 			m.SetServers(start, []membership.Server{{Name: "b00", Group: "pool/p", Draining: true}})
@@ -63,7 +63,7 @@
 			m, _ := pool(3)
 			require.True(t, m.Usable("b00"))
 			say(m)
-			assert.Equal(t, membership.StateLeaving, m.State("b00"))
+			assert.Equal(t, membership.StateDraining, m.State("b00"))
 			m.Tick(start.Add(3 * time.Second))
 			assert.False(t, m.Usable("b00"))
 		})
@@ -75,19 +75,19 @@
 // would bring the server back into service while it shuts down.
 func TestOlderWordsDoNotBringALeavingServerBack(t *testing.T) {
 	m, _ := pool(3)
-	m.Heard(start, "b00", &jayv1.AgentState{Incarnation: 4, Leaving: true})
-	m.Heard(start.Add(time.Second), "b00", &jayv1.AgentState{Incarnation: 4})
-	m.VMs(start.Add(time.Second), platform.VMList{Whole: true, VMs: []platform.VM{{Name: "b00", State: platform.VMLive}}})
+	m.ReceiveAgentState(start, "b00", &jayv1.AgentState{Incarnation: 4, Leaving: true})
+	m.ReceiveAgentState(start.Add(time.Second), "b00", &jayv1.AgentState{Incarnation: 4})
+	m.ReceiveVMs(start.Add(time.Second), platform.VMList{Whole: true, VMs: []platform.VM{{Name: "b00", State: platform.VMLive}}})
 	assert.False(t, m.Usable("b00"))
 
-	m.Heard(start.Add(2*time.Second), "b00", &jayv1.AgentState{Incarnation: 5})
+	m.ReceiveAgentState(start.Add(2*time.Second), "b00", &jayv1.AgentState{Incarnation: 5})
 	assert.True(t, m.Usable("b00"), "a new boot is a new server")
 }
 
 func TestALeavingThatWasCalledOffEndsAfterTheSettleTime(t *testing.T) {
 	m, _ := pool(3)
-	m.Heard(start, "b00", &jayv1.AgentState{Incarnation: 4, Leaving: true})
-	m.Heard(start.Add(6*time.Second), "b00", &jayv1.AgentState{Incarnation: 4})
+	m.ReceiveAgentState(start, "b00", &jayv1.AgentState{Incarnation: 4, Leaving: true})
+	m.ReceiveAgentState(start.Add(6*time.Second), "b00", &jayv1.AgentState{Incarnation: 4})
 	assert.True(t, m.Usable("b00"))
 }
 
@@ -95,8 +95,8 @@
 // its name. Work there goes on well; taking it out would only lose capacity.
 func TestAServerThatWorksIsNotGoneBecauseAListSaysSo(t *testing.T) {
 	m, _ := pool(3)
-	m.VMs(start, platform.VMList{Whole: true, VMs: []platform.VM{{Name: "b00", State: platform.VMLive}}})
-	m.VMs(start.Add(time.Second), platform.VMList{Whole: true, VMs: []platform.VM{{Name: "b09", State: platform.VMLive}}})
+	m.ReceiveVMs(start, platform.VMList{Whole: true, VMs: []platform.VM{{Name: "b00", State: platform.VMLive}}})
+	m.ReceiveVMs(start.Add(time.Second), platform.VMList{Whole: true, VMs: []platform.VM{{Name: "b09", State: platform.VMLive}}})
 	assert.Equal(t, membership.StateGone, m.State("b00"))
 	assert.True(t, m.Usable("b01"), "a server that was never listed is not gone")
 	m.Succeeded(start.Add(2*time.Second), "b00")
@@ -131,7 +131,7 @@
 	fail(m, start, names[0], 9)
 	fail(m, start, names[1], 9)
 	for _, name := range names[2:] {
-		m.Heard(start, name, &jayv1.AgentState{Leaving: true})
+		m.ReceiveAgentState(start, name, &jayv1.AgentState{Leaving: true})
 	}
 	m.Tick(start)
 	assert.True(t, m.Usable(names[0]))
@@ -173,19 +173,19 @@
 
 func TestAnotherEntrysEjectionIsNotTaken(t *testing.T) {
 	m, _ := pool(3)
-	m.News(start, []*jayv1.MemberNews{{Name: "b00", State: membership.StateEjected}})
+	m.ReceivePeerUpdates(start, []*jayv1.MemberNews{{Name: "b00", State: membership.StateEjected}})
 	assert.True(t, m.Usable("b00"))
-	m.News(start, []*jayv1.MemberNews{{Name: "b00", State: membership.StateLeaving, AgeMs: 40_000}})
+	m.ReceivePeerUpdates(start, []*jayv1.MemberNews{{Name: "b00", State: membership.StateDraining, AgeMs: 40_000}})
 	assert.True(t, m.Usable("b00"), "news that is too old")
 }
 
 func TestNewsIsToldByWhoHeardItFromTheServer(t *testing.T) {
 	a, _ := pool(3)
 	b, _ := pool(3)
-	a.Heard(start, "b00", &jayv1.AgentState{Incarnation: 2, Leaving: true})
-	b.News(start, a.Tell(start.Add(time.Second)))
+	a.ReceiveAgentState(start, "b00", &jayv1.AgentState{Incarnation: 2, Leaving: true})
+	b.ReceivePeerUpdates(start, a.PeerUpdates(start.Add(time.Second)))
 	assert.False(t, b.Usable("b00"))
-	assert.Empty(t, b.Tell(start), "news is not passed on, or it would never end")
+	assert.Empty(t, b.PeerUpdates(start), "news is not passed on, or it would never end")
 }
 
 // Whatever comes in whatever order, at most the set share of a pool's present
@@ -204,12 +204,12 @@
 			case 1:
 				m.Succeeded(now, name)
 			case 2:
-				m.Heard(now, name, &jayv1.AgentState{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "boot"), Leaving: rapid.Bool().Draw(t, "leaving")})
+				m.ReceiveAgentState(now, name, &jayv1.AgentState{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "boot"), Leaving: rapid.Bool().Draw(t, "leaving")})
 			case 3:
 				state := rapid.SampledFrom([]platform.VMState{platform.VMLive, platform.VMLeaving, platform.VMGone}).Draw(t, "vm")
-				m.VMs(now, platform.VMList{VMs: []platform.VM{{Name: name, State: state, Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation")}}})
+				m.ReceiveVMs(now, platform.VMList{VMs: []platform.VM{{Name: name, State: state, Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation")}}})
 			case 4:
-				m.News(now, []*jayv1.MemberNews{{Name: name, State: membership.StateLeaving}})
+				m.ReceivePeerUpdates(now, []*jayv1.MemberNews{{Name: name, State: membership.StateDraining}})
 			}
 			m.Tick(now)
 			present, ejected := 0, 0
@@ -236,12 +236,12 @@
 func TestAServerThatLeftAndCameBackUnseenIsTriedAgain(t *testing.T) {
 	m, _ := pool(2)
 	now := start
-	m.Heard(now, "b00", &jayv1.AgentState{Incarnation: 1, Leaving: true})
+	m.ReceiveAgentState(now, "b00", &jayv1.AgentState{Incarnation: 1, Leaving: true})
 	require.False(t, m.Usable("b00"))
-	now = now.Add(membership.DefaultSettings().SelfLife)
+	now = now.Add(membership.DefaultSettings().AgentReportTTL)
 	m.Tick(now)
 	require.True(t, m.Usable("b00"))
-	m.RefusedLeaving(now, "b00")
+	m.RefusedDraining(now, "b00")
 	require.False(t, m.Usable("b00"), "one that is still leaving says so at once")
 }
 
