--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Lifetime is one run of a backend server, from its start to its end. A server
+// Incarnation is one run of a backend server, from its start to its end. A server
 // may start again under its name: it then holds nothing of what it held, and
 // all that was learned of the run before is void.
-type Lifetime struct {
+type Incarnation struct {
 	// Instance is the name that the server gives itself.
 	Instance string
-	// Born is when it started, in Unix ms by its own clock; 0: it does not say.
-	Born int64
+	// StartedMS is when it started, in Unix ms by its own clock; 0: it does not say.
+	StartedMS int64
 }
 
 // lifetimeMark stands between the server's name and its birth in an ID.
@@ -34,16 +34,16 @@
 
 // ID names the lifetime among all others, for beliefs and for words between
 // entries: what is said of an earlier run bears another name.
-func (l Lifetime) ID() string {
-	if l.Born == 0 {
+func (l Incarnation) ID() string {
+	if l.StartedMS == 0 {
 		return l.Instance
 	}
-	return l.Instance + lifetimeMark + strconv.FormatInt(l.Born, 36)
+	return l.Instance + lifetimeMark + strconv.FormatInt(l.StartedMS, 36)
 }
 
 // Backend is one lifetime of a backend server, as its own entry in the list says.
 type Backend struct {
-	Lifetime
+	Incarnation
 	// ID of the lifetime; Hash is its rendezvous hash.
 	ID         string
 	Hash       uint64
@@ -128,17 +128,17 @@
 // for nothing cost less than orders that count on a run that is over.
 func (l *List) Put(now time.Time, b *Backend) (old *Backend, change Change) {
 	old = l.byName[b.Instance]
-	if old != nil && b.Born == 0 {
-		b.Born = old.Born
+	if old != nil && b.StartedMS == 0 {
+		b.StartedMS = old.StartedMS
 	}
-	b.ID = b.Lifetime.ID()
+	b.ID = b.Incarnation.ID()
 	switch {
 	case old == nil:
 		change = Added
-	case b.Born < old.Born:
+	case b.StartedMS < old.StartedMS:
 		l.doubt(now, b)
 		return old, Stale
-	case b.Born > old.Born, b.Address != old.Address:
+	case b.StartedMS > old.StartedMS, b.Address != old.Address:
 		change = Restarted
 		l.forget(old)
 	default:
@@ -151,7 +151,7 @@
 // doubt keeps an entry of an earlier lifetime, with how long it has stood.
 func (l *List) doubt(now time.Time, b *Backend) {
 	since := now
-	if before, ok := l.doubted[b.Instance]; ok && before.entry.Born == b.Born {
+	if before, ok := l.doubted[b.Instance]; ok && before.entry.StartedMS == b.StartedMS {
 		since = before.since
 	}
 	l.doubted[b.Instance] = doubt{entry: b, since: since}
@@ -177,10 +177,10 @@
 // the store is down. It lapses by itself, so that a false proof costs no server.
 const endedFor = 8 * time.Second
 
-// End takes in the proof that a lifetime is over: another instance answered at
+// MarkEnded takes in the proof that a lifetime is over: another instance answered at
 // its address. The list shows it some seconds later; until then each request
 // for it would be refused there. False: it is not listed, or known to be over.
-func (l *List) End(now time.Time, id string) bool {
+func (l *List) MarkEnded(now time.Time, id string) bool {
 	if l.byID[id] == nil || l.Ended(now, id) {
 		return false
 	}
@@ -251,9 +251,9 @@
 // Len counts the entries.
 func (l *List) Len() int { return len(l.byID) }
 
-// Of returns the backends of a service in order of their names. The caller must
+// OfService returns the backends of a service in order of their names. The caller must
 // not change the slice.
-func (l *List) Of(service string) []*Backend {
+func (l *List) OfService(service string) []*Backend {
 	if l.sorted == nil {
 		l.sorted = map[string][]*Backend{}
 		for _, b := range l.All() {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -14,15 +14,15 @@
 
 func listed() *fleet.List {
 	l := fleet.NewList(2 * time.Second)
-	l.Put(start, &fleet.Backend{Lifetime: fleet.Lifetime{Instance: "a"}, Service: "s"})
-	l.Put(start, &fleet.Backend{Lifetime: fleet.Lifetime{Instance: "b"}, Service: "s"})
+	l.Put(start, &fleet.Backend{Incarnation: fleet.Incarnation{Instance: "a"}, Service: "s"})
+	l.Put(start, &fleet.Backend{Incarnation: fleet.Incarnation{Instance: "b"}, Service: "s"})
 	return l
 }
 
 func TestAnEntryThatVanishesIsGoneAtOnce(t *testing.T) {
 	l := listed()
 	assert.NotNil(t, l.Remove(start, "a"))
-	assert.Len(t, l.Of("s"), 1)
+	assert.Len(t, l.OfService("s"), 1)
 }
 
 // Every request is refused for two seconds after the store is back. While it
@@ -33,17 +33,17 @@
 	l.Restored(start)
 	assert.Nil(t, l.Remove(start, "a"))
 	assert.Nil(t, l.Remove(start, "b"))
-	assert.Len(t, l.Of("s"), 2)
-	l.Put(start, &fleet.Backend{Lifetime: fleet.Lifetime{Instance: "a"}, Service: "s"})
+	assert.Len(t, l.OfService("s"), 2)
+	l.Put(start, &fleet.Backend{Incarnation: fleet.Incarnation{Instance: "a"}, Service: "s"})
 	gone, _ := l.Tick(start.Add(3 * time.Second))
 	require.Len(t, gone, 1, "what is still missing is gone")
 	assert.Equal(t, "b", gone[0].ID)
-	assert.Len(t, l.Of("s"), 1)
+	assert.Len(t, l.OfService("s"), 1)
 }
 
 func TestADrainingServerIsNotKept(t *testing.T) {
 	l := listed()
-	l.Put(start, &fleet.Backend{Lifetime: fleet.Lifetime{Instance: "a"}, Service: "s", Draining: true})
+	l.Put(start, &fleet.Backend{Incarnation: fleet.Incarnation{Instance: "a"}, Service: "s", Draining: true})
 	l.Restored(start)
 	assert.NotNil(t, l.Remove(start, "a"))
 }
@@ -52,9 +52,9 @@
 // the list until it has missed its heartbeats.
 func TestALifetimeThatIsProvenOverIsKnownUntilTheListShowsIt(t *testing.T) {
 	l := listed()
-	assert.True(t, l.End(start, "a"))
-	assert.False(t, l.End(start, "a"), "known")
-	assert.False(t, l.End(start, "z"), "not listed")
+	assert.True(t, l.MarkEnded(start, "a"))
+	assert.False(t, l.MarkEnded(start, "a"), "known")
+	assert.False(t, l.MarkEnded(start, "z"), "not listed")
 	assert.True(t, l.Ended(start.Add(time.Second), "a"))
 	assert.False(t, l.Ended(start, "b"))
 	assert.False(t, l.Ended(start.Add(time.Minute), "a"), "a false proof costs no server for good")
@@ -64,7 +64,7 @@
 
 // run is an entry of server a, born at a time in Unix ms.
 func run(born int64, address string) *fleet.Backend {
-	return &fleet.Backend{Lifetime: fleet.Lifetime{Instance: "a", Born: born}, Service: "s", Address: address}
+	return &fleet.Backend{Incarnation: fleet.Incarnation{Instance: "a", StartedMS: born}, Service: "s", Address: address}
 }
 
 // An engine restarted under its name and was passed over for eight seconds:
@@ -74,7 +74,7 @@
 	_, change := l.Put(start, run(1000, "h:1"))
 	assert.Equal(t, fleet.Added, change)
 	first := l.Named("a").ID
-	require.True(t, l.End(start, first))
+	require.True(t, l.MarkEnded(start, first))
 	old, change := l.Put(start, run(2000, "h:1"))
 	assert.Equal(t, fleet.Restarted, change)
 	assert.Equal(t, first, old.ID)
@@ -82,7 +82,7 @@
 	assert.NotEqual(t, first, second)
 	assert.False(t, l.Ended(start, second), "the proof was of the run before")
 	assert.Nil(t, l.Get(first), "late news of the run before names nobody")
-	assert.Len(t, l.Of("s"), 1)
+	assert.Len(t, l.OfService("s"), 1)
 	assert.Equal(t, "a", fleet.InstanceOf(second))
 	assert.NotNil(t, l.Remove(start, "a"), "the entry goes by the server's own name")
 	assert.Nil(t, l.Get(second))
@@ -141,7 +141,7 @@
 	require.Len(t, back, 1)
 	assert.Equal(t, listed, gone[0].ID)
 	assert.Equal(t, back[0], l.Named("a"))
-	assert.Len(t, l.Of("s"), 1)
+	assert.Len(t, l.OfService("s"), 1)
 }
 
 // A process does not move: what is at the other address holds nothing.
@@ -150,5 +150,5 @@
 	l.Put(start, run(1000, "h:1"))
 	_, change := l.Put(start, run(1000, "h:2"))
 	assert.Equal(t, fleet.Restarted, change)
-	assert.Equal(t, "h:2", l.Of("s")[0].Address)
+	assert.Equal(t, "h:2", l.OfService("s")[0].Address)
 }
--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -104,9 +104,9 @@
 	switch {
 	case b == nil:
 		return false
-	case report.Born == 0 || b.Born == 0 || report.Born == b.Born:
+	case report.Born == 0 || b.StartedMS == 0 || report.Born == b.StartedMS:
 		return true
-	case report.Born > b.Born:
+	case report.Born > b.StartedMS:
 		s.startedAgain(now, b, report)
 	}
 	return false
@@ -116,7 +116,7 @@
 // the lifetime that is listed: the list shows it with its next heartbeat.
 func (s *state) startedAgain(now time.Time, listed *fleet.Backend, report *call.Report) {
 	next := *listed
-	next.Born, next.Versions = report.Born, report.Versions
+	next.StartedMS, next.Versions = report.Born, report.Versions
 	s.putBackend(now, &next)
 }
 
@@ -128,7 +128,7 @@
 }
 
 func (s *state) endLocked(now time.Time, id, source string) {
-	if !s.list.End(now, id) {
+	if !s.list.MarkEnded(now, id) {
 		return
 	}
 	klog.InfoS("Lifetime over", "server", id, "source", source)
--- a/internal/gateway/lifetimes_test.go
+++ b/internal/gateway/lifetimes_test.go
@@ -18,7 +18,7 @@
 	var changes []backendChange
 	for i := range 3000 {
 		changes = append(changes, backendChange{entry: &fleet.Backend{
-			Lifetime: fleet.Lifetime{Instance: fmt.Sprint("e", i), Born: 1}, Service: "engines", Address: fmt.Sprint("10.0.", i/250, ".", i%250, ":1"),
+			Incarnation: fleet.Incarnation{Instance: fmt.Sprint("e", i), StartedMS: 1}, Service: "engines", Address: fmt.Sprint("10.0.", i/250, ".", i%250, ":1"),
 			Versions: map[string]uint64{"m": 1},
 		}})
 	}
--- a/internal/gateway/owning.go
+++ b/internal/gateway/owning.go
@@ -28,7 +28,7 @@
 // divisionLocked of a service's servers among their owners.
 func (s *state) divisionLocked(now time.Time, service string) *shard.Division {
 	return s.shards.Division(now, service, s.list.Generation(), func() []uint64 {
-		servers := s.list.Of(service)
+		servers := s.list.OfService(service)
 		hashes := make([]uint64, len(servers))
 		for i, b := range servers {
 			hashes[i] = b.Hash
@@ -119,7 +119,7 @@
 		Server: held.GetAddress(), Address: held.GetAddress(), Version: held.GetVersion(),
 		ReadyIn: time.Duration(held.GetReadyMs()) * time.Millisecond,
 	}
-	for _, b := range s.list.Of(service) {
+	for _, b := range s.list.OfService(service) {
 		if b.Address == held.GetAddress() {
 			holding.Server = b.ID
 		}
--- a/internal/gateway/owning_test.go
+++ b/internal/gateway/owning_test.go
@@ -27,7 +27,7 @@
 	s.table.Store(&routetable.Table{Version: 1, Services: map[string]*routetable.Service{"engines": engines}})
 	for i := range 32 {
 		s.putBackend(ownStart, &fleet.Backend{
-			Lifetime: fleet.Lifetime{Instance: fmt.Sprint("e", i), Born: 1}, Service: "engines", Address: fmt.Sprintf("10.0.0.%d:1", i+1), Slots: 8,
+			Incarnation: fleet.Incarnation{Instance: fmt.Sprint("e", i), StartedMS: 1}, Service: "engines", Address: fmt.Sprintf("10.0.0.%d:1", i+1), Slots: 8,
 			Versions: map[string]uint64{"m": 1},
 		})
 	}
@@ -69,7 +69,7 @@
 func TestAnOwnerOffersItsOwnServersOnly(t *testing.T) {
 	s := newOwner("gw1")
 	own := map[string]bool{}
-	for i, b := range s.list.Of("engines") {
+	for i, b := range s.list.OfService("engines") {
 		own[b.ID] = s.divisionLocked(ownStart, "engines").Owns("gw1", i)
 	}
 	var tried []uint32
@@ -120,7 +120,7 @@
 	s := newOwner("gw1")
 	first := s.offer(ownStart, askFor(1, "aa"))
 	var other *fleet.Backend
-	for i, b := range s.list.Of("engines") {
+	for i, b := range s.list.OfService("engines") {
 		if !s.divisionLocked(ownStart, "engines").Owns("gw1", i) {
 			other = b
 		}
@@ -202,7 +202,7 @@
 // A rollout's news came to the owners by datagram, one of which was lost.
 func TestSwitchesComeByDatagram(t *testing.T) {
 	s := newOwner("gw1")
-	b := s.list.Of("engines")[3]
+	b := s.list.OfService("engines")[3]
 	news := []switchNews{{Server: b.ID, Model: "m", Version: 2, ForMS: 1500, Ordered: true}}
 	words := switchWords(news)
 	require.Len(t, words, 1)
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -32,7 +32,7 @@
 // engine is the entry of the engine's run that was born then.
 func engine(born int64) *fleet.Backend {
 	return &fleet.Backend{
-		Lifetime: fleet.Lifetime{Instance: "e1", Born: born}, Service: "engines", Address: "10.0.0.1:1", Slots: 8,
+		Incarnation: fleet.Incarnation{Instance: "e1", StartedMS: born}, Service: "engines", Address: "10.0.0.1:1", Slots: 8,
 		Versions: map[string]uint64{"m": 1},
 	}
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -247,7 +247,7 @@
 // list is good until the next call.
 func (s *state) candidatesLocked(now time.Time, service *routetable.Service, model string) []routing.DirectServer {
 	servers := s.scratch[:0]
-	for _, b := range s.list.Of(service.Name) {
+	for _, b := range s.list.OfService(service.Name) {
 		if s.mayServe(now, b) {
 			servers = append(servers, s.serverLocked(now, service, model, b))
 		}
@@ -258,7 +258,7 @@
 
 // candidatesAtLocked lists those at some places in the list of the service.
 func (s *state) candidatesAtLocked(now time.Time, service *routetable.Service, model string, places []int) []routing.DirectServer {
-	all, servers := s.list.Of(service.Name), s.scratch[:0]
+	all, servers := s.list.OfService(service.Name), s.scratch[:0]
 	for _, i := range places {
 		if s.mayServe(now, all[i]) {
 			servers = append(servers, s.serverLocked(now, service, model, all[i]))
