--- a/internal/gateway/owning.go
+++ b/internal/gateway/owning.go
@@ -26,8 +26,8 @@
 }
 
 // divisionLocked of a service's servers among their owners.
-func (s *state) divisionLocked(now time.Time, service string) *shard.Division {
-	return s.shards.Division(now, service, s.list.Generation(), func() []uint64 {
+func (s *state) divisionLocked(now time.Time, service string) *shard.Assignment {
+	return s.shards.Assignment(now, service, s.list.Generation(), func() []uint64 {
 		servers := s.list.OfService(service)
 		hashes := make([]uint64, len(servers))
 		for i, b := range servers {
@@ -75,7 +75,7 @@
 	}
 	division := s.divisionLocked(now, service.Name)
 	s.own.SetSavers(len(division.Owners))
-	servers := s.candidatesAtLocked(now, service, ask.GetModel(), division.Owned(s.settings.Node))
+	servers := s.candidatesAtLocked(now, service, ask.GetModel(), division.ServersOf(s.settings.Node))
 	request := s.requestOfLocked(now, table, service, ask)
 	if held := ask.GetHeld(); held != nil {
 		s.own.HearHolder(now, &request, s.holdingLocked(service.Name, held))
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -252,7 +252,7 @@
 	if !s.shards.MayAsk(now) {
 		return ask, nil
 	}
-	return ask, s.divisionLocked(now, j.service.Name).Asked(request.HomeKey(s.book.Newest(ask.Model)))
+	return ask, s.divisionLocked(now, j.service.Name).OwnersFor(request.HomeKey(s.book.Newest(ask.Model)))
 }
 
 // accept sends the request where it was offered, and counts it there. False: by
@@ -328,7 +328,7 @@
 func (s *state) ownerMissed(now time.Time, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.shards.Missed(now, name) {
+	if s.shards.OwnerTimedOut(now, name) {
 		klog.InfoS("Owner passed over", "owner", name)
 	}
 }
@@ -336,5 +336,5 @@
 func (s *state) ownerAnswered(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shards.Answered(name)
+	s.shards.OwnerAnswered(name)
 }
--- a/internal/gateway/ranks.go
+++ b/internal/gateway/ranks.go
@@ -123,9 +123,9 @@
 }
 
 // strong counts the entries that do work for others.
-func (p *peers) strong() int { return max(1, len(shard.Strong(p.owners()))) }
+func (p *peers) strong() int { return max(1, len(shard.Eligible(p.owners()))) }
 
 // isStrong tells whether this entry is one of them.
 func (p *peers) isStrong() bool {
-	return slices.ContainsFunc(shard.Strong(p.owners()), func(e shard.Entry) bool { return e.Name == p.node })
+	return slices.ContainsFunc(shard.Eligible(p.owners()), func(e shard.Entry) bool { return e.Name == p.node })
 }
--- a/internal/routing/fleetmodel_test.go
+++ b/internal/routing/fleetmodel_test.go
@@ -91,7 +91,7 @@
 	// owners of shards that choose for all entries, by name; nil: none, and the
 	// entries tell each other what they do.
 	owners   map[string]*routing.Direct
-	division *shard.Division
+	division *shard.Assignment
 	// mute entries, the first ones, neither tell the others anything nor hear.
 	mute int
 	// returns are callers that will come back, by time.
@@ -238,7 +238,7 @@
 	var best routing.DirectChoice
 	r.owner = nil
 	err := routing.ErrNoRoom
-	for _, entry := range f.division.Asked(request.HomeKey(1)) {
+	for _, entry := range f.division.OwnersFor(request.HomeKey(1)) {
 		owner := f.owners[entry.Name]
 		if r.owner != nil && best.Source == routing.SourceHeld {
 			owner.HearHolder(modelTime(now), request, routing.Holding{Server: best.Server.ID, Address: best.Server.Address, Version: best.Server.Version})
@@ -291,7 +291,7 @@
 		f.owners[name] = routing.NewDirect(routing.DirectOptions{DataCentre: "a", Sole: true})
 	}
 	m.SetEntries(all)
-	f.division = m.Division(directStart, "models", 1, func() []uint64 {
+	f.division = m.Assignment(directStart, "models", 1, func() []uint64 {
 		var hashes []uint64
 		for i := range f.servers {
 			hashes = append(hashes, f.servers[i].Hash)
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -50,8 +50,8 @@
 	Cores float64
 }
 
-// Division of the servers of one service. It must not be changed.
-type Division struct {
+// Assignment of the servers of one service. It must not be changed.
+type Assignment struct {
 	// Owners of the shards; empty: nobody can own one.
 	Owners []Entry
 	// owner of each server, an index into Owners, in the order of the list that
@@ -91,12 +91,12 @@
 	probeAt   time.Time
 	entries   []Entry
 	silent    map[string]*silence
-	divisions map[string]*Division
+	divisions map[string]*Assignment
 }
 
 // NewMap knows no entry.
 func NewMap() *Map {
-	return &Map{silent: map[string]*silence{}, divisions: map[string]*Division{}}
+	return &Map{silent: map[string]*silence{}, divisions: map[string]*Assignment{}}
 }
 
 // SetEntries takes in all entries, this one included.
@@ -112,9 +112,9 @@
 
 func (m *Map) changed() { clear(m.divisions) }
 
-// Missed takes in that an owner did not answer in time. True: it is passed over
+// OwnerTimedOut takes in that an owner did not answer in time. True: it is passed over
 // from now on.
-func (m *Map) Missed(now time.Time, name string) bool {
+func (m *Map) OwnerTimedOut(now time.Time, name string) bool {
 	m.misses++
 	s := m.silent[name]
 	if s == nil {
@@ -131,8 +131,8 @@
 	return true
 }
 
-// Answered takes in that an owner answered.
-func (m *Map) Answered(name string) {
+// OwnerAnswered takes in that an owner answered.
+func (m *Map) OwnerAnswered(name string) {
 	m.misses = 0
 	s := m.silent[name]
 	if s == nil {
@@ -157,14 +157,14 @@
 	return true
 }
 
-// Division returns who owns which of a service's servers. generation names the
+// Assignment returns who owns which of a service's servers. generation names the
 // list that hashes returns: the rendezvous hashes of the servers, in its order.
-func (m *Map) Division(now time.Time, service string, generation uint64, hashes func() []uint64) *Division {
+func (m *Map) Assignment(now time.Time, service string, generation uint64, hashes func() []uint64) *Assignment {
 	if d := m.divisions[service]; d != nil && d.generation == generation && now.Before(d.until) {
 		return d
 	}
 	alive, until := m.alive(now)
-	d := &Division{servers: hashes(), generation: generation, until: until}
+	d := &Assignment{servers: hashes(), generation: generation, until: until}
 	d.Owners = owners(service, len(d.servers), alive)
 	d.divide()
 	m.divisions[service] = d
@@ -190,9 +190,9 @@
 	return alive, until
 }
 
-// Strong are the entries that do work for others: those with a good part of the
+// Eligible are the entries that do work for others: those with a good part of the
 // cores of the strongest.
-func Strong(entries []Entry) []Entry {
+func Eligible(entries []Entry) []Entry {
 	most := 0.0
 	for _, e := range entries {
 		most = max(most, e.Cores)
@@ -210,7 +210,7 @@
 // than there are shards of a useful size, by their rendezvous order, so that one
 // that is lost changes nothing for the others.
 func owners(service string, servers int, entries []Entry) []Entry {
-	strong := Strong(entries)
+	strong := Eligible(entries)
 	key := xxh3.HashString(service)
 	slices.SortFunc(strong, func(a, b Entry) int {
 		return cmp.Compare(routing.Rendezvous(key, xxh3.HashString(b.Name)), routing.Rendezvous(key, xxh3.HashString(a.Name)))
@@ -219,7 +219,7 @@
 }
 
 // divide gives each server its owner.
-func (d *Division) divide() {
+func (d *Assignment) divide() {
 	if len(d.Owners) == 0 {
 		return
 	}
@@ -240,10 +240,10 @@
 	}
 }
 
-// Asked returns the owners to ask for a prefix, the first one first: that of the
+// OwnersFor returns the owners to ask for a prefix, the first one first: that of the
 // first server in the prefix's rendezvous order, and that of the first server
 // behind it that another entry owns. All entries with the same lists ask alike.
-func (d *Division) Asked(prefix uint64) []Entry {
+func (d *Assignment) OwnersFor(prefix uint64) []Entry {
 	if len(d.Owners) == 0 {
 		return nil
 	}
@@ -271,8 +271,8 @@
 	return asked
 }
 
-// Owned returns the places of an entry's servers in the list. It must not be changed.
-func (d *Division) Owned(name string) []int {
+// ServersOf returns the places of an entry's servers in the list. It must not be changed.
+func (d *Assignment) ServersOf(name string) []int {
 	for k := range d.Owners {
 		if d.Owners[k].Name == name {
 			return d.owned[k]
@@ -282,6 +282,6 @@
 }
 
 // Owns tells whether an entry owns the i-th server of the list.
-func (d *Division) Owns(name string, i int) bool {
+func (d *Assignment) Owns(name string, i int) bool {
 	return i < len(d.owner) && d.Owners[d.owner[i]].Name == name
 }
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -41,7 +41,7 @@
 }
 
 // ownersOf each server by name.
-func ownersOf(d *shard.Division, servers int) []string {
+func ownersOf(d *shard.Assignment, servers int) []string {
 	owners := make([]string, servers)
 	for i := range owners {
 		for _, o := range d.Owners {
@@ -57,7 +57,7 @@
 // owned as many servers as one with most of a core, and answered late.
 func TestOnlyStrongEntriesOwnShards(t *testing.T) {
 	entries := append(entriesOf("weak", 88, 0.144), entriesOf("strong", 15, 0.8)...)
-	d := mapOf(entries).Division(start, "models", 1, serverHashes(180))
+	d := mapOf(entries).Assignment(start, "models", 1, serverHashes(180))
 	require.Len(t, d.Owners, 15)
 	for _, o := range d.Owners {
 		assert.Contains(t, o.Name, "strong")
@@ -69,16 +69,16 @@
 
 func TestShardsAreNotSmall(t *testing.T) {
 	m := mapOf(entriesOf("e", 100, 1))
-	assert.Len(t, m.Division(start, "models", 1, serverHashes(48)).Owners, 6)
-	assert.Len(t, m.Division(start, "bookings", 1, serverHashes(9)).Owners, 1, "each service is divided by itself")
-	assert.Empty(t, mapOf(nil).Division(start, "models", 1, serverHashes(9)).Asked(7))
+	assert.Len(t, m.Assignment(start, "models", 1, serverHashes(48)).Owners, 6)
+	assert.Len(t, m.Assignment(start, "bookings", 1, serverHashes(9)).Owners, 1, "each service is divided by itself")
+	assert.Empty(t, mapOf(nil).Assignment(start, "models", 1, serverHashes(9)).OwnersFor(7))
 }
 
 // An owner that is lost takes its own shard with it, and no other: the rest
 // would be read anew at servers that another owner chooses.
 func TestALostOwnerMovesItsOwnServersOnly(t *testing.T) {
 	entries := entriesOf("e", 12, 1)
-	before := mapOf(entries).Division(start, "models", 1, serverHashes(200))
+	before := mapOf(entries).Assignment(start, "models", 1, serverHashes(200))
 	lost := before.Owners[3].Name
 	var left []shard.Entry
 	for _, e := range entries {
@@ -86,7 +86,7 @@
 			left = append(left, e)
 		}
 	}
-	after := mapOf(left).Division(start, "models", 1, serverHashes(200))
+	after := mapOf(left).Assignment(start, "models", 1, serverHashes(200))
 	old, now := ownersOf(before, 200), ownersOf(after, 200)
 	for i := range old {
 		if old[i] != lost {
@@ -99,19 +99,19 @@
 // its row stood: seconds, or for good where it was lost.
 func TestASilentOwnerIsPassedOver(t *testing.T) {
 	m := mapOf(entriesOf("e", 6, 1))
-	division := func(now time.Time) *shard.Division { return m.Division(now, "models", 1, serverHashes(48)) }
-	name := division(start).Asked(7)[0].Name
-	assert.False(t, m.Missed(start, name), "one datagram may be lost")
-	assert.False(t, m.Missed(start.Add(10*time.Millisecond), name), "it may wait for its processor")
+	division := func(now time.Time) *shard.Assignment { return m.Assignment(now, "models", 1, serverHashes(48)) }
+	name := division(start).OwnersFor(7)[0].Name
+	assert.False(t, m.OwnerTimedOut(start, name), "one datagram may be lost")
+	assert.False(t, m.OwnerTimedOut(start.Add(10*time.Millisecond), name), "it may wait for its processor")
 	silent := start.Add(80 * time.Millisecond)
-	assert.True(t, m.Missed(silent, name))
-	assert.NotEqual(t, name, division(silent).Asked(7)[0].Name)
+	assert.True(t, m.OwnerTimedOut(silent, name))
+	assert.NotEqual(t, name, division(silent).OwnersFor(7)[0].Name)
 	again := silent.Add(1100 * time.Millisecond)
-	assert.Equal(t, name, division(again).Asked(7)[0].Name, "it is tried again")
-	assert.True(t, m.Missed(again, name))
-	assert.NotEqual(t, name, division(again.Add(1500 * time.Millisecond)).Asked(7)[0].Name, "longer each time")
-	m.Answered(name)
-	assert.Equal(t, name, division(again.Add(1600 * time.Millisecond)).Asked(7)[0].Name, "a late answer shows that it is there")
+	assert.Equal(t, name, division(again).OwnersFor(7)[0].Name, "it is tried again")
+	assert.True(t, m.OwnerTimedOut(again, name))
+	assert.NotEqual(t, name, division(again.Add(1500 * time.Millisecond)).OwnersFor(7)[0].Name, "longer each time")
+	m.OwnerAnswered(name)
+	assert.Equal(t, name, division(again.Add(1600 * time.Millisecond)).OwnersFor(7)[0].Name, "a late answer shows that it is there")
 }
 
 // An entry was cut off from all others. Each of its requests waited for one owner
@@ -121,13 +121,13 @@
 	now := start
 	for i := range cutOff {
 		assert.True(t, m.MayAsk(now), i)
-		m.Missed(now, fmt.Sprint("e", i))
+		m.OwnerTimedOut(now, fmt.Sprint("e", i))
 		now = now.Add(time.Millisecond)
 	}
 	assert.True(t, m.MayAsk(now), "it tries now and then")
 	assert.False(t, m.MayAsk(now))
 	assert.True(t, m.MayAsk(now.Add(time.Second)))
-	m.Answered("e20")
+	m.OwnerAnswered("e20")
 	assert.True(t, m.MayAsk(now.Add(time.Second)))
 	assert.True(t, m.MayAsk(now.Add(time.Second)), "somebody answers")
 }
@@ -143,21 +143,21 @@
 	for i := range entries {
 		turned = append(turned, entries[(i+7)%len(entries)])
 	}
-	one := mapOf(entries).Division(start, "models", 1, serverHashes(160))
-	other := mapOf(turned).Division(start, "models", 1, serverHashes(160))
+	one := mapOf(entries).Assignment(start, "models", 1, serverHashes(160))
+	other := mapOf(turned).Assignment(start, "models", 1, serverHashes(160))
 	for prefix := range uint64(50) {
-		asked := one.Asked(prefix)
+		asked := one.OwnersFor(prefix)
 		require.Len(t, asked, 2)
 		assert.NotEqual(t, asked[0].Name, asked[1].Name)
-		assert.Equal(t, asked, other.Asked(prefix))
+		assert.Equal(t, asked, other.OwnersFor(prefix))
 	}
 }
 
 func TestANewListIsDividedAnew(t *testing.T) {
 	m := mapOf(entriesOf("e", 4, 1))
-	first := m.Division(start, "models", 1, serverHashes(40))
-	assert.Same(t, first, m.Division(start, "models", 1, serverHashes(50)))
-	assert.NotSame(t, first, m.Division(start, "models", 2, serverHashes(50)))
+	first := m.Assignment(start, "models", 1, serverHashes(40))
+	assert.Same(t, first, m.Assignment(start, "models", 1, serverHashes(50)))
+	assert.NotSame(t, first, m.Assignment(start, "models", 2, serverHashes(50)))
 }
 
 // sizes of fleets: servers and owners.
@@ -166,10 +166,10 @@
 // BenchmarkAsked is what a request costs the entry that asks.
 func BenchmarkAsked(b *testing.B) {
 	for _, size := range sizes {
-		d := mapOf(entriesOf("e", size.owners, 1)).Division(start, "models", 1, serverHashes(size.servers))
+		d := mapOf(entriesOf("e", size.owners, 1)).Assignment(start, "models", 1, serverHashes(size.servers))
 		b.Run(fmt.Sprint(size.servers), func(b *testing.B) {
 			for i := range b.N {
-				d.Asked(uint64(i)) //nolint:gosec // a count
+				d.OwnersFor(uint64(i)) //nolint:gosec // a count
 			}
 		})
 	}
@@ -181,7 +181,7 @@
 		m, hashes := mapOf(entriesOf("e", size.owners, 1)), serverHashes(size.servers)()
 		b.Run(fmt.Sprint(size.servers), func(b *testing.B) {
 			for i := range b.N {
-				m.Division(start, "models", uint64(i)+2, func() []uint64 { return hashes }) //nolint:gosec // a count
+				m.Assignment(start, "models", uint64(i)+2, func() []uint64 { return hashes }) //nolint:gosec // a count
 			}
 		})
 	}
