--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -1,13 +1,13 @@
-// Package quarantine decides which requests are kept from backend servers
-// because servers crashed while they began to run them. It has no I/O,
-// goroutine or clock; callers lock.
+// Package quarantine decides which requests are no longer sent to backend
+// servers because servers crashed shortly after starting to run them. It has no
+// I/O, goroutines or clock; callers provide the locking.
 //
-// A server that crashes takes all its runs with it, so one crash says little of
-// any of them. A request is held when servers crashed under it time and again,
-// it never ran whole in between, and no other held request accounts for these
-// crashes better. What is known is a set of strikes, each a request and a
-// lifetime of a server: words of several entries add up in any order, and one
-// that comes twice counts once.
+// A crash ends every run on the server, so one crash says little about any
+// single request. A request is quarantined when several servers crashed under
+// it, it did not complete in between, and no other quarantined request accounts
+// for those crashes better. The state is a set of crash records, each of a
+// request and an incarnation of a server. Records from several entries can be
+// merged in any order, and a duplicate has no effect.
 package quarantine
 
 import (
@@ -16,25 +16,26 @@
 	"time"
 )
 
-// Settings of a Book.
+// Settings of a Registry.
 type Settings struct {
-	// CrashThreshold strikes a request is held.
+	// CrashThreshold is the number of crashes at which a request is quarantined.
 	CrashThreshold int
-	// TrialDelays is how long after the last news of a held request it may be run
-	// once more, for each trial; there are no more trials than entries.
+	// TrialDelays has one element for each trial that a quarantined request gets:
+	// how long after the last update of its record the trial may start.
 	TrialDelays []time.Duration
-	// SuspectTTL is how long after the last news a request that is not held is forgotten.
+	// SuspectTTL is how long after the last update the record of a request that
+	// is not quarantined is kept.
 	SuspectTTL time.Duration
-	// QuarantineTTL is the same for one that is held.
+	// QuarantineTTL is the same for a quarantined request.
 	QuarantineTTL time.Duration
-	// MaxRequests that are remembered.
+	// MaxRequests limits the number of requests with a record.
 	MaxRequests int
 }
 
-// DefaultSettings bound what one request may end: three servers before it is
-// held, and one with each of two trials. Each server takes all its runs with it,
-// so trials are rare; a request that is held for no fault of its own ran beside
-// the one at fault each time, which its trial shows.
+// DefaultSettings limit the servers that one request can crash: three before it
+// is quarantined, and one in each of two trials. Trials are rare because a crash
+// ends all runs of the server. They are needed because a harmless request may
+// have been running next to the faulty one at each crash; its trial shows that.
 func DefaultSettings() Settings {
 	return Settings{
 		CrashThreshold: 3,
@@ -45,411 +46,426 @@
 	}
 }
 
-// repeatBelow strikes a request may be sent again within one attempt: with two,
-// the third server would end by the system's own repeat.
-const repeatBelow = 2
+// repeatCrashLimit is the number of crashes from which a request is not sent
+// again within one attempt, so that a repeat never crashes the third server.
+const repeatCrashLimit = 2
 
 const (
-	// trialTurn is how long each of several requests in doubt may be tried before
-	// the next one: side by side their trials would tell nothing. It covers a
-	// server's crash and the word of it to all entries.
-	trialTurn = time.Second
-	// claimShare of a turn in which its trial may begin.
-	claimShare = 0.5
+	// trialSlot is the time in which one of several uncertain requests may be
+	// tried. Concurrent trials would not show which request is at fault, so a slot
+	// is long enough for a crash to happen and be announced to all entries.
+	trialSlot = time.Second
+	// claimWindowShare is the share of a slot, from its start, in which the trial
+	// may be claimed.
+	claimWindowShare = 0.5
 )
 
-// Crash is a lifetime of a server that crashed while a request began to run there.
+// Crash is a crash record: a server incarnation crashed shortly after it started
+// to run a request. Interruptions use it for runs whose server may have crashed.
 type Crash struct {
 	Request Fingerprint
-	// Server is the ID of the lifetime.
+	// Server is the ID of the incarnation.
 	Server string
 }
 
-// Verdict on a request.
+// Verdict says whether a request may be sent.
 type Verdict struct {
-	// Quarantined: it must not be sent, but for a trial.
+	// Quarantined requests must not be sent, except as a trial.
 	Quarantined bool
-	// Trial that may be claimed now, from 1; 0: none.
+	// Trial is the number, from 1, of the trial that may be claimed now; 0 if none.
 	Trial int
-	// RetryAfter is how long until a trial, or until the request is forgotten.
+	// RetryAfter is the time until the next trial, or until the record expires if
+	// no trial is left. If Trial is set, it applies if the claim fails.
 	RetryAfter time.Duration
 }
 
-// Request is what is known of one request, for operators.
+// Request is the record of one request, for operators.
 type Request struct {
 	Fingerprint Fingerprint
-	// Servers are the lifetimes that crashed under it, in order.
+	// Servers are the incarnations that crashed under the request, sorted by ID.
 	Servers []string
-	// Unexplained counts those that no other held request accounts for.
+	// Unexplained counts those of Servers at which no quarantined request with
+	// more crashes was running.
 	Unexplained int
 	Trials      int
 	Quarantined bool
-	// Uncertain: another held request was there at each crash.
+	// Uncertain is set if at each crash another quarantined request was running on
+	// the server as well.
 	Uncertain bool
-	// LastUpdate is when a strike or a trial was last learned.
+	// LastUpdate is when a crash or a trial was last recorded.
 	LastUpdate time.Time
 }
 
 type record struct {
-	servers map[string]bool
-	trials  int
-	lastAt  time.Time
-
-	held bool
-	// doubtSince is when it was first in doubt; zero: it is not. Of so many turns
-	// of those it is in doubt with, one is its own.
-	doubtSince  time.Time
-	turn, turns int
+	servers   map[string]bool
+	trials    int
+	updatedAt time.Time
+
+	quarantined bool
+	// uncertainSince is when the request became uncertain; zero if it is not.
+	// The requests that it is uncertain with take turns of one slot each: slot is
+	// its place in the rotation, slots the length of the rotation.
+	uncertainSince time.Time
+	slot, slots    int
 }
 
-func (r *record) doubtful() bool { return !r.doubtSince.IsZero() }
+func (rec *record) uncertain() bool { return !rec.uncertainSince.IsZero() }
 
-// Registry holds the strikes and what follows from them.
+// Registry holds the crash records and the quarantine decisions derived from them.
 type Registry struct {
 	settings Settings
-	requests map[Fingerprint]*record
-	// heads counts the requests of each head.
-	heads map[Head]int
-	// heavy are those with enough strikes to be held: no other is judged.
-	heavy map[Fingerprint]bool
-	// most strikes of a held request at each server that crashed under one.
-	most map[string]int
-	held int
-	// evicted requests, until Tick tells them.
+	records  map[Fingerprint]*record
+	// headCounts is the number of requests with each head.
+	headCounts map[Head]int
+	// candidates are the requests with at least CrashThreshold crashes; only they
+	// are considered for quarantine.
+	candidates map[Fingerprint]bool
+	// maxCrashes is, for each server that crashed under quarantined requests, the
+	// highest crash count among those requests.
+	maxCrashes       map[string]int
+	quarantinedCount int
+	// evicted requests that Tick has not returned yet.
 	evicted []Request
 }
 
-// NewRegistry makes an empty book.
+// NewRegistry returns an empty registry.
 func NewRegistry(settings Settings) *Registry {
-	return &Registry{settings: settings, requests: map[Fingerprint]*record{}, heads: map[Head]int{}, heavy: map[Fingerprint]bool{}}
+	return &Registry{settings: settings, records: map[Fingerprint]*record{}, headCounts: map[Head]int{}, candidates: map[Fingerprint]bool{}}
 }
 
-// Len counts the requests of which something is known.
-func (b *Registry) Len() int { return len(b.requests) }
+// Len returns the number of requests with a record.
+func (r *Registry) Len() int { return len(r.records) }
 
-// QuarantinedCount counts the requests that are held.
-func (b *Registry) QuarantinedCount() int { return b.held }
+// QuarantinedCount returns the number of quarantined requests.
+func (r *Registry) QuarantinedCount() int { return r.quarantinedCount }
 
-// MayContain tells whether anything may be known of a request with this head.
-func (b *Registry) MayContain(head Head) bool { return b.heads[head] > 0 }
+// MayContain reports whether a request with this head may have a record.
+// Different requests may share a head.
+func (r *Registry) MayContain(head Head) bool { return r.headCounts[head] > 0 }
 
-// Contains tells whether the strike was taken in before.
-func (b *Registry) Contains(strike Crash) bool {
-	r := b.requests[strike.Request]
-	return r != nil && r.servers[strike.Server]
+// Contains reports whether the crash is already recorded.
+func (r *Registry) Contains(crash Crash) bool {
+	rec := r.records[crash.Request]
+	return rec != nil && rec.servers[crash.Server]
 }
 
-// CrashCount counts the servers that crashed under a request.
-func (b *Registry) CrashCount(f Fingerprint) int {
-	if r := b.requests[f]; r != nil {
-		return len(r.servers)
+// CrashCount returns the number of servers that crashed under a request.
+func (r *Registry) CrashCount(f Fingerprint) int {
+	if rec := r.records[f]; rec != nil {
+		return len(rec.servers)
 	}
 	return 0
 }
 
-// Add takes in strikes. It returns the requests that are held by them.
-func (b *Registry) Add(now time.Time, strikes []Crash) []Fingerprint {
+// Add records crashes and returns the requests that are newly quarantined.
+func (r *Registry) Add(now time.Time, crashes []Crash) []Fingerprint {
 	changed := false
-	for _, strike := range strikes {
-		r := b.record(strike.Request)
-		if r.servers[strike.Server] {
+	for _, crash := range crashes {
+		rec := r.ensureRecord(crash.Request)
+		if rec.servers[crash.Server] {
 			continue
 		}
-		r.servers[strike.Server] = true
-		r.lastAt = now
-		if len(r.servers) >= b.settings.CrashThreshold {
-			b.heavy[strike.Request] = true
+		rec.servers[crash.Server] = true
+		rec.updatedAt = now
+		if len(rec.servers) >= r.settings.CrashThreshold {
+			r.candidates[crash.Request] = true
 			changed = true
 		}
 	}
-	if b.evict() {
+	if r.evict() {
 		changed = true
 	}
 	if !changed {
 		return nil
 	}
-	return b.judge(now)
+	return r.recompute(now)
 }
 
-// Remove takes back one strike.
-func (b *Registry) Remove(now time.Time, strike Crash) {
-	r := b.requests[strike.Request]
-	if r == nil || !r.servers[strike.Server] {
+// Remove withdraws a crash record.
+func (r *Registry) Remove(now time.Time, crash Crash) {
+	rec := r.records[crash.Request]
+	if rec == nil || !rec.servers[crash.Server] {
 		return
 	}
-	delete(r.servers, strike.Server)
-	if len(r.servers) < b.settings.CrashThreshold {
-		delete(b.heavy, strike.Request)
-		r.held, r.doubtSince = false, time.Time{}
+	delete(rec.servers, crash.Server)
+	if len(rec.servers) < r.settings.CrashThreshold {
+		delete(r.candidates, crash.Request)
+		rec.quarantined, rec.uncertainSince = false, time.Time{}
 	}
-	b.dropEmpty(strike.Request, r)
-	b.judge(now)
+	r.dropIfEmpty(crash.Request, rec)
+	r.recompute(now)
 }
 
-// TrialClaimed takes in that a trial is claimed.
-func (b *Registry) TrialClaimed(now time.Time, f Fingerprint, trial int) {
-	r := b.record(f)
-	if trial > r.trials {
-		r.trials, r.lastAt = trial, now
+// TrialClaimed records that an entry claimed a trial.
+func (r *Registry) TrialClaimed(now time.Time, f Fingerprint, trial int) {
+	rec := r.ensureRecord(f)
+	if trial > rec.trials {
+		rec.trials, rec.updatedAt = trial, now
 	}
 }
 
-// TrialReleased takes in that a claimed trial did not run the request.
-func (b *Registry) TrialReleased(f Fingerprint, trial int) {
-	r := b.requests[f]
-	if r == nil || r.trials != trial {
+// TrialReleased records that a claimed trial was given up without running the request.
+func (r *Registry) TrialReleased(f Fingerprint, trial int) {
+	rec := r.records[f]
+	if rec == nil || rec.trials != trial {
 		return
 	}
-	r.trials--
-	b.dropEmpty(f, r)
+	rec.trials--
+	r.dropIfEmpty(f, rec)
 }
 
-// Clear forgets a request: it ran whole, or an operator frees it. It returns
-// what was known.
-func (b *Registry) Clear(now time.Time, f Fingerprint) (Request, bool) {
-	r := b.requests[f]
-	if r == nil {
+// Clear removes the record of a request, because it completed or an operator
+// released it, and returns the record. It reports false if there was none.
+func (r *Registry) Clear(now time.Time, f Fingerprint) (Request, bool) {
+	rec := r.records[f]
+	if rec == nil {
 		return Request{}, false
 	}
-	known := b.request(f, r)
-	b.drop(f)
-	b.judge(now)
+	known := r.snapshot(f, rec)
+	r.drop(f)
+	r.recompute(now)
 	return known, true
 }
 
-// Verdict tells whether a request may be sent.
-func (b *Registry) Verdict(now time.Time, f Fingerprint) Verdict {
-	r := b.requests[f]
-	if r == nil || !r.held {
+// Verdict returns whether a request may be sent now.
+func (r *Registry) Verdict(now time.Time, f Fingerprint) Verdict {
+	rec := r.records[f]
+	if rec == nil || !rec.quarantined {
 		return Verdict{}
 	}
-	wait := b.trialIn(now, r)
+	wait := r.nextTrialIn(now, rec)
 	if wait > 0 {
 		return Verdict{Quarantined: true, RetryAfter: wait}
 	}
-	return Verdict{Quarantined: true, Trial: r.trials + 1, RetryAfter: trialTurn}
+	return Verdict{Quarantined: true, Trial: rec.trials + 1, RetryAfter: trialSlot}
 }
 
-// trialIn is how long until the next trial, or until the request is forgotten. In
-// doubt the first trial comes with the request's turn: it tells which of those
-// that ran side by side is at fault, and at most one of them is.
-func (b *Registry) trialIn(now time.Time, r *record) time.Duration {
+// nextTrialIn returns the time until the next trial, or until the record expires
+// if no trial is left. The first trial of an uncertain request runs in its slot:
+// at most one of the requests that ran together is at fault, and trials in turn
+// show which.
+func (r *Registry) nextTrialIn(now time.Time, rec *record) time.Duration {
 	switch {
-	case r.trials >= len(b.settings.TrialDelays):
-		return r.lastAt.Add(b.settings.QuarantineTTL).Sub(now)
-	case r.doubtful() && r.trials == 0:
-		return r.turnIn(now)
+	case rec.trials >= len(r.settings.TrialDelays):
+		return rec.updatedAt.Add(r.settings.QuarantineTTL).Sub(now)
+	case rec.uncertain() && rec.trials == 0:
+		return rec.nextSlotIn(now)
 	}
-	return r.lastAt.Add(b.settings.TrialDelays[r.trials]).Sub(now)
+	return rec.updatedAt.Add(r.settings.TrialDelays[rec.trials]).Sub(now)
 }
 
-// turnIn is how long until the request's turn; 0: it has begun just now.
-func (r *record) turnIn(now time.Time) time.Duration {
-	round := time.Duration(r.turns) * trialTurn
-	into := (now.Sub(r.doubtSince) - time.Duration(r.turn)*trialTurn) % round
-	if into < 0 {
-		into += round
+// nextSlotIn returns the time until the next claim window of the request's slot;
+// 0 if the window is open now.
+func (rec *record) nextSlotIn(now time.Time) time.Duration {
+	cycle := time.Duration(rec.slots) * trialSlot
+	elapsed := (now.Sub(rec.uncertainSince) - time.Duration(rec.slot)*trialSlot) % cycle
+	if elapsed < 0 {
+		elapsed += cycle
 	}
-	if float64(into) < claimShare*float64(trialTurn) {
+	if float64(elapsed) < claimWindowShare*float64(trialSlot) {
 		return 0
 	}
-	return round - into
+	return cycle - elapsed
 }
 
-// MayRepeat tells whether a request may be sent again within one attempt, in
-// which it has broken off early at these servers.
-func (b *Registry) MayRepeat(f Fingerprint, broken []string) bool {
-	strikes := 0
-	r := b.requests[f]
-	if r != nil {
-		strikes = b.unexplained(r)
-	}
-	for i, server := range broken {
-		if (r == nil || !r.servers[server]) && !slices.Contains(broken[:i], server) {
-			strikes++
+// MayRepeat reports whether a request may be sent again within one attempt, in
+// which it was interrupted early at the given servers.
+func (r *Registry) MayRepeat(f Fingerprint, interrupted []string) bool {
+	count := 0
+	rec := r.records[f]
+	if rec != nil {
+		count = r.unexplained(rec)
+	}
+	for i, server := range interrupted {
+		if (rec == nil || !rec.servers[server]) && !slices.Contains(interrupted[:i], server) {
+			count++
 		}
 	}
-	return strikes < repeatBelow
+	return count < repeatCrashLimit
 }
 
-// Tick forgets what is too old, and returns it.
-func (b *Registry) Tick(now time.Time) []Request {
-	forgotten := b.evicted
-	b.evicted = nil
-	for f, r := range b.requests {
-		life := b.settings.SuspectTTL
-		if r.held {
-			life = b.settings.QuarantineTTL
+// Tick removes expired records. It returns them, and those evicted since the
+// last call.
+func (r *Registry) Tick(now time.Time) []Request {
+	removed := r.evicted
+	r.evicted = nil
+	for f, rec := range r.records {
+		ttl := r.settings.SuspectTTL
+		if rec.quarantined {
+			ttl = r.settings.QuarantineTTL
 		}
-		if now.Sub(r.lastAt) >= life {
-			forgotten = append(forgotten, b.request(f, r))
-			b.drop(f)
+		if now.Sub(rec.updatedAt) >= ttl {
+			removed = append(removed, r.snapshot(f, rec))
+			r.drop(f)
 		}
 	}
-	if len(forgotten) > 0 {
-		b.judge(now)
+	if len(removed) > 0 {
+		r.recompute(now)
 	}
-	return forgotten
+	return removed
 }
 
-// List returns all that is known, the most strikes first.
-func (b *Registry) List() []Request {
-	list := make([]Request, 0, len(b.requests))
-	all := make([]Fingerprint, 0, len(b.requests))
-	for f := range b.requests {
+// List returns all records, those with the most crashes first.
+func (r *Registry) List() []Request {
+	list := make([]Request, 0, len(r.records))
+	all := make([]Fingerprint, 0, len(r.records))
+	for f := range r.records {
 		all = append(all, f)
 	}
-	b.sortByStrikes(all)
+	r.sortByCrashes(all)
 	for _, f := range all {
-		list = append(list, b.request(f, b.requests[f]))
+		list = append(list, r.snapshot(f, r.records[f]))
 	}
 	return list
 }
 
-func (b *Registry) request(f Fingerprint, r *record) Request {
-	servers := make([]string, 0, len(r.servers))
-	for server := range r.servers {
+func (r *Registry) snapshot(f Fingerprint, rec *record) Request {
+	servers := make([]string, 0, len(rec.servers))
+	for server := range rec.servers {
 		servers = append(servers, server)
 	}
 	slices.Sort(servers)
 	return Request{
-		Fingerprint: f, Servers: servers, Unexplained: b.unexplained(r), Trials: r.trials,
-		Quarantined: r.held, Uncertain: r.doubtful(), LastUpdate: r.lastAt,
+		Fingerprint: f, Servers: servers, Unexplained: r.unexplained(rec), Trials: rec.trials,
+		Quarantined: rec.quarantined, Uncertain: rec.uncertain(), LastUpdate: rec.updatedAt,
 	}
 }
 
-func (b *Registry) record(f Fingerprint) *record {
-	r := b.requests[f]
-	if r == nil {
-		r = &record{servers: map[string]bool{}}
-		b.requests[f] = r
-		b.heads[f.Head()]++
+func (r *Registry) ensureRecord(f Fingerprint) *record {
+	rec := r.records[f]
+	if rec == nil {
+		rec = &record{servers: map[string]bool{}}
+		r.records[f] = rec
+		r.headCounts[f.Head()]++
 	}
-	return r
+	return rec
 }
 
-func (b *Registry) dropEmpty(f Fingerprint, r *record) {
-	if len(r.servers) == 0 && r.trials == 0 {
-		b.drop(f)
+func (r *Registry) dropIfEmpty(f Fingerprint, rec *record) {
+	if len(rec.servers) == 0 && rec.trials == 0 {
+		r.drop(f)
 	}
 }
 
-func (b *Registry) drop(f Fingerprint) {
-	delete(b.requests, f)
-	delete(b.heavy, f)
-	if b.heads[f.Head()]--; b.heads[f.Head()] == 0 {
-		delete(b.heads, f.Head())
+func (r *Registry) drop(f Fingerprint) {
+	delete(r.records, f)
+	delete(r.candidates, f)
+	if r.headCounts[f.Head()]--; r.headCounts[f.Head()] == 0 {
+		delete(r.headCounts, f.Head())
 	}
 }
 
-// evictShare of a full book is given up at once.
-const evictShare = 8
+// evictDivisor sets the share of a full registry that is evicted at once: one part in this many.
+const evictDivisor = 8
 
-// evict makes room: those that are not held go first, the oldest news first.
-// False: there was room.
-func (b *Registry) evict() bool {
-	if len(b.requests) <= b.settings.MaxRequests {
+// evict removes records when there are too many: requests that are not
+// quarantined first, the least recently updated first. It reports whether any
+// were removed.
+func (r *Registry) evict() bool {
+	if len(r.records) <= r.settings.MaxRequests {
 		return false
 	}
-	order := make([]Fingerprint, 0, len(b.requests))
-	for f := range b.requests {
+	order := make([]Fingerprint, 0, len(r.records))
+	for f := range r.records {
 		order = append(order, f)
 	}
-	slices.SortFunc(order, func(x, y Fingerprint) int { return b.requests[x].evictedBefore(b.requests[y]) })
-	keep := b.settings.MaxRequests - b.settings.MaxRequests/evictShare
+	slices.SortFunc(order, func(x, y Fingerprint) int { return r.records[x].compareEviction(r.records[y]) })
+	keep := r.settings.MaxRequests - r.settings.MaxRequests/evictDivisor
 	for _, f := range order[:len(order)-keep] {
-		b.evicted = append(b.evicted, b.request(f, b.requests[f]))
-		b.drop(f)
+		r.evicted = append(r.evicted, r.snapshot(f, r.records[f]))
+		r.drop(f)
 	}
 	return true
 }
 
-func (r *record) evictedBefore(other *record) int {
+func (rec *record) compareEviction(other *record) int {
 	switch {
-	case r.held && !other.held:
+	case rec.quarantined && !other.quarantined:
 		return 1
-	case !r.held && other.held:
+	case !rec.quarantined && other.quarantined:
 		return -1
 	}
-	return r.lastAt.Compare(other.lastAt)
+	return rec.updatedAt.Compare(other.updatedAt)
 }
 
-func (b *Registry) sortByStrikes(order []Fingerprint) {
+func (r *Registry) sortByCrashes(order []Fingerprint) {
 	slices.SortFunc(order, func(x, y Fingerprint) int {
-		if more := len(b.requests[y].servers) - len(b.requests[x].servers); more != 0 {
+		if more := len(r.records[y].servers) - len(r.records[x].servers); more != 0 {
 			return more
 		}
 		return bytes.Compare(x[:], y[:])
 	})
 }
 
-// unexplained counts the crashes that no held request with more strikes accounts for.
-func (b *Registry) unexplained(r *record) int {
+// unexplained counts the crashes at which no quarantined request with more
+// crashes was running.
+func (r *Registry) unexplained(rec *record) int {
 	n := 0
-	for server := range r.servers {
-		if b.most[server] <= len(r.servers) {
+	for server := range rec.servers {
+		if r.maxCrashes[server] <= len(rec.servers) {
 			n++
 		}
 	}
 	return n
 }
 
-// judge works out who is held, from the strikes alone: all entries that know the
-// same strikes hold the same requests. A crash under a held request counts for
-// no other with fewer strikes. It returns those that were not held before.
-func (b *Registry) judge(now time.Time) []Fingerprint {
-	order := make([]Fingerprint, 0, len(b.heavy))
-	for f := range b.heavy {
+// recompute derives the quarantined requests from the crash records alone, so that
+// entries with the same records quarantine the same requests. A crash under a
+// quarantined request does not count against requests with fewer crashes. It
+// returns the newly quarantined requests.
+func (r *Registry) recompute(now time.Time) []Fingerprint {
+	order := make([]Fingerprint, 0, len(r.candidates))
+	for f := range r.candidates {
 		order = append(order, f)
 	}
-	b.sortByStrikes(order)
-	b.most = map[string]int{}
-	heldAt := map[string][]Fingerprint{}
-	var held, fresh []Fingerprint
+	r.sortByCrashes(order)
+	r.maxCrashes = map[string]int{}
+	atServer := map[string][]Fingerprint{}
+	var quarantined, added []Fingerprint
 	for _, f := range order {
-		r := b.requests[f]
-		was := r.held
-		r.held = b.unexplained(r) >= b.settings.CrashThreshold
-		if !r.held {
-			r.doubtSince = time.Time{}
+		rec := r.records[f]
+		before := rec.quarantined
+		rec.quarantined = r.unexplained(rec) >= r.settings.CrashThreshold
+		if !rec.quarantined {
+			rec.uncertainSince = time.Time{}
 			continue
 		}
-		held = append(held, f)
-		for server := range r.servers {
-			b.most[server] = max(b.most[server], len(r.servers))
-			heldAt[server] = append(heldAt[server], f)
+		quarantined = append(quarantined, f)
+		for server := range rec.servers {
+			r.maxCrashes[server] = max(r.maxCrashes[server], len(rec.servers))
+			atServer[server] = append(atServer[server], f)
 		}
-		if !was {
-			fresh = append(fresh, f)
+		if !before {
+			added = append(added, f)
 		}
 	}
-	b.held = len(held)
-	for _, f := range held {
-		b.requests[f].weighDoubt(now, f, heldAt)
+	r.quarantinedCount = len(quarantined)
+	for _, f := range quarantined {
+		r.records[f].updateUncertainty(now, f, atServer)
 	}
-	return fresh
+	return added
 }
 
-// weighDoubt finds out whether another held request was there at each crash, and
-// gives those in doubt their turns.
-func (r *record) weighDoubt(now time.Time, f Fingerprint, heldAt map[string][]Fingerprint) {
-	beside := map[Fingerprint]bool{}
-	for server := range r.servers {
-		if len(heldAt[server]) < 2 {
-			r.doubtSince = time.Time{}
+// updateUncertainty determines whether another quarantined request was running at
+// each crash, and if so, assigns the request its trial slot.
+func (rec *record) updateUncertainty(now time.Time, f Fingerprint, atServer map[string][]Fingerprint) {
+	concurrent := map[Fingerprint]bool{}
+	for server := range rec.servers {
+		if len(atServer[server]) < 2 {
+			rec.uncertainSince = time.Time{}
 			return
 		}
-		for _, other := range heldAt[server] {
-			beside[other] = true
+		for _, other := range atServer[server] {
+			concurrent[other] = true
 		}
 	}
-	if r.doubtSince.IsZero() {
-		r.doubtSince = now
+	if rec.uncertainSince.IsZero() {
+		rec.uncertainSince = now
 	}
-	r.turn, r.turns = 0, len(beside)
-	for other := range beside {
+	rec.slot, rec.slots = 0, len(concurrent)
+	for other := range concurrent {
 		if bytes.Compare(other[:], f[:]) < 0 {
-			r.turn++
+			rec.slot++
 		}
 	}
 }
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -18,7 +18,7 @@
 	return (&Identity{Target: fmt.Sprint(n)}).Fingerprint()
 }
 
-func strikes(f Fingerprint, servers ...string) []Crash {
+func crashes(f Fingerprint, servers ...string) []Crash {
 	var all []Crash
 	for _, server := range servers {
 		all = append(all, Crash{Request: f, Server: server})
@@ -26,226 +26,226 @@
 	return all
 }
 
-func TestARequestUnderWhichThreeServersCrashedIsHeld(t *testing.T) {
-	b := NewRegistry(DefaultSettings())
-	assert.Empty(t, b.Add(begin, strikes(fp(1), "a", "b", "b", "a")))
-	assert.False(t, b.Verdict(begin, fp(1)).Quarantined)
-	assert.Equal(t, []Fingerprint{fp(1)}, b.Add(begin, strikes(fp(1), "c")))
-	assert.True(t, b.Verdict(begin, fp(1)).Quarantined)
-	assert.False(t, b.Verdict(begin, fp(2)).Quarantined)
-	assert.Equal(t, 1, b.QuarantinedCount())
-	assert.Empty(t, b.Add(begin, strikes(fp(1), "d")), "held before")
+func TestARequestThatCrashedThreeServersIsQuarantined(t *testing.T) {
+	registry := NewRegistry(DefaultSettings())
+	assert.Empty(t, registry.Add(begin, crashes(fp(1), "a", "b", "b", "a")))
+	assert.False(t, registry.Verdict(begin, fp(1)).Quarantined)
+	assert.Equal(t, []Fingerprint{fp(1)}, registry.Add(begin, crashes(fp(1), "c")))
+	assert.True(t, registry.Verdict(begin, fp(1)).Quarantined)
+	assert.False(t, registry.Verdict(begin, fp(2)).Quarantined)
+	assert.Equal(t, 1, registry.QuarantinedCount())
+	assert.Empty(t, registry.Add(begin, crashes(fp(1), "d")), "it was quarantined before")
 }
 
-// Guards against bystanders that are held because the same servers crashed under them.
-func TestACrashCountsOnceForTheRequestThatAccountsForMost(t *testing.T) {
-	b := NewRegistry(DefaultSettings())
-	culprit, bystander := fp(1), fp(2)
-	b.Add(begin, strikes(culprit, "a", "b", "c"))
-	b.Add(begin, strikes(bystander, "a", "b"))
-	b.Add(begin, strikes(culprit, "d"))
-	b.Add(begin, strikes(bystander, "c"))
-	assert.True(t, b.Verdict(begin, culprit).Quarantined)
-	assert.False(t, b.Verdict(begin, bystander).Quarantined)
-	assert.True(t, b.MayRepeat(bystander, []string{"e"}), "its crashes are accounted for")
-	b.Add(begin, strikes(bystander, "f", "g", "h"))
-	assert.True(t, b.Verdict(begin, bystander).Quarantined, "three crashes without the other")
+// Guards against quarantining a request because it ran next to the faulty one.
+func TestACrashCountsOnlyForTheRequestWithMostCrashes(t *testing.T) {
+	registry := NewRegistry(DefaultSettings())
+	faulty, harmless := fp(1), fp(2)
+	registry.Add(begin, crashes(faulty, "a", "b", "c"))
+	registry.Add(begin, crashes(harmless, "a", "b"))
+	registry.Add(begin, crashes(faulty, "d"))
+	registry.Add(begin, crashes(harmless, "c"))
+	assert.True(t, registry.Verdict(begin, faulty).Quarantined)
+	assert.False(t, registry.Verdict(begin, harmless).Quarantined)
+	assert.True(t, registry.MayRepeat(harmless, []string{"e"}), "the other request accounts for its crashes")
+	registry.Add(begin, crashes(harmless, "f", "g", "h"))
+	assert.True(t, registry.Verdict(begin, harmless).Quarantined, "three crashes at which the other request was not running")
 }
 
-// Guards against a bystander that pays for good because it ran beside the
-// request at fault each time.
-func TestInDoubtATrialTellsWhoIsAtFault(t *testing.T) {
-	b := NewRegistry(DefaultSettings())
-	culprit, bystander := fp(1), fp(2)
-	b.Add(begin, append(strikes(culprit, "a", "b", "c"), strikes(bystander, "a", "b", "c")...))
-	first, second := culprit, bystander
-	if b.Verdict(begin, first).Trial == 0 {
-		first, second = bystander, culprit
+// Guards against a harmless request that stays quarantined because it ran next
+// to the faulty one at each crash.
+func TestATrialShowsWhichUncertainRequestIsAtFault(t *testing.T) {
+	registry := NewRegistry(DefaultSettings())
+	faulty, harmless := fp(1), fp(2)
+	registry.Add(begin, append(crashes(faulty, "a", "b", "c"), crashes(harmless, "a", "b", "c")...))
+	first, second := faulty, harmless
+	if registry.Verdict(begin, first).Trial == 0 {
+		first, second = harmless, faulty
 	}
-	assert.Equal(t, 1, b.Verdict(begin, first).Trial)
-	assert.Zero(t, b.Verdict(begin, second).Trial, "not at once")
-	assert.Equal(t, trialTurn, b.Verdict(begin, second).RetryAfter)
-	late := begin.Add(trialTurn * 7 / 10)
-	assert.Zero(t, b.Verdict(late, first).Trial+b.Verdict(late, second).Trial, "too late in the turn")
-	next := begin.Add(trialTurn)
-	assert.Equal(t, 1, b.Verdict(next, second).Trial)
-	assert.Zero(t, b.Verdict(next, first).Trial)
-	b.TrialClaimed(begin, culprit, 1)
-	assert.Zero(t, b.Verdict(begin, culprit).Trial, "one trial")
-	b.Add(after(time.Second), strikes(culprit, "d"))
-	assert.False(t, b.Verdict(after(time.Second), bystander).Quarantined, "the other accounts for all three")
-	assert.True(t, b.Verdict(after(time.Second), culprit).Quarantined)
-	assert.Zero(t, b.Verdict(after(time.Second), culprit).Trial)
+	assert.Equal(t, 1, registry.Verdict(begin, first).Trial)
+	assert.Zero(t, registry.Verdict(begin, second).Trial, "trials must not run concurrently")
+	assert.Equal(t, trialSlot, registry.Verdict(begin, second).RetryAfter)
+	late := begin.Add(trialSlot * 7 / 10)
+	assert.Zero(t, registry.Verdict(late, first).Trial+registry.Verdict(late, second).Trial, "past the claim window of the slot")
+	next := begin.Add(trialSlot)
+	assert.Equal(t, 1, registry.Verdict(next, second).Trial)
+	assert.Zero(t, registry.Verdict(next, first).Trial)
+	registry.TrialClaimed(begin, faulty, 1)
+	assert.Zero(t, registry.Verdict(begin, faulty).Trial, "the trial is already claimed")
+	registry.Add(after(time.Second), crashes(faulty, "d"))
+	assert.False(t, registry.Verdict(after(time.Second), harmless).Quarantined, "the other request accounts for all three crashes")
+	assert.True(t, registry.Verdict(after(time.Second), faulty).Quarantined)
+	assert.Zero(t, registry.Verdict(after(time.Second), faulty).Trial)
 }
 
-func TestWhoRanWholeInDoubtLeavesTheOtherHeld(t *testing.T) {
-	b := NewRegistry(DefaultSettings())
-	culprit, bystander := fp(1), fp(2)
-	b.Add(begin, append(strikes(culprit, "a", "b", "c"), strikes(bystander, "a", "b", "c")...))
-	b.Clear(after(time.Second), bystander)
-	v := b.Verdict(after(time.Second), culprit)
+func TestWhenOneUncertainRequestCompletesTheOtherStaysQuarantined(t *testing.T) {
+	registry := NewRegistry(DefaultSettings())
+	faulty, harmless := fp(1), fp(2)
+	registry.Add(begin, append(crashes(faulty, "a", "b", "c"), crashes(harmless, "a", "b", "c")...))
+	registry.Clear(after(time.Second), harmless)
+	v := registry.Verdict(after(time.Second), faulty)
 	assert.True(t, v.Quarantined)
-	assert.Zero(t, v.Trial, "no doubt is left")
+	assert.Zero(t, v.Trial, "it is no longer uncertain and waits for the regular trial")
 }
 
-func TestARequestThatRanWholeIsForgotten(t *testing.T) {
-	b := NewRegistry(DefaultSettings())
-	b.Add(begin, strikes(fp(1), "a", "b", "c"))
-	known, ok := b.Clear(begin, fp(1))
+func TestACompletedRequestIsRemoved(t *testing.T) {
+	registry := NewRegistry(DefaultSettings())
+	registry.Add(begin, crashes(fp(1), "a", "b", "c"))
+	known, ok := registry.Clear(begin, fp(1))
 	require.True(t, ok)
 	assert.Equal(t, []string{"a", "b", "c"}, known.Servers)
-	assert.False(t, b.Verdict(begin, fp(1)).Quarantined)
-	assert.False(t, b.MayContain(fp(1).Head()))
-	assert.Zero(t, b.QuarantinedCount())
-	_, ok = b.Clear(begin, fp(1))
+	assert.False(t, registry.Verdict(begin, fp(1)).Quarantined)
+	assert.False(t, registry.MayContain(fp(1).Head()))
+	assert.Zero(t, registry.QuarantinedCount())
+	_, ok = registry.Clear(begin, fp(1))
 	assert.False(t, ok)
 }
 
-// Guards against more than three servers that a request ends after it is held.
-func TestTrialsOfAHeldRequestAreFew(t *testing.T) {
+// Guards against a quarantined request that crashes more servers than its trials allow.
+func TestTrialsOfAQuarantinedRequestAreLimited(t *testing.T) {
 	settings := DefaultSettings()
-	b := NewRegistry(settings)
-	b.Add(begin, strikes(fp(1), "a", "b", "c"))
+	registry := NewRegistry(settings)
+	registry.Add(begin, crashes(fp(1), "a", "b", "c"))
 	ran := 0
 	for d := time.Duration(0); d < settings.QuarantineTTL; d += time.Second {
-		v := b.Verdict(after(d), fp(1))
+		v := registry.Verdict(after(d), fp(1))
 		require.True(t, v.Quarantined)
 		require.Positive(t, v.RetryAfter)
 		if v.Trial > 0 {
 			ran++
-			b.TrialClaimed(after(d), fp(1), v.Trial)
-			b.Add(after(d), strikes(fp(1), fmt.Sprint("trial", v.Trial)))
+			registry.TrialClaimed(after(d), fp(1), v.Trial)
+			registry.Add(after(d), crashes(fp(1), fmt.Sprint("trial", v.Trial)))
 		}
-		b.Tick(after(d))
+		registry.Tick(after(d))
 	}
 	assert.Equal(t, len(settings.TrialDelays), ran)
 	assert.Less(t, ran, 3)
 }
 
-func TestATrialThatDidNotRunIsGivenBack(t *testing.T) {
-	b := NewRegistry(DefaultSettings())
-	b.Add(begin, strikes(fp(1), "a", "b", "c"))
+func TestAReleasedTrialMayBeClaimedAgain(t *testing.T) {
+	registry := NewRegistry(DefaultSettings())
+	registry.Add(begin, crashes(fp(1), "a", "b", "c"))
 	due := after(5 * time.Minute)
-	require.Equal(t, 1, b.Verdict(due, fp(1)).Trial)
-	b.TrialClaimed(due, fp(1), 1)
-	require.Zero(t, b.Verdict(due, fp(1)).Trial)
-	b.TrialReleased(fp(1), 1)
-	assert.Equal(t, 1, b.Verdict(due.Add(5*time.Minute), fp(1)).Trial)
-	b.TrialReleased(fp(1), 2)
-	assert.Equal(t, 1, b.Verdict(due.Add(5*time.Minute), fp(1)).Trial)
+	require.Equal(t, 1, registry.Verdict(due, fp(1)).Trial)
+	registry.TrialClaimed(due, fp(1), 1)
+	require.Zero(t, registry.Verdict(due, fp(1)).Trial)
+	registry.TrialReleased(fp(1), 1)
+	assert.Equal(t, 1, registry.Verdict(due.Add(5*time.Minute), fp(1)).Trial)
+	registry.TrialReleased(fp(1), 2)
+	assert.Equal(t, 1, registry.Verdict(due.Add(5*time.Minute), fp(1)).Trial)
 }
 
-// Guards against a third server that the system's own repeat ends.
-func TestASuspectIsNotSentTwiceInOneAttempt(t *testing.T) {
-	b := NewRegistry(DefaultSettings())
-	assert.True(t, b.MayRepeat(fp(1), []string{"a"}), "the first crash may be another's")
-	assert.False(t, b.MayRepeat(fp(1), []string{"a", "b"}))
-	assert.True(t, b.MayRepeat(fp(1), []string{"a", "a"}))
-	b.Add(begin, strikes(fp(1), "a"))
-	assert.True(t, b.MayRepeat(fp(1), []string{"a"}), "the same crash")
-	assert.False(t, b.MayRepeat(fp(1), []string{"b"}))
+// Guards against a repeat within one attempt that crashes a third server.
+func TestASuspectIsNotRepeatedWithinOneAttempt(t *testing.T) {
+	registry := NewRegistry(DefaultSettings())
+	assert.True(t, registry.MayRepeat(fp(1), []string{"a"}), "the first crash may be due to another request")
+	assert.False(t, registry.MayRepeat(fp(1), []string{"a", "b"}))
+	assert.True(t, registry.MayRepeat(fp(1), []string{"a", "a"}))
+	registry.Add(begin, crashes(fp(1), "a"))
+	assert.True(t, registry.MayRepeat(fp(1), []string{"a"}), "the crash is already recorded")
+	assert.False(t, registry.MayRepeat(fp(1), []string{"b"}))
 }
 
-// Guards against entries that hold different requests: words come in any order,
-// twice, and are taken back.
-func TestTheOrderOfWordsChangesNothing(t *testing.T) {
-	var words []Crash
+// Guards against entries that quarantine different requests because crash records
+// arrive in different orders, arrive twice or are withdrawn.
+func TestTheOrderOfCrashRecordsHasNoEffect(t *testing.T) {
+	var records []Crash
 	for i, servers := range [][]string{{"a", "b", "c", "d"}, {"a", "b", "c"}, {"b", "c", "e"}, {"x"}, {"x", "y", "z"}, {"x", "y", "z"}} {
-		words = append(words, strikes(fp(i), servers...)...)
+		records = append(records, crashes(fp(i), servers...)...)
 	}
 	want := NewRegistry(DefaultSettings())
-	want.Add(begin, words)
+	want.Add(begin, records)
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		b := NewRegistry(DefaultSettings())
-		order := append(append([]Crash{}, words...), words[:5]...)
+		registry := NewRegistry(DefaultSettings())
+		order := append(append([]Crash{}, records...), records[:5]...)
 		r.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-		for _, one := range order {
-			b.Add(begin, []Crash{one})
+		for _, crash := range order {
+			registry.Add(begin, []Crash{crash})
 			if r.IntN(4) == 0 {
-				b.Remove(begin, one)
-				b.Add(begin, []Crash{one})
+				registry.Remove(begin, crash)
+				registry.Add(begin, []Crash{crash})
 			}
 		}
-		assert.Equal(t, want.List(), b.List(), "seed %d", seed)
+		assert.Equal(t, want.List(), registry.List(), "seed %d", seed)
 	}
 }
 
-func TestWhatIsOldIsForgotten(t *testing.T) {
+func TestExpiredRecordsAreRemoved(t *testing.T) {
 	settings := DefaultSettings()
-	b := NewRegistry(settings)
-	b.Add(begin, strikes(fp(1), "a"))
-	b.Add(begin, strikes(fp(2), "x", "y", "z"))
-	assert.Empty(t, b.Tick(after(settings.SuspectTTL-1)))
-	gone := b.Tick(after(settings.SuspectTTL))
-	require.Len(t, gone, 1)
-	assert.Equal(t, fp(1), gone[0].Fingerprint)
-	assert.True(t, b.Verdict(after(settings.SuspectTTL), fp(2)).Quarantined)
-	assert.Len(t, b.Tick(after(settings.QuarantineTTL)), 1)
-	assert.Zero(t, b.Len())
+	registry := NewRegistry(settings)
+	registry.Add(begin, crashes(fp(1), "a"))
+	registry.Add(begin, crashes(fp(2), "x", "y", "z"))
+	assert.Empty(t, registry.Tick(after(settings.SuspectTTL-1)))
+	removed := registry.Tick(after(settings.SuspectTTL))
+	require.Len(t, removed, 1)
+	assert.Equal(t, fp(1), removed[0].Fingerprint)
+	assert.True(t, registry.Verdict(after(settings.SuspectTTL), fp(2)).Quarantined)
+	assert.Len(t, registry.Tick(after(settings.QuarantineTTL)), 1)
+	assert.Zero(t, registry.Len())
 }
 
-func TestAFullBookKeepsWhatIsHeld(t *testing.T) {
+func TestAFullRegistryKeepsQuarantinedRequests(t *testing.T) {
 	settings := DefaultSettings()
 	settings.MaxRequests = 10
-	b := NewRegistry(settings)
-	b.Add(begin, strikes(fp(0), "a", "b", "c"))
+	registry := NewRegistry(settings)
+	registry.Add(begin, crashes(fp(0), "a", "b", "c"))
 	for i := 1; i <= 20; i++ {
-		b.Add(after(time.Duration(i)*time.Second), strikes(fp(i), fmt.Sprint("s", i)))
+		registry.Add(after(time.Duration(i)*time.Second), crashes(fp(i), fmt.Sprint("s", i)))
 	}
-	assert.LessOrEqual(t, b.Len(), 10)
-	assert.True(t, b.Verdict(after(time.Minute), fp(0)).Quarantined)
-	assert.Equal(t, 1, b.CrashCount(fp(20)))
-	assert.Equal(t, 21, b.Len()+len(b.Tick(after(time.Minute))), "the evicted are told")
+	assert.LessOrEqual(t, registry.Len(), 10)
+	assert.True(t, registry.Verdict(after(time.Minute), fp(0)).Quarantined)
+	assert.Equal(t, 1, registry.CrashCount(fp(20)))
+	assert.Equal(t, 21, registry.Len()+len(registry.Tick(after(time.Minute))), "Tick returns the evicted requests")
 }
 
-func TestOnlyACrashMakesAStrike(t *testing.T) {
-	b := NewInterruptions()
-	assert.False(t, b.Add(begin, Crash{fp(1), "a"}))
-	assert.False(t, b.Add(begin, Crash{fp(2), "a"}))
-	assert.False(t, b.Add(begin, Crash{fp(3), "b"}))
-	assert.Len(t, b.ServerCrashed(after(time.Second), "a"), 2)
-	assert.Empty(t, b.ServerCrashed(after(time.Second), "a"), "once")
-	assert.True(t, b.Add(after(2*time.Second), Crash{fp(4), "a"}), "the proof came first")
-	b.ServerDrained("b")
-	assert.Empty(t, b.ServerCrashed(after(time.Second), "b"), "it left as planned")
-	b.Add(begin, Crash{fp(5), "c"})
-	b.ServerListening(begin, "c")
-	b.Tick(after(aliveWait))
-	assert.Empty(t, b.ServerCrashed(after(2*time.Second), "c"), "it listened; the crash is another matter")
-	b.Add(begin, Crash{fp(7), "e"})
-	assert.True(t, b.MayContain(fp(7).Head()))
-	b.Completed(fp(7))
-	assert.False(t, b.MayContain(fp(7).Head()))
-	assert.Empty(t, b.ServerCrashed(after(time.Second), "e"), "it ran whole since")
-	b.Add(begin, Crash{fp(6), "d"})
-	b.Tick(after(proofWait))
-	assert.Empty(t, b.ServerCrashed(after(proofWait), "d"))
-	assert.Zero(t, b.Len())
+func TestOnlyAProvenCrashIsRecorded(t *testing.T) {
+	interruptions := NewInterruptions()
+	assert.False(t, interruptions.Add(begin, Crash{fp(1), "a"}))
+	assert.False(t, interruptions.Add(begin, Crash{fp(2), "a"}))
+	assert.False(t, interruptions.Add(begin, Crash{fp(3), "b"}))
+	assert.Len(t, interruptions.ServerCrashed(after(time.Second), "a"), 2)
+	assert.Empty(t, interruptions.ServerCrashed(after(time.Second), "a"), "each run is returned once")
+	assert.True(t, interruptions.Add(after(2*time.Second), Crash{fp(4), "a"}), "the server is already known to have crashed")
+	interruptions.ServerDrained("b")
+	assert.Empty(t, interruptions.ServerCrashed(after(time.Second), "b"), "it ended as planned")
+	interruptions.Add(begin, Crash{fp(5), "c"})
+	interruptions.ServerListening(begin, "c")
+	interruptions.Tick(after(listeningTimeout))
+	assert.Empty(t, interruptions.ServerCrashed(after(2*time.Second), "c"), "it listened after the interruption, so the later crash is unrelated")
+	interruptions.Add(begin, Crash{fp(7), "e"})
+	assert.True(t, interruptions.MayContain(fp(7).Head()))
+	interruptions.Completed(fp(7))
+	assert.False(t, interruptions.MayContain(fp(7).Head()))
+	assert.Empty(t, interruptions.ServerCrashed(after(time.Second), "e"), "the request completed since")
+	interruptions.Add(begin, Crash{fp(6), "d"})
+	interruptions.Tick(after(proofTimeout))
+	assert.Empty(t, interruptions.ServerCrashed(after(proofTimeout), "d"))
+	assert.Zero(t, interruptions.Len())
 }
 
-// BenchmarkJudge is one more strike in a full book.
-func BenchmarkJudge(b *testing.B) {
+// BenchmarkRecompute measures adding and removing one crash record in a full registry.
+func BenchmarkRecompute(b *testing.B) {
 	settings := DefaultSettings()
-	book := NewRegistry(settings)
+	registry := NewRegistry(settings)
 	var all []Crash
 	for n := range settings.MaxRequests {
-		all = append(all, strikes(fp(n), fmt.Sprint("s", n%100), fmt.Sprint("t", n%90))...)
+		all = append(all, crashes(fp(n), fmt.Sprint("s", n%100), fmt.Sprint("t", n%90))...)
 	}
 	for n := range 20 {
-		all = append(all, strikes(fp(n), "a", "b", fmt.Sprint("c", n))...)
+		all = append(all, crashes(fp(n), "a", "b", fmt.Sprint("c", n))...)
 	}
-	book.Add(begin, all)
+	registry.Add(begin, all)
 	n := 0
 	for b.Loop() {
 		n++
-		book.Add(begin, strikes(fp(0), fmt.Sprint("u", n%2000)))
-		book.Remove(begin, Crash{fp(0), fmt.Sprint("u", n%2000)})
+		registry.Add(begin, crashes(fp(0), fmt.Sprint("u", n%2000)))
+		registry.Remove(begin, Crash{fp(0), fmt.Sprint("u", n%2000)})
 	}
 }
 
-// BenchmarkFingerprint is the look at a request while something is suspected,
-// and the whole hash of one with a long body.
+// BenchmarkFingerprint measures the head, computed while any request has a
+// record, and the full fingerprint of a request with a long body.
 func BenchmarkFingerprint(b *testing.B) {
 	identity := Identity{Caller: "w1", Host: "a.example", Method: "POST", Target: "/classify/1", Body: make([]byte, 50_000)}
 	b.Run("head", func(b *testing.B) {
@@ -253,7 +253,7 @@
 			_ = identity.Head()
 		}
 	})
-	b.Run("whole", func(b *testing.B) {
+	b.Run("full", func(b *testing.B) {
 		for b.Loop() {
 			_ = identity.Fingerprint()
 		}
--- a/internal/quarantine/breaks.go
+++ b/internal/quarantine/breaks.go
@@ -3,133 +3,138 @@
 import "time"
 
 const (
-	// proofWait is how long after a run broke off the proof that its server
-	// crashed may come: the list of servers shows it after some missed heartbeats.
-	proofWait = 10 * time.Second
-	// aliveWait is the same once the server was found to listen: it may have been
-	// asked in the moment of its end.
-	aliveWait = time.Second
-	// maxBroken runs wait for a proof.
-	maxBroken = 8192
+	// proofTimeout is how long after an interrupted run the proof that its server
+	// crashed may arrive: the server list shows a crash after several missed
+	// heartbeats.
+	proofTimeout = 10 * time.Second
+	// listeningTimeout replaces proofTimeout once the server was found to listen:
+	// it may have been probed just before its process ended.
+	listeningTimeout = time.Second
+	// maxInterrupted limits the number of interrupted runs that await proof.
+	maxInterrupted = 8192
 )
 
-// earlyTime after its first event a run has just begun: a server that a request
-// crashes does so while it reads the prompt or makes the first tokens.
-const earlyTime = time.Second
+// earlyPeriod is the time after a run's first event in which the run counts as
+// just begun. A request that crashes its server does so during the prefill or
+// the first tokens.
+const earlyPeriod = time.Second
 
-// JustBegun tells whether a run had just begun when it broke off. firstAt is when
-// its first event came; zero: none did.
+// JustBegun reports whether a run that was interrupted at now had just begun.
+// firstAt is the time of its first event; zero if there was none.
 func JustBegun(now, firstAt time.Time) bool {
-	return firstAt.IsZero() || now.Sub(firstAt) < earlyTime
+	return firstAt.IsZero() || now.Sub(firstAt) < earlyPeriod
 }
 
-// Interruptions holds runs that broke off early until it is known whether their
-// servers crashed: a stream is cut by much else.
+// Interruptions holds runs that were interrupted early until it is known whether
+// their servers crashed; a stream can be cut for many other reasons.
 type Interruptions struct {
-	// waiting are the requests by the lifetime, with when they are given up.
-	waiting map[string]map[Fingerprint]time.Time
-	// heads counts the runs that wait, by the heads of their requests.
-	heads map[Head]int
-	count int
-	// crashed lifetimes, with when that is forgotten: an entry may hear of a crash
-	// before its own run there breaks off.
+	// pending maps server incarnations to their interrupted requests and when each expires.
+	pending map[string]map[Fingerprint]time.Time
+	// headCounts is the number of pending runs with each request head.
+	headCounts map[Head]int
+	count      int
+	// crashed maps crashed incarnations to the time at which that is forgotten. An
+	// entry may learn of a crash before its own run there is interrupted.
 	crashed map[string]time.Time
 }
 
-// NewInterruptions makes an empty one.
+// NewInterruptions returns an empty set.
 func NewInterruptions() *Interruptions {
-	return &Interruptions{waiting: map[string]map[Fingerprint]time.Time{}, heads: map[Head]int{}, crashed: map[string]time.Time{}}
+	return &Interruptions{pending: map[string]map[Fingerprint]time.Time{}, headCounts: map[Head]int{}, crashed: map[string]time.Time{}}
 }
 
-// Add takes in that a run broke off early. True: its server is known to have crashed.
-func (b *Interruptions) Add(now time.Time, run Crash) bool {
-	if _, ok := b.crashed[run.Server]; ok {
+// Add records that a run was interrupted early. It reports whether the server is
+// already known to have crashed; the run is then not kept.
+func (n *Interruptions) Add(now time.Time, run Crash) bool {
+	if _, ok := n.crashed[run.Server]; ok {
 		return true
 	}
-	if b.count >= maxBroken {
+	if n.count >= maxInterrupted {
 		return false
 	}
-	at := b.waiting[run.Server]
-	if at == nil {
-		at = map[Fingerprint]time.Time{}
-		b.waiting[run.Server] = at
+	requests := n.pending[run.Server]
+	if requests == nil {
+		requests = map[Fingerprint]time.Time{}
+		n.pending[run.Server] = requests
 	}
-	if _, ok := at[run.Request]; !ok {
-		b.count++
-		b.heads[run.Request.Head()]++
+	if _, ok := requests[run.Request]; !ok {
+		n.count++
+		n.headCounts[run.Request.Head()]++
 	}
-	at[run.Request] = now.Add(proofWait)
+	requests[run.Request] = now.Add(proofTimeout)
 	return false
 }
 
-// ServerCrashed takes in the proof that a lifetime crashed and returns its strikes.
-func (b *Interruptions) ServerCrashed(now time.Time, server string) []Crash {
-	b.crashed[server] = now.Add(proofWait)
-	var strikes []Crash
-	for request := range b.waiting[server] {
-		strikes = append(strikes, Crash{Request: request, Server: server})
+// ServerCrashed records the proof that an incarnation crashed and returns the
+// crash records of its pending runs.
+func (n *Interruptions) ServerCrashed(now time.Time, server string) []Crash {
+	n.crashed[server] = now.Add(proofTimeout)
+	var crashes []Crash
+	for request := range n.pending[server] {
+		crashes = append(crashes, Crash{Request: request, Server: server})
 	}
-	b.forget(server)
-	return strikes
+	n.dropServer(server)
+	return crashes
 }
 
-// Len counts the runs that wait for a proof.
-func (b *Interruptions) Len() int { return b.count }
+// Len returns the number of pending runs.
+func (n *Interruptions) Len() int { return n.count }
 
-// MayContain tells whether a run of a request with this head may wait.
-func (b *Interruptions) MayContain(head Head) bool { return b.heads[head] > 0 }
+// MayContain reports whether a run of a request with this head may be pending.
+func (n *Interruptions) MayContain(head Head) bool { return n.headCounts[head] > 0 }
 
-// Completed takes in that a request ran whole: no crash from before is laid to it.
-func (b *Interruptions) Completed(request Fingerprint) {
-	for server, at := range b.waiting {
-		if _, ok := at[request]; ok {
-			b.remove(server, request)
+// Completed records that a request completed: earlier interruptions are no longer
+// counted against it.
+func (n *Interruptions) Completed(request Fingerprint) {
+	for server, requests := range n.pending {
+		if _, ok := requests[request]; ok {
+			n.remove(server, request)
 		}
 	}
 }
 
-// ServerDrained takes in that a lifetime ended as planned.
-func (b *Interruptions) ServerDrained(server string) { b.forget(server) }
+// ServerDrained records that an incarnation ended as planned.
+func (n *Interruptions) ServerDrained(server string) { n.dropServer(server) }
 
-// ServerListening takes in that the server listens.
-func (b *Interruptions) ServerListening(now time.Time, server string) {
-	until := now.Add(aliveWait)
-	for request, at := range b.waiting[server] {
-		if at.After(until) {
-			b.waiting[server][request] = until
+// ServerListening records that the server still accepts connections.
+func (n *Interruptions) ServerListening(now time.Time, server string) {
+	until := now.Add(listeningTimeout)
+	for request, expires := range n.pending[server] {
+		if expires.After(until) {
+			n.pending[server][request] = until
 		}
 	}
 }
 
-// Tick gives up runs for which no proof came.
-func (b *Interruptions) Tick(now time.Time) {
-	for server, at := range b.waiting {
-		for request, until := range at {
+// Tick drops pending runs and known crashes that have expired.
+func (n *Interruptions) Tick(now time.Time) {
+	for server, requests := range n.pending {
+		for request, until := range requests {
 			if !now.Before(until) {
-				b.remove(server, request)
+				n.remove(server, request)
 			}
 		}
 	}
-	for server, until := range b.crashed {
+	for server, until := range n.crashed {
 		if !now.Before(until) {
-			delete(b.crashed, server)
+			delete(n.crashed, server)
 		}
 	}
 }
 
-func (b *Interruptions) forget(server string) {
-	for request := range b.waiting[server] {
-		b.remove(server, request)
+func (n *Interruptions) dropServer(server string) {
+	for request := range n.pending[server] {
+		n.remove(server, request)
 	}
 }
 
-func (b *Interruptions) remove(server string, request Fingerprint) {
-	b.count--
-	if b.heads[request.Head()]--; b.heads[request.Head()] == 0 {
-		delete(b.heads, request.Head())
+func (n *Interruptions) remove(server string, request Fingerprint) {
+	n.count--
+	if n.headCounts[request.Head()]--; n.headCounts[request.Head()] == 0 {
+		delete(n.headCounts, request.Head())
 	}
-	delete(b.waiting[server], request)
-	if len(b.waiting[server]) == 0 {
-		delete(b.waiting, server)
+	delete(n.pending[server], request)
+	if len(n.pending[server]) == 0 {
+		delete(n.pending, server)
 	}
 }
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -9,14 +9,14 @@
 	"github.com/zeebo/xxh3"
 )
 
-// headBytes of a fingerprint are a hash of all but the body's bytes.
+// headBytes is the length of the head at the start of a fingerprint.
 const headBytes = 4
 
-// Fingerprint identifies a request across the attempts of its caller, each of
-// which has an ID of its own. It begins with the Head of the request's identity.
+// Fingerprint identifies a request across the caller's attempts, each of which
+// has its own request ID. It starts with the Head of the request's identity.
 type Fingerprint [16]byte
 
-// Head is the part of a fingerprint that is worked out without the body's bytes.
+// Head is the part of a fingerprint that is computed without the body's bytes.
 type Head uint32
 
 // Identity is what all attempts of one request have in common.
@@ -30,8 +30,8 @@
 	Body   []byte
 }
 
-// Head hashes all but the body's bytes: a cheap look tells most requests from
-// those that are suspected.
+// Head hashes everything but the body's bytes, including the body's length. It is
+// a cheap check that rules out most requests that have no record.
 func (i *Identity) Head() Head {
 	var hash xxh3.Hasher
 	for _, field := range []string{i.Caller, i.Host, i.Method, i.Target} {
@@ -42,8 +42,8 @@
 	return Head(hash.Sum64())
 }
 
-// Fingerprint hashes the identity. Its hash is cryptographic, so that no caller
-// can make a request that shares the fingerprint of another caller's.
+// Fingerprint hashes the identity. The hash is cryptographic, so that a caller
+// cannot craft a request with the fingerprint of another caller's request.
 func (i *Identity) Fingerprint() Fingerprint {
 	hash := sha256.New()
 	for _, field := range [][]byte{[]byte(i.Caller), []byte(i.Host), []byte(i.Method), []byte(i.Target), i.Body} {
@@ -56,15 +56,16 @@
 	return f
 }
 
-// Hashes works out the hashes of one request when they are first needed, each
-// once: hashing the body of each request would cost all for the sake of a few.
+// Hashes computes the hashes of one request on first use and caches them. Few
+// requests need the hash of the body, so it is not computed in advance. Hashes is
+// not safe for concurrent use.
 type Hashes struct {
 	Identity    Identity
 	head        *Head
 	fingerprint *Fingerprint
 }
 
-// Head is that of the identity.
+// Head returns the head of the identity.
 func (h *Hashes) Head() Head {
 	if h.head == nil {
 		head := h.Identity.Head()
@@ -73,7 +74,7 @@
 	return *h.head
 }
 
-// Fingerprint is that of the identity.
+// Fingerprint returns the fingerprint of the identity.
 func (h *Hashes) Fingerprint() Fingerprint {
 	if h.fingerprint == nil {
 		f := h.Identity.Fingerprint()
@@ -91,17 +92,17 @@
 // Head returns the part that does not depend on the body's bytes.
 func (f Fingerprint) Head() Head { return Head(binary.BigEndian.Uint32(f[:])) }
 
-// String is the fingerprint in hexadecimal.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the hexadecimal form that String returns.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	var f Fingerprint
 	if len(text) != hex.EncodedLen(len(f)) {
-		return f, fmt.Errorf("fingerprint %q has %d digits, not %d", text, len(text), hex.EncodedLen(len(f)))
+		return f, fmt.Errorf("fingerprint %q has %d characters, want %d hexadecimal digits", text, len(text), hex.EncodedLen(len(f)))
 	}
 	if _, err := hex.Decode(f[:], []byte(text)); err != nil {
-		return f, fmt.Errorf("fingerprint %q: %w", text, err)
+		return f, fmt.Errorf("parse fingerprint %q: %w", text, err)
 	}
 	return f, nil
 }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAFingerprintTellsRequestsApart(t *testing.T) {
+func TestFingerprintsOfDifferentRequestsDiffer(t *testing.T) {
 	one := Identity{Caller: "w1", Host: "a.example", Method: "POST", Target: "/classify/1?x=2", Body: []byte("body")}
 	seen := map[Fingerprint]bool{one.Fingerprint(): true}
-	again := one
-	again.Body = []byte("body")
-	assert.True(t, seen[again.Fingerprint()], "alike at each attempt")
+	same := one
+	same.Body = []byte("body")
+	assert.True(t, seen[same.Fingerprint()], "an equal identity has the same fingerprint")
 	for _, change := range []func(*Identity){
 		func(i *Identity) { i.Caller = "w2" },
 		func(i *Identity) { i.Host = "b.example" },
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestAFingerprintIsReadAsWritten(t *testing.T) {
+func TestParseFingerprintReadsWhatStringReturns(t *testing.T) {
 	fingerprint := (&Identity{Caller: "w1"}).Fingerprint()
 	read, err := ParseFingerprint(fingerprint.String())
 	require.NoError(t, err)
