--- a/internal/waitroom/waitroom.go
+++ b/internal/waitroom/waitroom.go
@@ -1,8 +1,11 @@
-// Package waitroom orders the requests that wait in an entry until a backend
-// server has memory for them, and turns away those that would wait for nothing.
-// Whom it lets in it places, turns away at the moment at which they become late
-// without hope, or has sent in any case when they waited long enough; it forgets
-// nobody. It has no I/O, goroutine or clock; callers lock.
+// Package waitroom implements the wait queue of an entry: requests that wait
+// until a backend server has memory for them. It decides in which order they are
+// placed and rejects those with little prospect of being served in time.
+//
+// Every accepted request leaves the queue in one of four ways: it is placed, it
+// is rejected when it becomes late behind other late requests, it is sent without
+// free memory when it has waited its maximum, or its caller leaves. The package
+// has no I/O, goroutines or clock; callers provide the locking.
 package waitroom
 
 import (
@@ -10,152 +13,151 @@
 	"time"
 )
 
-// Request is one that wants to wait.
+// Request is a request that may wait.
 type Request struct {
 	ID string
-	// Priority: 0 is the most urgent.
+	// Priority of the request; 0 is the highest.
 	Priority int
 	Arrived  time.Time
-	// Prefill is how long its prompt is expected to take at a server.
+	// Prefill is how long a server is expected to take to process the prompt.
 	Prefill time.Duration
-	// FirstTokenTarget is until when its first token is worth its full credit.
+	// FirstTokenTarget is the latest time at which the first token is on time.
 	FirstTokenTarget time.Time
-	// Deadline of its caller.
+	// Deadline of the caller.
 	Deadline time.Time
 
-	// queuedLate: it became late, and stays for its turn among the late ones.
+	// queuedLate is set when the request became late but stays in the queue, to be
+	// served after those that can still be on time.
 	queuedLate bool
 }
 
 const (
-	// waitShare of a caller's time that a request waits here at most. The rest is
-	// for the server. Sent without room it takes memory from others, and from 0.95
-	// it would be an offer in name only: in the model with callers that come back
-	// the net share at 1.8 times the load was 0.617 with 0.8, 0.629 with 0.95.
-	waitShare = 0.9
-	// hopeShare of the time that a late request may wait: one that becomes late
-	// while another has been late for longer than that is turned away. Who would
-	// wait in vain hears so within its aim, and can come back. In the model 94 of
-	// 800 long prompts failed at 1.8 times the load without, 56 so, and the net
-	// share rose from 0.595 to 0.617; with 0.5 it was 0.607, with 0.7 0.598.
-	hopeShare = 0.3
-	// RetryAfter is when to come back for one that is turned away while it waits:
-	// by then about half of those that run have ended.
+	// maxWaitShare is the share of the time between arrival and deadline that a
+	// request waits at most. A request sent without free memory takes memory from
+	// others, so the share is high; the rest is left for the server.
+	maxWaitShare = 0.9
+	// lateWaitShare of its maximum wait is how long a late request may have waited
+	// before other requests of its priority that become late are rejected. Their
+	// callers then learn early enough to retry.
+	lateWaitShare = 0.3
+	// RetryAfter is the retry delay for the caller of a request that was rejected
+	// while waiting: by then about half of the running requests have ended.
 	RetryAfter = 1500 * time.Millisecond
-	// fullFor is how long new requests are turned away after one that is no less
-	// urgent had to be sent without room: more come than the fleet can take, and
-	// who would wait for nothing hears so while there is time to come back.
-	fullFor = time.Second
-	// turnsAtOnce is how many requests of one urgency may find no room before the
-	// others of it are not tried: a large one must not stop smaller ones, but a
-	// full fleet is not searched for each.
-	turnsAtOnce = 4
+	// rejectPeriod is how long new requests are rejected after one of the same or a
+	// higher priority had to be sent without free memory. The demand exceeds the
+	// capacity, and a caller that is rejected at once has time to retry.
+	rejectPeriod = time.Second
+	// maxFailedPlacements is how many requests of one priority may find no memory
+	// before the others of that priority are skipped: a large request must not
+	// block smaller ones, but a full fleet is not searched for every request.
+	maxFailedPlacements = 4
 )
 
-// SendAt is when the request is sent though no memory is free.
+// SendAt returns when the request is sent even if no memory is free.
 func (r *Request) SendAt() time.Time {
-	return r.Arrived.Add(time.Duration(waitShare * float64(r.Deadline.Sub(r.Arrived))))
+	return r.Arrived.Add(time.Duration(maxWaitShare * float64(r.Deadline.Sub(r.Arrived))))
 }
 
-// late tells whether its first token can't be in time any more.
+// late reports whether its first token can no longer be on time.
 func (r *Request) late(now time.Time) bool { return now.Add(r.Prefill).After(r.FirstTokenTarget) }
 
-// Queue holds the requests that wait.
+// Queue holds the waiting requests.
 type Queue struct {
 	waiting map[string]*Request
-	// fullUntil by urgency: new requests are turned away.
-	fullUntil map[int]time.Time
+	// rejectUntil is, by priority, until when new requests are rejected.
+	rejectUntil map[int]time.Time
 }
 
-// New makes an empty room.
-func New() *Queue { return &Queue{waiting: map[string]*Request{}, fullUntil: map[int]time.Time{}} }
+// New returns an empty queue.
+func New() *Queue { return &Queue{waiting: map[string]*Request{}, rejectUntil: map[int]time.Time{}} }
 
-// Len counts those that wait.
-func (r *Queue) Len() int { return len(r.waiting) }
+// Len returns the number of waiting requests.
+func (q *Queue) Len() int { return len(q.waiting) }
 
-// Add lets a request wait. False: there is no hope for it, and after is when
-// it may be worth another try.
-func (r *Queue) Add(now time.Time, req Request) (after time.Duration, ok bool) {
-	for urgency, until := range r.fullUntil {
-		if urgency <= req.Priority {
+// Add queues a request. It reports false if the request is rejected, with the
+// time after which the caller should retry.
+func (q *Queue) Add(now time.Time, req Request) (after time.Duration, ok bool) {
+	for priority, until := range q.rejectUntil {
+		if priority <= req.Priority {
 			after = max(after, until.Sub(now))
 		}
 	}
 	if after > 0 {
 		return after, false
 	}
-	r.waiting[req.ID] = &req
+	q.waiting[req.ID] = &req
 	return 0, true
 }
 
-// Remove takes a request out whose caller has gone. False: it did not wait.
-func (r *Queue) Remove(id string) bool {
-	_, ok := r.waiting[id]
-	delete(r.waiting, id)
+// Remove takes out a request whose caller has left. It reports false if the
+// request was not waiting.
+func (q *Queue) Remove(id string) bool {
+	_, ok := q.waiting[id]
+	delete(q.waiting, id)
 	return ok
 }
 
-// Dispatch tries to place those that wait, in their order, and takes out those
-// for which place returns true. anyway: the request must be sent now, whether
-// there is room or not; it is taken out in any case. Those that it returns are
-// turned away: what is late already leaves no hope for them.
-func (r *Queue) Dispatch(now time.Time, place func(id string, anyway bool) bool) (away []string) {
-	if len(r.waiting) == 0 {
+// Dispatch tries to place the waiting requests in order and removes those for
+// which place returns true. If force is set, the request has waited its maximum
+// and must be sent even without free memory; it is removed in any case. Dispatch
+// returns the IDs of requests that it removed because they are rejected.
+func (q *Queue) Dispatch(now time.Time, place func(id string, force bool) bool) (rejected []string) {
+	if len(q.waiting) == 0 {
 		return nil
 	}
-	away = r.dropHopeless(now)
-	noRoom := map[int]int{}
-	for _, w := range r.order(now) {
+	rejected = q.rejectLate(now)
+	failed := map[int]int{}
+	for _, w := range q.order(now) {
 		if !now.Before(w.SendAt()) {
-			r.fullUntil[w.Priority] = now.Add(fullFor)
-			delete(r.waiting, w.ID)
+			q.rejectUntil[w.Priority] = now.Add(rejectPeriod)
+			delete(q.waiting, w.ID)
 			place(w.ID, true)
 			continue
 		}
-		if noRoom[w.Priority] >= turnsAtOnce {
+		if failed[w.Priority] >= maxFailedPlacements {
 			continue
 		}
 		if place(w.ID, false) {
-			delete(r.waiting, w.ID)
+			delete(q.waiting, w.ID)
 			continue
 		}
-		noRoom[w.Priority]++
+		failed[w.Priority]++
 	}
-	return away
+	return rejected
 }
 
-// dropHopeless takes out those that became late since the last call while one
-// of their urgency has been late for long: the late ones are served in the order
-// in which they came, and it has not had its turn yet.
-func (r *Queue) dropHopeless(now time.Time) (away []string) {
-	stuck := map[int]bool{}
-	for _, w := range r.waiting {
-		if w.queuedLate && float64(now.Sub(w.Arrived)) > hopeShare*float64(w.SendAt().Sub(w.Arrived)) {
-			stuck[w.Priority] = true
+// rejectLate removes the requests that became late since the last call if another
+// late request of their priority has waited for long: late requests are served in
+// order of arrival, so they would wait even longer. The other requests that became
+// late stay queued.
+func (q *Queue) rejectLate(now time.Time) (rejected []string) {
+	backlogged := map[int]bool{}
+	for _, w := range q.waiting {
+		if w.queuedLate && float64(now.Sub(w.Arrived)) > lateWaitShare*float64(w.SendAt().Sub(w.Arrived)) {
+			backlogged[w.Priority] = true
 		}
 	}
-	for id, w := range r.waiting {
+	for id, w := range q.waiting {
 		if w.queuedLate || !w.late(now) {
 			continue
 		}
-		if stuck[w.Priority] {
-			away = append(away, id)
-			delete(r.waiting, id)
+		if backlogged[w.Priority] {
+			rejected = append(rejected, id)
+			delete(q.waiting, id)
 			continue
 		}
 		w.queuedLate = true
 	}
-	sort.Strings(away)
-	return away
+	sort.Strings(rejected)
+	return rejected
 }
 
-// order puts the urgent first, among them those that can be in time before
-// those that are late anyway, then those that came first. With the late ones
-// in their place in the row, all behind them became late as well: in the model
-// 2,210 of 3,400 long prompts were in time at the highest load, 2,441 so.
-func (r *Queue) order(now time.Time) []*Request {
-	order := make([]*Request, 0, len(r.waiting))
-	for _, w := range r.waiting {
+// order sorts the requests by priority. Within a priority, those that can still be
+// on time come before the late ones, and earlier arrivals before later ones.
+// Serving the late ones first would make all those behind them late as well.
+func (q *Queue) order(now time.Time) []*Request {
+	order := make([]*Request, 0, len(q.waiting))
+	for _, w := range q.waiting {
 		order = append(order, w)
 	}
 	sort.Slice(order, func(i, j int) bool {
--- a/internal/waitroom/waitroom_test.go
+++ b/internal/waitroom/waitroom_test.go
@@ -17,146 +17,145 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-// request with a second to be in time and ten until its deadline.
-func request(id string, urgency int, arrived time.Duration) waitroom.Request {
+// request has one second to be on time and ten seconds until its deadline.
+func request(id string, priority int, arrived time.Duration) waitroom.Request {
 	return waitroom.Request{
-		ID: id, Priority: urgency, Arrived: after(arrived), Prefill: 200 * time.Millisecond,
+		ID: id, Priority: priority, Arrived: after(arrived), Prefill: 200 * time.Millisecond,
 		FirstTokenTarget: after(arrived + time.Second), Deadline: after(arrived + 10*time.Second),
 	}
 }
 
-func enter(t *testing.T, room *waitroom.Queue, requests ...waitroom.Request) {
+func add(t *testing.T, queue *waitroom.Queue, requests ...waitroom.Request) {
 	t.Helper()
 	for _, r := range requests {
-		_, ok := room.Add(r.Arrived, r)
+		_, ok := queue.Add(r.Arrived, r)
 		require.True(t, ok)
 	}
 }
 
-// served lists those that the room tries to place, in order.
-func served(room *waitroom.Queue, at time.Duration, place bool) (ids []string, anyway []bool) {
-	room.Dispatch(after(at), func(id string, must bool) bool {
-		ids, anyway = append(ids, id), append(anyway, must)
+// dispatched lists the requests that the queue tries to place, in order.
+func dispatched(queue *waitroom.Queue, at time.Duration, place bool) (ids []string, forced []bool) {
+	queue.Dispatch(after(at), func(id string, force bool) bool {
+		ids, forced = append(ids, id), append(forced, force)
 		return place
 	})
-	return ids, anyway
+	return ids, forced
 }
 
-func TestTheUrgentGoFirstThenThoseThatCameFirst(t *testing.T) {
-	room := waitroom.New()
-	enter(t, room, request("b1", 1, 0), request("b2", 1, 10*time.Millisecond), request("a", 0, 20*time.Millisecond))
-	ids, _ := served(room, 30*time.Millisecond, true)
+func TestHigherPriorityGoesFirstThenEarlierArrival(t *testing.T) {
+	queue := waitroom.New()
+	add(t, queue, request("b1", 1, 0), request("b2", 1, 10*time.Millisecond), request("a", 0, 20*time.Millisecond))
+	ids, _ := dispatched(queue, 30*time.Millisecond, true)
 	assert.Equal(t, []string{"a", "b1", "b2"}, ids)
-	assert.Zero(t, room.Len())
+	assert.Zero(t, queue.Len())
 }
 
-// In a long row the first are late already, and serving them first makes all
-// behind them late as well, each for a third of its worth.
-func TestWhoIsLateAnywayLetsOthersBeInTime(t *testing.T) {
-	room := waitroom.New()
-	enter(t, room, request("late", 1, 0), request("in time", 1, 700*time.Millisecond))
-	ids, _ := served(room, 900*time.Millisecond, true)
+// Guards against a queue in which late requests delay all others until those are
+// late too.
+func TestLateRequestsAreServedAfterThoseThatCanBeOnTime(t *testing.T) {
+	queue := waitroom.New()
+	add(t, queue, request("late", 1, 0), request("in time", 1, 700*time.Millisecond))
+	ids, _ := dispatched(queue, 900*time.Millisecond, true)
 	assert.Equal(t, []string{"in time", "late"}, ids)
 }
 
-// A large prompt at the head of the row found no room for seconds, while small
-// ones behind it would have.
-func TestOneThatFindsNoRoomDoesNotStopTheNext(t *testing.T) {
-	room := waitroom.New()
-	enter(t, room, request("large", 1, 0), request("small", 1, time.Millisecond))
-	room.Dispatch(after(10*time.Millisecond), func(id string, _ bool) bool { return id == "small" })
-	assert.Equal(t, 1, room.Len())
-	assert.True(t, room.Remove("large"))
-	assert.False(t, room.Remove("small"))
+// Guards against a large prompt at the head of the queue that blocks smaller ones
+// for which there is memory.
+func TestARequestThatFindsNoMemoryDoesNotBlockTheNext(t *testing.T) {
+	queue := waitroom.New()
+	add(t, queue, request("large", 1, 0), request("small", 1, time.Millisecond))
+	queue.Dispatch(after(10*time.Millisecond), func(id string, _ bool) bool { return id == "small" })
+	assert.Equal(t, 1, queue.Len())
+	assert.True(t, queue.Remove("large"))
+	assert.False(t, queue.Remove("small"))
 }
 
-func TestAFullFleetIsNotSearchedForEach(t *testing.T) {
-	room := waitroom.New()
+func TestAFullFleetIsNotSearchedForEachRequest(t *testing.T) {
+	queue := waitroom.New()
 	for i := range 50 {
-		enter(t, room, request(fmt.Sprint(i), i%2, time.Duration(i)*time.Millisecond))
+		add(t, queue, request(fmt.Sprint(i), i%2, time.Duration(i)*time.Millisecond))
 	}
-	ids, _ := served(room, 100*time.Millisecond, false)
-	assert.Len(t, ids, 8, "four of each urgency")
+	ids, _ := dispatched(queue, 100*time.Millisecond, false)
+	assert.Len(t, ids, 8, "four of each priority are tried")
 }
 
-// A request waited until its caller's time was over and was refused then,
-// without having been offered to any server.
-func TestWhoWaitedLongEnoughIsSentAnyway(t *testing.T) {
-	room := waitroom.New()
-	enter(t, room, request("a", 1, 0))
-	_, anyway := served(room, 8900*time.Millisecond, false)
-	assert.Equal(t, []bool{false}, anyway)
-	_, anyway = served(room, 9*time.Second, false)
-	assert.Equal(t, []bool{true}, anyway)
-	assert.Zero(t, room.Len())
+// Guards against a request that waits until its deadline without ever being
+// offered to a server.
+func TestARequestIsSentWithoutMemoryAfterItsMaximumWait(t *testing.T) {
+	queue := waitroom.New()
+	add(t, queue, request("a", 1, 0))
+	_, forced := dispatched(queue, 8900*time.Millisecond, false)
+	assert.Equal(t, []bool{false}, forced)
+	_, forced = dispatched(queue, 9*time.Second, false)
+	assert.Equal(t, []bool{true}, forced)
+	assert.Zero(t, queue.Len())
 }
 
-// More came than the fleet could take, for good: all waited as long as they
-// could and then failed. New ones must hear it at once, while they can come back.
-func TestNewOnesAreTurnedAwayAfterOneWaitedInVain(t *testing.T) {
-	room := waitroom.New()
-	enter(t, room, request("a", 1, 0))
-	served(room, 9*time.Second, false)
-	back, ok := room.Add(after(9100*time.Millisecond), request("b", 1, 9100*time.Millisecond))
+// Guards against an overload in which all requests wait their maximum and then
+// fail, instead of being rejected while their callers can still retry.
+func TestNewRequestsAreRejectedAfterOneWasSentWithoutMemory(t *testing.T) {
+	queue := waitroom.New()
+	add(t, queue, request("a", 1, 0))
+	dispatched(queue, 9*time.Second, false)
+	retryAfter, ok := queue.Add(after(9100*time.Millisecond), request("b", 1, 9100*time.Millisecond))
 	assert.False(t, ok)
-	assert.Equal(t, 900*time.Millisecond, back)
-	_, ok = room.Add(after(9100*time.Millisecond), request("urgent", 0, 9100*time.Millisecond))
-	assert.True(t, ok, "what is more urgent is served before them")
-	_, ok = room.Add(after(10*time.Second), request("c", 1, 10*time.Second))
-	assert.True(t, ok, "it may have passed")
+	assert.Equal(t, 900*time.Millisecond, retryAfter)
+	_, ok = queue.Add(after(9100*time.Millisecond), request("urgent", 0, 9100*time.Millisecond))
+	assert.True(t, ok, "a higher priority is still accepted")
+	_, ok = queue.Add(after(10*time.Second), request("c", 1, 10*time.Second))
+	assert.True(t, ok, "the reject period is over")
 }
 
-// Requests that could not be in time any more waited behind others that had not
-// been served for seconds, and were left by their callers. They must hear at the
-// moment at which they become late that there is no hope, and not later.
-func TestWhoBecomesLateBehindOthersIsTurnedAwayAtOnce(t *testing.T) {
-	room := waitroom.New()
-	enter(t, room, request("first", 1, 0))
-	assert.Empty(t, room.Dispatch(after(900*time.Millisecond), noRoom), "nobody is late before it")
-	enter(t, room, request("second", 1, 2*time.Second), request("urgent", 0, 2*time.Second))
-	assert.Empty(t, room.Dispatch(after(2500*time.Millisecond), noRoom), "it may still be in time")
-	assert.Equal(t, []string{"second"}, room.Dispatch(after(2900*time.Millisecond), noRoom))
-	assert.Equal(t, 2, room.Len(), "who is late already keeps its turn, others have their own row")
+// Guards against late requests that wait behind a backlog until their callers
+// leave: they must be rejected at the moment at which they become late.
+func TestARequestThatBecomesLateBehindABacklogIsRejectedAtOnce(t *testing.T) {
+	queue := waitroom.New()
+	add(t, queue, request("first", 1, 0))
+	assert.Empty(t, queue.Dispatch(after(900*time.Millisecond), noMemory), "no other late request has waited for long")
+	add(t, queue, request("second", 1, 2*time.Second), request("urgent", 0, 2*time.Second))
+	assert.Empty(t, queue.Dispatch(after(2500*time.Millisecond), noMemory), "it can still be on time")
+	assert.Equal(t, []string{"second"}, queue.Dispatch(after(2900*time.Millisecond), noMemory))
+	assert.Equal(t, 2, queue.Len(), "a request that was late before stays, and so do other priorities")
 }
 
-func noRoom(string, bool) bool { return false }
+func noMemory(string, bool) bool { return false }
 
-// Whatever comes and goes: each request that was let in is placed once, at the
-// latest when its wait is over, or leaves.
-func TestEachRequestIsPlacedOnceInItsTime(t *testing.T) {
+// Checks, with random arrivals, that each accepted request is placed exactly once,
+// at the latest at its send time, or is rejected.
+func TestEachRequestIsPlacedOnceByItsSendTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room, inside := waitroom.New(), map[string]waitroom.Request{}
+		queue, expected := waitroom.New(), map[string]waitroom.Request{}
 		now := time.Duration(0)
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause")) * time.Millisecond
-			r := request(fmt.Sprint(step), rapid.IntRange(0, 3).Draw(t, "urgency"), now)
-			if _, ok := room.Add(after(now), r); ok {
-				inside[r.ID] = r
+			r := request(fmt.Sprint(step), rapid.IntRange(0, 3).Draw(t, "priority"), now)
+			if _, ok := queue.Add(after(now), r); ok {
+				expected[r.ID] = r
 			}
 			free := rapid.IntRange(0, 3).Draw(t, "free")
-			away := room.Dispatch(after(now), func(id string, anyway bool) bool {
-				waiting, ok := inside[id]
+			rejected := queue.Dispatch(after(now), func(id string, forced bool) bool {
+				waiting, ok := expected[id]
 				if !ok {
 					t.Fatalf("%s was placed twice", id)
 				}
-				if until := waiting.SendAt(); anyway != !after(now).Before(until) {
-					t.Fatalf("%s: anyway %v at %v, until %v", id, anyway, now, until)
+				if sendAt := waiting.SendAt(); forced != !after(now).Before(sendAt) {
+					t.Fatalf("%s: forced %v at %v, send time %v", id, forced, now, sendAt)
 				}
-				if !anyway && free == 0 {
+				if !forced && free == 0 {
 					return false
 				}
 				free = max(0, free-1)
-				delete(inside, id)
+				delete(expected, id)
 				return true
 			})
-			for _, id := range away {
-				if _, ok := inside[id]; !ok {
-					t.Fatalf("%s was turned away though it did not wait", id)
+			for _, id := range rejected {
+				if _, ok := expected[id]; !ok {
+					t.Fatalf("%s was rejected though it was not waiting", id)
 				}
-				delete(inside, id)
+				delete(expected, id)
 			}
-			if len(inside) != room.Len() {
-				t.Fatalf("%d inside, %d in the room", len(inside), room.Len())
+			if len(expected) != queue.Len() {
+				t.Fatalf("%d requests expected, %d in the queue", len(expected), queue.Len())
 			}
 		}
 	})
