--- a/internal/membership/detection_test.go
+++ b/internal/membership/detection_test.go
@@ -11,94 +11,93 @@
 	"github.com/jayproxy/jayproxy/internal/membership"
 )
 
-// trial is one seeded run in virtual time: one entry sends 60 requests a
-// second to 12 servers by weight; all fail now and then, one fails a share of
-// its work from the fault on while it answers every health check.
-type trial struct {
-	random    *rand.Rand
-	members   *membership.Members
-	names     []string
-	now       time.Time
-	baseFault float64
+// simulation is one seeded run in virtual time: one entry sends 60 requests per
+// second to 12 servers according to their weights. All servers fail a few
+// requests; the faulty one fails a given share of them.
+type simulation struct {
+	random           *rand.Rand
+	members          *membership.Members
+	names            []string
+	now              time.Time
+	baseFailureShare float64
 }
 
 const requestsPerSecond = 60
 
-func newTrial(seed uint64) *trial {
+func newSimulation(seed uint64) *simulation {
 	m, names := pool(12)
-	return &trial{random: rand.New(rand.NewPCG(seed, 1)), members: m, names: names, now: start, baseFault: 0.005}
+	return &simulation{random: rand.New(rand.NewPCG(seed, 1)), members: m, names: names, now: start, baseFailureShare: 0.005}
 }
 
-// run sends for the duration and returns when the server was first ejected (0:
-// never), and how often any other was.
-func (tr *trial) run(d time.Duration, bad string, share float64) (detected time.Duration, falseEjections int) {
+// run sends requests for the duration. It returns when the faulty server was first
+// ejected (0: never) and how many ejections hit other servers.
+func (sim *simulation) run(d time.Duration, faulty string, share float64) (detected time.Duration, falseEjections int) {
 	ejected := map[string]bool{}
-	began := tr.now
-	for tr.now.Sub(began) < d {
-		tr.now = tr.now.Add(time.Second / requestsPerSecond)
-		tr.members.Tick(tr.now)
-		server := tr.pick()
-		fault := tr.baseFault
-		if server == bad {
-			fault = share
+	began := sim.now
+	for sim.now.Sub(began) < d {
+		sim.now = sim.now.Add(time.Second / requestsPerSecond)
+		sim.members.Tick(sim.now)
+		server := sim.pick()
+		failureShare := sim.baseFailureShare
+		if server == faulty {
+			failureShare = share
 		}
-		if tr.random.Float64() < fault {
-			tr.members.Failed(tr.now, server)
+		if sim.random.Float64() < failureShare {
+			sim.members.Failed(sim.now, server)
 		} else {
-			tr.members.Succeeded(tr.now, server)
+			sim.members.Succeeded(sim.now, server)
 		}
-		for _, name := range tr.names {
-			is := tr.members.State(name) == membership.StateEjected
-			if is && !ejected[name] && name != bad {
+		for _, name := range sim.names {
+			isEjected := sim.members.State(name) == membership.StateEjected
+			if isEjected && !ejected[name] && name != faulty {
 				falseEjections++
 			}
-			if is && name == bad && detected == 0 {
-				detected = tr.now.Sub(began)
+			if isEjected && name == faulty && detected == 0 {
+				detected = sim.now.Sub(began)
 			}
-			ejected[name] = is
+			ejected[name] = isEjected
 		}
 	}
 	return detected, falseEjections
 }
 
-func (tr *trial) pick() string {
+func (sim *simulation) pick() string {
 	total := 0.0
-	for _, name := range tr.names {
-		if tr.members.Usable(name) {
-			total += tr.members.Weight(name)
+	for _, name := range sim.names {
+		if sim.members.Usable(name) {
+			total += sim.members.Weight(name)
 		}
 	}
-	at := tr.random.Float64() * total
-	for _, name := range tr.names {
-		if !tr.members.Usable(name) {
+	at := sim.random.Float64() * total
+	for _, name := range sim.names {
+		if !sim.members.Usable(name) {
 			continue
 		}
-		if at -= tr.members.Weight(name); at <= 0 {
+		if at -= sim.members.Weight(name); at <= 0 {
 			return name
 		}
 	}
-	return tr.names[0]
+	return sim.names[0]
 }
 
-// Measures detection and false removals; the figures stand in the note on
-// membership. Story: a server answers each health check and fails its work;
-// callers see errors until work goes elsewhere.
-func TestGreyFailureIsDetectedWithoutFalseRemovals(t *testing.T) {
+// Guards against a server that answers health checks but fails requests and is
+// detected late, and against ejections of healthy servers.
+func TestPartialFailureIsDetectedWithoutFalseEjections(t *testing.T) {
 	const seeds = 20
 	for _, tt := range []struct {
 		share, median, worst float64
 	}{{1, 2, 5}, {0.5, 6, 20}} {
 		var times []time.Duration
 		for seed := range uint64(seeds) {
-			tr := newTrial(seed)
-			tr.run(5*time.Second, "", 0)
-			detected, _ := tr.run(time.Minute, "b03", tt.share)
+			sim := newSimulation(seed)
+			sim.run(5*time.Second, "", 0)
+			detected, _ := sim.run(time.Minute, "b03", tt.share)
 			if assert.NotZero(t, detected, "seed %d", seed) {
 				times = append(times, detected)
 			}
 		}
 		sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
-		t.Logf("fails %.0f%% of its work: detected after %v (median), %v (worst of %d)",
+		t.Logf("fails %.0f%% of its requests: ejected after %v (median), %v (worst of %d)",
 			100*tt.share, times[len(times)/2], times[len(times)-1], len(times))
 		assert.Less(t, times[len(times)/2].Seconds(), tt.median)
 		assert.Less(t, times[len(times)-1].Seconds(), tt.worst)
@@ -106,9 +105,9 @@
 	ejections := 0
 	const hours = 2
 	for seed := range uint64(hours) {
-		_, wrong := newTrial(seed).run(time.Hour, "", 0)
-		ejections += wrong
+		_, falseCount := newSimulation(seed).run(time.Hour, "", 0)
+		ejections += falseCount
 	}
-	t.Logf("no fault but 0.5%% of all work failing: %d false removals in %d hours of 12 servers", ejections, hours)
+	t.Logf("0.5%% of all requests failing: %d false ejections in %d hours with 12 servers", ejections, hours)
 	assert.LessOrEqual(t, ejections, 1)
 }
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -5,97 +5,97 @@
 	"time"
 )
 
-// gain weighs one result in the failure share of late: four failures among the
-// last five results make half.
-const gain = 0.2
+// resultWeight is the weight of one result in the failure share: four failures
+// among the last five results yield about half.
+const resultWeight = 0.2
 
-// forgottenShare is where a suspicion ends by itself: a suspect that gets no
-// work, because others are free, could never prove itself. One failure is
-// forgotten after two half-lives.
-const forgottenShare = gain / 4
+// recoveredShare is the failure share at which a suspect recovers without any
+// successes, since it may get no requests while other servers are free. After a
+// single failure this takes two half-lives.
+const recoveredShare = resultWeight / 4
 
-// record is how work at one server went of late.
-type record struct {
-	// share of failures: a moving average over results, which a long good
-	// history does not slow down, fading with time.
-	share     float64
-	at        time.Time
-	failures  int
-	successes int
+// outcomes summarises the recent results of requests at one server.
+type outcomes struct {
+	// failureShare is a moving average over results, so that a long history of
+	// successes does not delay detection. It decays with time.
+	failureShare  float64
+	updatedAt     time.Time
+	failureStreak int
+	successStreak int
 }
 
-func (r *record) add(now time.Time, halfLife time.Duration, failed float64) {
-	r.fade(now, halfLife)
-	r.share += gain * (failed - r.share)
+func (o *outcomes) add(now time.Time, halfLife time.Duration, failed float64) {
+	o.decay(now, halfLife)
+	o.failureShare += resultWeight * (failed - o.failureShare)
 }
 
-func (r *record) fade(now time.Time, halfLife time.Duration) {
-	if !now.After(r.at) {
+func (o *outcomes) decay(now time.Time, halfLife time.Duration) {
+	if !now.After(o.updatedAt) {
 		return
 	}
-	if !r.at.IsZero() {
-		r.share *= math.Exp2(-float64(now.Sub(r.at)) / float64(halfLife))
+	if !o.updatedAt.IsZero() {
+		o.failureShare *= math.Exp2(-float64(now.Sub(o.updatedAt)) / float64(halfLife))
 	}
-	r.at = now
+	o.updatedAt = now
 }
 
-// reset forgets all.
-func (r *record) reset() { *r = record{at: r.at} }
+// reset clears the failure share and the streaks.
+func (o *outcomes) reset() { *o = outcomes{updatedAt: o.updatedAt} }
 
-// streaks forgets the streaks only.
-func (r *record) streaks() { r.failures, r.successes = 0, 0 }
+// resetStreaks clears the streaks only.
+func (o *outcomes) resetStreaks() { o.failureStreak, o.successStreak = 0, 0 }
 
-// Succeeded takes in that work at the server ended well. That a health check
-// is answered is no evidence: a server may answer it and fail all work.
+// Succeeded records that a request at the server ended well. An answered health
+// check is no evidence of that: a server may answer it and fail all requests.
 func (m *Members) Succeeded(now time.Time, server string) {
 	b := m.members[server]
 	if b == nil {
 		return
 	}
-	b.record.add(now, m.settings.HalfLife, 0)
-	b.record.successes++
-	b.record.failures = 0
+	b.outcomes.add(now, m.settings.HalfLife, 0)
+	b.outcomes.successStreak++
+	b.outcomes.failureStreak = 0
 	b.facts.aliveAt = now
 	switch {
-	case b.state == StateSuspect && b.record.successes >= m.settings.SuspectSuccesses,
-		b.state == StateProbation && b.record.successes >= m.settings.ProbationSuccesses:
+	case b.state == StateSuspect && b.outcomes.successStreak >= m.settings.SuspectSuccesses,
+		b.state == StateProbation && b.outcomes.successStreak >= m.settings.ProbationSuccesses:
 		m.fire(now, b, eventRecover)
 	}
 	m.applyFacts(now, b)
 }
 
-// Failed takes in that work at the server failed through the server or the way
-// to it: not reached, no answer in time, engine down, a broken answer. Refusals
-// that are in order (full, too dear, leaving) are no failures.
+// Failed records that a request failed because of the server or the connection to
+// it: not reached, no answer in time, engine down, truncated answer. Proper
+// refusals (server full, cost too high, draining) are no failures.
 func (m *Members) Failed(now time.Time, server string) {
 	b := m.members[server]
 	if b == nil {
 		return
 	}
-	b.record.add(now, m.settings.HalfLife, 1)
-	b.record.failures++
-	b.record.successes = 0
+	b.outcomes.add(now, m.settings.HalfLife, 1)
+	b.outcomes.failureStreak++
+	b.outcomes.successStreak = 0
 	if b.state == StateProbation {
 		m.eject(now, b, eventFail)
 		return
 	}
 	m.fire(now, b, eventFail)
-	if b.record.failures >= m.settings.FailureStreak || b.record.share >= m.settings.FailureShare {
+	if b.outcomes.failureStreak >= m.settings.FailureStreak || b.outcomes.failureShare >= m.settings.FailureShare {
 		m.eject(now, b, eventTrip)
 	}
 }
 
-// NotListening takes in that nothing listens at the server's address: its
-// process has ended. One such word ejects, where a failure might be the
-// request's own: with three needed, each entry sent three requests to each
-// server that had crashed.
+// NotListening records that nothing listens at the server's address, so its
+// process has ended. One such report ejects the server, whereas other failures
+// may be due to the request: waiting for a streak would send further requests to
+// a crashed server.
 func (m *Members) NotListening(now time.Time, server string) {
 	b := m.members[server]
 	if b == nil {
 		return
 	}
-	b.record.add(now, m.settings.HalfLife, 1)
-	b.record.successes = 0
+	b.outcomes.add(now, m.settings.HalfLife, 1)
+	b.outcomes.successStreak = 0
 	m.eject(now, b, eventTrip)
 }
 
--- a/internal/membership/facts.go
+++ b/internal/membership/facts.go
@@ -8,101 +8,104 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// facts are what the sources say of one server's coming and going.
+// facts are what the sources report about whether a server drains or is gone.
 type facts struct {
-	// draining by an operator, as the catalog says.
-	draining bool
-	// selfLeaving: the agent's own word, and when it was last heard.
-	selfLeaving bool
-	selfAt      time.Time
-	// incarnation of the engine when the agent last spoke.
+	// operatorDraining is set if the catalog declares the server as draining.
+	operatorDraining bool
+	// agentDraining is set if the agent reported that its server drains, and
+	// agentDrainingAt is when that report was last received.
+	agentDraining   bool
+	agentDrainingAt time.Time
+	// incarnation of the engine in the latest report of the agent.
 	incarnation uint64
-	// newsLeaving: the word of another entry, until newsUntil.
-	newsLeaving bool
-	newsUntil   time.Time
-	// vm is the platform's word, with the VM's incarnation.
+	// peerDraining is set if another entry reported that the server drains; the
+	// report expires at peerDrainingUntil.
+	peerDraining      bool
+	peerDrainingUntil time.Time
+	// vm is the VM's state in the platform's list, with the VM's incarnation.
 	vm            platform.VMState
 	vmIncarnation uint64
-	// goneAt is when the list first left the server out or called it gone.
+	// goneAt is when the list first omitted the VM or listed it as gone.
 	goneAt time.Time
-	// aliveAt is when work at the server last went well.
+	// aliveAt is when a request at the server last succeeded.
 	aliveAt time.Time
 }
 
-func (f *facts) leaving() bool {
-	return f.draining || f.selfLeaving || f.newsLeaving || f.vm == platform.VMLeaving
+func (f *facts) draining() bool {
+	return f.operatorDraining || f.agentDraining || f.peerDraining || f.vm == platform.VMLeaving
 }
 
-// gone needs more than a list that lags: work that went well since shows that
-// the server is there, whatever the list says.
+// gone does not rely on the platform's list alone, which lags: a request that
+// succeeded after the VM was listed as gone shows that the server is still there.
 func (f *facts) gone() bool { return f.vm == platform.VMGone && !f.aliveAt.After(f.goneAt) }
 
-// expire forgets words that are too old. A server that left and was replaced
-// under its address can't take its word back: it gets no work, so nothing is
-// heard of it, and it would stay out for ever. Offered work again it takes it,
-// or refuses before anything ran and is out for another while.
+// expire drops old reports. A server that drained and was replaced at the same
+// address could not correct its report: it receives no requests, so no answer of
+// its agent arrives, and it would stay out for ever. If it is still draining, it
+// refuses the next offer before anything runs, which renews the report.
 func (f *facts) expire(now time.Time, settings Settings) {
-	if f.selfLeaving && now.Sub(f.selfAt) >= settings.AgentReportTTL {
-		f.selfLeaving = false
+	if f.agentDraining && now.Sub(f.agentDrainingAt) >= settings.AgentReportTTL {
+		f.agentDraining = false
 	}
-	if f.newsLeaving && !now.Before(f.newsUntil) {
-		f.newsLeaving = false
+	if f.peerDraining && !now.Before(f.peerDrainingUntil) {
+		f.peerDraining = false
 	}
 }
 
-// applyFacts moves the state to what the facts say.
+// applyFacts changes the state to what the facts require.
 func (m *Members) applyFacts(now time.Time, b *member) {
 	switch {
 	case b.facts.gone():
-		m.fire(now, b, eventVanish)
-	case b.facts.leaving():
-		m.fire(now, b, eventLeave)
+		m.fire(now, b, eventRemove)
+	case b.facts.draining():
+		m.fire(now, b, eventDrain)
 	case b.state == StateDraining || b.state == StateGone:
-		m.fire(now, b, eventComeBack)
+		m.fire(now, b, eventReturn)
 	}
 }
 
-// ReceiveAgentState takes the state that rode on an agent's answer. An agent that says it
-// leaves is believed at once. Its word to the contrary counts only after the
-// settle time or from a new boot: answers overtake each other, and an older
-// one must not bring a leaving server back.
+// ReceiveAgentState records the state that was sent with an agent's answer. A
+// report that the server drains takes effect at once. A report to the contrary
+// does so only after the reorder window or from a newer incarnation: answers can
+// arrive out of order, and an older one must not return a draining server.
 func (m *Members) ReceiveAgentState(now time.Time, server string, state *jayv1.AgentState) {
 	b := m.members[server]
 	if b == nil || state == nil {
 		return
 	}
 	f := &b.facts
-	reborn := state.GetIncarnation() > f.incarnation && f.incarnation != 0
+	restarted := state.GetIncarnation() > f.incarnation && f.incarnation != 0
 	switch {
 	case state.GetLeaving():
-		f.selfLeaving, f.selfAt = true, now
-	case f.selfLeaving && (reborn || now.Sub(f.selfAt) >= m.settings.ReorderWindow):
-		f.selfLeaving = false
-		f.newsLeaving = false
+		f.agentDraining, f.agentDrainingAt = true, now
+	case f.agentDraining && (restarted || now.Sub(f.agentDrainingAt) >= m.settings.ReorderWindow):
+		f.agentDraining = false
+		f.peerDraining = false
 	}
 	f.incarnation = max(f.incarnation, state.GetIncarnation())
-	if reborn && b.state == StateEjected {
-		m.fire(now, b, eventComeBack)
+	if restarted && b.state == StateEjected {
+		m.fire(now, b, eventReturn)
 	}
 	m.applyFacts(now, b)
 }
 
-// RefusedDraining takes in that the server refused work because it is leaving.
+// RefusedDraining records that the server refused a request because it drains.
 func (m *Members) RefusedDraining(now time.Time, server string) {
 	if b := m.members[server]; b != nil {
-		b.facts.selfLeaving, b.facts.selfAt = true, now
+		b.facts.agentDraining, b.facts.agentDrainingAt = true, now
 		m.applyFacts(now, b)
 	}
 }
 
-// ReceiveVMs takes an answer of the platform's list. A VM is matched by the name of
-// the backend server, else by its IP number.
+// ReceiveVMs records an answer of the platform's list. A VM is matched by the
+// name of the backend server, otherwise by its IP address if only one server has
+// it.
 func (m *Members) ReceiveVMs(now time.Time, list platform.VMList) {
-	named := map[*member]bool{}
+	listed := map[*member]bool{}
 	for _, vm := range list.VMs {
-		for _, b := range m.ofVM(vm) {
-			named[b] = true
-			b.facts.take(now, vm)
+		for _, b := range m.membersOf(vm) {
+			listed[b] = true
+			b.facts.setVM(now, vm)
 			m.applyFacts(now, b)
 		}
 	}
@@ -110,14 +113,14 @@
 		return
 	}
 	for _, b := range m.members {
-		if !named[b] && b.facts.vm != "" && b.facts.vm != platform.VMGone {
-			b.facts.take(now, platform.VM{State: platform.VMGone, Incarnation: b.facts.vmIncarnation})
+		if !listed[b] && b.facts.vm != "" && b.facts.vm != platform.VMGone {
+			b.facts.setVM(now, platform.VM{State: platform.VMGone, Incarnation: b.facts.vmIncarnation})
 			m.applyFacts(now, b)
 		}
 	}
 }
 
-func (m *Members) ofVM(vm platform.VM) []*member {
+func (m *Members) membersOf(vm platform.VM) []*member {
 	if b := m.members[vm.Name]; b != nil {
 		return []*member{b}
 	}
@@ -134,14 +137,14 @@
 	return nil
 }
 
-// take ignores the state of an incarnation that was replaced already.
-func (f *facts) take(now time.Time, vm platform.VM) {
+// setVM sets the VM's state, unless it is of an earlier incarnation.
+func (f *facts) setVM(now time.Time, vm platform.VM) {
 	if vm.Incarnation < f.vmIncarnation {
 		return
 	}
 	if vm.Incarnation > f.vmIncarnation && f.vmIncarnation != 0 {
-		// Another VM under the name: what the old one said is over.
-		f.selfLeaving, f.newsLeaving = false, false
+		// Another VM has this name now: reports on the previous one no longer apply.
+		f.agentDraining, f.peerDraining = false, false
 	}
 	if vm.State == platform.VMGone && f.vm != platform.VMGone {
 		f.goneAt = now
@@ -149,37 +152,38 @@
 	f.vm, f.vmIncarnation = vm.State, vm.Incarnation
 }
 
-// ReceivePeerUpdates takes what other entries tell. That a server leaves is believed for a
-// while. That another entry ejected it is not: that entry's own link may be cut.
-func (m *Members) ReceivePeerUpdates(now time.Time, news []*jayv1.MemberNews) {
-	for _, n := range news {
-		b := m.members[n.GetName()]
-		if b == nil || n.GetState() != StateDraining || n.GetIncarnation() < b.facts.incarnation {
+// ReceivePeerUpdates records updates from other entries. A report that a server
+// drains is accepted for a limited time. A report that another entry ejected a
+// server is ignored: that entry's own network link may be down.
+func (m *Members) ReceivePeerUpdates(now time.Time, updates []*jayv1.MemberNews) {
+	for _, update := range updates {
+		b := m.members[update.GetName()]
+		if b == nil || update.GetState() != StateDraining || update.GetIncarnation() < b.facts.incarnation {
 			continue
 		}
-		said := now.Add(-time.Duration(n.GetAgeMs()) * time.Millisecond)
-		if now.Sub(said) < m.settings.PeerReportTTL {
-			b.facts.newsLeaving, b.facts.newsUntil = true, said.Add(m.settings.PeerReportTTL)
+		reportedAt := now.Add(-time.Duration(update.GetAgeMs()) * time.Millisecond)
+		if now.Sub(reportedAt) < m.settings.PeerReportTTL {
+			b.facts.peerDraining, b.facts.peerDrainingUntil = true, reportedAt.Add(m.settings.PeerReportTTL)
 			m.applyFacts(now, b)
 		}
 	}
 }
 
-// maxNews bounds what a digest carries.
-const maxNews = 16
+// maxPeerUpdates limits the updates in a digest.
+const maxPeerUpdates = 16
 
-// PeerUpdates returns what other entries should hear: servers that said themselves,
-// not through the news, that they leave.
+// PeerUpdates returns the updates for other entries: the servers whose own agents
+// reported that they drain. Reports from other entries are not forwarded.
 func (m *Members) PeerUpdates(now time.Time) []*jayv1.MemberNews {
-	var news []*jayv1.MemberNews
+	var updates []*jayv1.MemberNews
 	for name, b := range m.members {
-		age := now.Sub(b.facts.selfAt)
-		if !b.facts.selfLeaving || age >= m.settings.PeerReportTTL || len(news) == maxNews {
+		age := now.Sub(b.facts.agentDrainingAt)
+		if !b.facts.agentDraining || age >= m.settings.PeerReportTTL || len(updates) == maxPeerUpdates {
 			continue
 		}
-		news = append(news, &jayv1.MemberNews{
-			Name: name, State: StateDraining, Incarnation: b.facts.incarnation, AgeMs: uint32(age.Milliseconds()), //nolint:gosec // below NewsLife
+		updates = append(updates, &jayv1.MemberNews{
+			Name: name, State: StateDraining, Incarnation: b.facts.incarnation, AgeMs: uint32(age.Milliseconds()), //nolint:gosec // below PeerReportTTL
 		})
 	}
-	return news
+	return updates
 }
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -1,12 +1,13 @@
-// Package membership says which backend servers may get work, from the
-// catalog, the platform's lagging list of VMs, what answers show in passing
-// and what other entries tell. It has no I/O, goroutine or clock; callers lock.
+// Package membership determines which backend servers may receive requests. Its
+// sources are the catalog, the platform's list of VMs (which lags), the state in
+// the agents' answers, the results of the entry's own requests and updates from
+// other entries. It has no I/O, goroutines or clock; callers provide the locking.
 //
-// Facts and conclusions are kept apart. That a server leaves or is gone is a
-// fact: the first source that says so counts. That it fails is a conclusion
-// from our own work, possibly wrong (our own link may be cut), so at most a
-// set share of a pool is ejected for it, for a time that grows when the server
-// flaps.
+// Facts and conclusions are kept apart. That a server is draining or gone is a
+// fact: the first source that reports it counts. That it fails is a conclusion
+// from this entry's own requests, and may be wrong if the entry's own network
+// link is down. So only a limited share of a pool is ejected for failures, each
+// time for a backoff that grows if the server keeps failing.
 package membership
 
 import (
@@ -16,7 +17,8 @@
 	"github.com/jayproxy/jayproxy/internal/statechart"
 )
 
-// States of charts/member.toml.
+// States of charts/member.toml. A draining server is in the state that the chart
+// and the messages between entries call "leaving".
 const (
 	StateHealthy   = "healthy"
 	StateSuspect   = "suspect"
@@ -26,48 +28,52 @@
 	StateGone      = "gone"
 )
 
-// Events of charts/member.toml.
+// Events of charts/member.toml, with the names that the chart gives them.
 const (
 	eventFail        = "fail"
 	eventTrip        = "trip"
 	eventRecover     = "recover"
 	eventBackoffOver = "backoff_over"
-	eventPardon      = "pardon"
-	eventLeave       = "leave"
-	eventVanish      = "vanish"
-	eventComeBack    = "come_back"
+	eventReinstate   = "pardon"
+	eventDrain       = "leave"
+	eventRemove      = "vanish"
+	eventReturn      = "come_back"
 )
 
-// Settings of the conclusions.
+// Settings of the conclusions from failures, and lifetimes of reports.
 type Settings struct {
-	// FailureStreak of failures that ejects.
+	// FailureStreak is the number of consecutive failures that ejects a server.
 	FailureStreak int
-	// FailureShare of the work of late that ejects.
+	// FailureShare is the share of failures among recent requests that ejects a
+	// server.
 	FailureShare float64
-	// HalfLife after which the failure share fades to half.
+	// HalfLife is the time in which the failure share decays by half.
 	HalfLife time.Duration
-	// ProbationSuccesses of successes that ends probation, TrustStreak suspicion.
+	// ProbationSuccesses and SuspectSuccesses are the numbers of consecutive
+	// successes that end the states probation and suspect.
 	ProbationSuccesses int
 	SuspectSuccesses   int
-	// Backoff of the first ejection; doubles up to MaxBackoff.
+	// Backoff is the duration of the first ejection; it doubles up to MaxBackoff.
 	Backoff    time.Duration
 	MaxBackoff time.Duration
-	// MaxEjectedShare of a pool's servers that are neither leaving nor gone.
+	// MaxEjectedShare is the highest share of ejected servers among the servers of
+	// a group that are neither draining nor gone.
 	MaxEjectedShare float64
-	// SuspectWeight and ProbationWeight scale the work of such servers.
+	// SuspectWeight and ProbationWeight are the weights of servers in these
+	// states, between 0 and 1.
 	SuspectWeight   float64
 	ProbationWeight float64
-	// ReorderWindow is how long after a server said that it leaves its answers to the
-	// contrary still count as delayed ones.
+	// ReorderWindow is how long after a server reported that it drains a report to
+	// the contrary is ignored, because it may have been sent before.
 	ReorderWindow time.Duration
-	// AgentReportTTL is how long a server's own word that it leaves counts without
-	// being heard again.
+	// AgentReportTTL is how long an agent's report that its server drains counts
+	// after it was last received.
 	AgentReportTTL time.Duration
-	// PeerReportTTL is how long the word of another entry counts.
+	// PeerReportTTL is how long a report by another entry counts.
 	PeerReportTTL time.Duration
 }
 
-// DefaultSettings eject after a few failures in a row for two seconds.
+// DefaultSettings eject a server for two seconds after three consecutive failures.
 func DefaultSettings() Settings {
 	return Settings{
 		FailureStreak: 3, FailureShare: 0.5, HalfLife: 10 * time.Second,
@@ -80,14 +86,14 @@
 // Server is a backend server as the catalog declares it.
 type Server struct {
 	Name string
-	// Group is the pool or service, within which ejections are bounded.
+	// Group is the pool or service of the server; ejections are limited per group.
 	Group string
-	// Host is the IP number of its VM.
+	// Host is the IP address of its VM.
 	Host     string
 	Draining bool
 }
 
-// Members is what an entry holds of the backend servers.
+// Members is an entry's view of the backend servers.
 type Members struct {
 	settings Settings
 	chart    *statechart.Chart
@@ -98,24 +104,25 @@
 
 // member is one backend server.
 type member struct {
-	server Server
-	state  string
-	facts  facts
-	record record
+	server   Server
+	state    string
+	facts    facts
+	outcomes outcomes
 	// changedAt is when the state last changed.
 	changedAt time.Time
-	// until ends an ejection; ejections counts them for the backoff.
+	// until is when the ejection ends; ejections counts them, to determine the
+	// backoff.
 	until     time.Time
 	ejections int
 }
 
-// New makes members without servers.
+// New returns Members without servers.
 func New(settings Settings) *Members {
 	return &Members{settings: settings, chart: charts.Must("member"), members: map[string]*member{}}
 }
 
-// SetServers takes the backend servers of a new generation of the catalog.
-// What is known of a server that stays is kept.
+// SetServers sets the backend servers of a new generation of the catalog. The
+// state of servers that remain is kept.
 func (m *Members) SetServers(now time.Time, servers []Server) {
 	old := m.members
 	m.members = make(map[string]*member, len(servers))
@@ -127,7 +134,7 @@
 			b = &member{state: m.chart.Initial(), changedAt: now}
 		}
 		b.server = server
-		b.facts.draining = server.Draining
+		b.facts.operatorDraining = server.Draining
 		m.members[server.Name] = b
 		m.byHost[server.Host] = append(m.byHost[server.Host], b)
 		m.groups[server.Group] = append(m.groups[server.Group], b)
@@ -137,11 +144,11 @@
 	}
 }
 
-// Forget drops all evidence on a server; with the next SetServers that names it,
-// it is as new.
+// Forget drops all evidence on a server. The next SetServers that names it adds
+// it as a new server.
 func (m *Members) Forget(server string) { delete(m.members, server) }
 
-// Usable is false for a server that is leaving, gone or ejected.
+// Usable is false for a server that is unknown, draining, gone or ejected.
 func (m *Members) Usable(server string) bool {
 	b := m.members[server]
 	if b == nil {
@@ -154,7 +161,8 @@
 	return true
 }
 
-// Weight in (0, 1] scales a server's work; failures of late lower it.
+// Weight in (0, 1] scales the share of requests that a server gets; recent
+// failures lower it.
 func (m *Members) Weight(server string) float64 {
 	b := m.members[server]
 	if b == nil {
@@ -169,7 +177,7 @@
 	return 1
 }
 
-// State is the server's state by charts/member.toml, "" when it is unknown.
+// State returns the server's state in charts/member.toml, "" if it is unknown.
 func (m *Members) State(server string) string {
 	if b := m.members[server]; b != nil {
 		return b.state
@@ -177,15 +185,15 @@
 	return ""
 }
 
-// Tick ends ejections whose backoff is over and forgets old words.
+// Tick ends ejections whose backoff is over and drops expired reports.
 func (m *Members) Tick(now time.Time) {
 	for _, b := range m.members {
 		if b.state == StateEjected && !now.Before(b.until) {
 			m.fire(now, b, eventBackoffOver)
 		}
 		if b.state == StateSuspect {
-			b.record.fade(now, m.settings.HalfLife)
-			if b.record.share <= forgottenShare {
+			b.outcomes.decay(now, m.settings.HalfLife)
+			if b.outcomes.failureShare <= recoveredShare {
 				m.fire(now, b, eventRecover)
 			}
 		}
@@ -193,7 +201,7 @@
 		m.applyFacts(now, b)
 	}
 	for _, group := range m.groups {
-		m.pardon(now, group)
+		m.reinstate(now, group)
 	}
 }
 
@@ -208,16 +216,17 @@
 	case StateEjected:
 		m.beginEjection(now, b)
 	case StateHealthy:
-		b.record.reset()
+		b.outcomes.reset()
 	case StateProbation:
-		b.record.streaks()
+		b.outcomes.resetStreaks()
 	}
 }
 
 func (m *Members) beginEjection(now time.Time, b *member) {
-	// A server that stayed well for ten times its last backoff starts anew.
-	const forgiven = 10
-	if now.Sub(b.until) > forgiven*m.backoff(b.ejections) {
+	// After ten times its last backoff without an ejection, a server starts again
+	// with the shortest backoff.
+	const resetFactor = 10
+	if now.Sub(b.until) > resetFactor*m.backoff(b.ejections) {
 		b.ejections = 0
 	}
 	b.ejections++
@@ -232,8 +241,8 @@
 	return min(d, m.settings.MaxBackoff)
 }
 
-// mayEject bounds the ejected share of a group. Evidence that condemns a whole
-// pool is more likely to be about our own link; the pool must not be emptied.
+// mayEject limits the ejected share of a group. Evidence against a whole pool is
+// more likely due to this entry's own network link; the pool must not be emptied.
 func (m *Members) mayEject(b *member) bool {
 	ejected, present := count(m.groups[b.server.Group])
 	return float64(ejected+1) <= m.settings.MaxEjectedShare*float64(present)
@@ -253,9 +262,9 @@
 	return ejected, present
 }
 
-// pardon brings back the least bad of the ejected when others left since and
-// too few remain.
-func (m *Members) pardon(now time.Time, group []*member) {
+// reinstate ends ejections while the ejected share is too high because the group
+// has shrunk. The ejection that would end first is ended first.
+func (m *Members) reinstate(now time.Time, group []*member) {
 	for {
 		ejected, present := count(group)
 		if ejected == 0 || float64(ejected) <= m.settings.MaxEjectedShare*float64(present) {
@@ -267,6 +276,6 @@
 				best = b
 			}
 		}
-		m.fire(now, best, eventPardon)
+		m.fire(now, best, eventReinstate)
 	}
 }
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -36,10 +36,9 @@
 	}
 }
 
-// Story: a VM is about to be replaced. The platform's list says so half a
-// minute late; the agent, another entry or an operator say so earlier. Work
-// sent there in between would be cut or refused.
-func TestTheFirstSourceThatSaysLeavingCounts(t *testing.T) {
+// Guards against requests to a draining server that would be refused or cut: any of
+// the sources may be the first to report it.
+func TestTheFirstSourceThatReportsDrainingCounts(t *testing.T) {
 	sources := map[string]func(m *membership.Members){
 		"agent's answer": func(m *membership.Members) {
 			m.ReceiveAgentState(start, "b00", &jayv1.AgentState{Incarnation: 1, Leaving: true})
@@ -58,11 +57,11 @@
 			m.SetServers(start, []membership.Server{{Name: "b00", Group: "pool/p", Draining: true}})
 		},
 	}
-	for name, say := range sources {
+	for name, report := range sources {
 		t.Run(name, func(t *testing.T) {
 			m, _ := pool(3)
 			require.True(t, m.Usable("b00"))
-			say(m)
+			report(m)
 			assert.Equal(t, membership.StateDraining, m.State("b00"))
 			m.Tick(start.Add(3 * time.Second))
 			assert.False(t, m.Usable("b00"))
@@ -70,10 +69,9 @@
 	}
 }
 
-// Story: an agent says that it leaves. An answer that it gave a moment before
-// comes in after that, and the platform's list still calls it live. Either
-// would bring the server back into service while it shuts down.
-func TestOlderWordsDoNotBringALeavingServerBack(t *testing.T) {
+// Guards against a draining server that returns to service because an older answer
+// of its agent or a lagging VM list arrives later.
+func TestOlderReportsDoNotReturnADrainingServer(t *testing.T) {
 	m, _ := pool(3)
 	m.ReceiveAgentState(start, "b00", &jayv1.AgentState{Incarnation: 4, Leaving: true})
 	m.ReceiveAgentState(start.Add(time.Second), "b00", &jayv1.AgentState{Incarnation: 4})
@@ -81,32 +79,31 @@
 	assert.False(t, m.Usable("b00"))
 
 	m.ReceiveAgentState(start.Add(2*time.Second), "b00", &jayv1.AgentState{Incarnation: 5})
-	assert.True(t, m.Usable("b00"), "a new boot is a new server")
+	assert.True(t, m.Usable("b00"), "a new incarnation is a new server")
 }
 
-func TestALeavingThatWasCalledOffEndsAfterTheSettleTime(t *testing.T) {
+func TestACancelledDrainEndsAfterTheReorderWindow(t *testing.T) {
 	m, _ := pool(3)
 	m.ReceiveAgentState(start, "b00", &jayv1.AgentState{Incarnation: 4, Leaving: true})
 	m.ReceiveAgentState(start.Add(6*time.Second), "b00", &jayv1.AgentState{Incarnation: 4})
 	assert.True(t, m.Usable("b00"))
 }
 
-// Story: the platform drops a VM from its list by mistake, or another VM got
-// its name. Work there goes on well; taking it out would only lose capacity.
-func TestAServerThatWorksIsNotGoneBecauseAListSaysSo(t *testing.T) {
+// Guards against losing a working server because the platform's list omits its VM
+// or gives its name to another VM.
+func TestAServerThatAnswersIsNotGoneByTheListAlone(t *testing.T) {
 	m, _ := pool(3)
 	m.ReceiveVMs(start, platform.VMList{Whole: true, VMs: []platform.VM{{Name: "b00", State: platform.VMLive}}})
 	m.ReceiveVMs(start.Add(time.Second), platform.VMList{Whole: true, VMs: []platform.VM{{Name: "b09", State: platform.VMLive}}})
 	assert.Equal(t, membership.StateGone, m.State("b00"))
-	assert.True(t, m.Usable("b01"), "a server that was never listed is not gone")
+	assert.True(t, m.Usable("b01"), "a server whose VM was never listed is not gone")
 	m.Succeeded(start.Add(2*time.Second), "b00")
 	assert.True(t, m.Usable("b00"))
 }
 
-// Story: one entry's own link is cut one way. Every offer it makes fails, and
-// by its evidence the whole pool is down. Ejecting all would turn a cut link
-// into refused callers for as long as the backoff lasts.
-func TestBadEvidenceNeverEmptiesAPool(t *testing.T) {
+// Guards against ejecting a whole pool when the entry's own network link is down
+// and all its offers fail.
+func TestFailuresNeverEjectAWholePool(t *testing.T) {
 	m, names := pool(6)
 	for _, name := range names {
 		fail(m, start, name, 20)
@@ -118,15 +115,15 @@
 			assert.Positive(t, m.Weight(name))
 		}
 	}
-	assert.Equal(t, 4, usable, "at most a third is ejected")
+	assert.Equal(t, 4, usable, "two of six are ejected, at most about a third")
 	m2, _ := pool(1)
 	fail(m2, start, "b00", 100)
 	assert.True(t, m2.Usable("b00"), "the only server is never ejected")
 }
 
-// Story: two of six servers are ejected; then the others leave one by one in a
-// rolling replacement. The ejected ones must come back before nothing is left.
-func TestEjectedServersArePardonedWhenOthersLeave(t *testing.T) {
+// Guards against a pool without usable servers when, during a rolling replacement,
+// all servers drain that are not ejected.
+func TestEjectedServersAreReinstatedWhenOthersDrain(t *testing.T) {
 	m, names := pool(6)
 	fail(m, start, names[0], 9)
 	fail(m, start, names[1], 9)
@@ -138,9 +135,9 @@
 	assert.True(t, m.Usable(names[1]))
 }
 
-// Story: a server fails, is ejected, works for a moment and fails again, over
-// and over. Each round costs callers failed attempts; the rounds must get rarer.
-func TestAFlappingServerIsTriedEverMoreRarely(t *testing.T) {
+// Guards against frequent failed attempts at a server that works for a moment after
+// each ejection and fails again.
+func TestTheBackoffOfAFlappingServerGrows(t *testing.T) {
 	m, names := pool(6)
 	now := start
 	var waits []time.Duration
@@ -159,10 +156,9 @@
 	assert.Equal(t, []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second, 16 * time.Second, 32 * time.Second, time.Minute}, waits)
 }
 
-// Story: one answer breaks. Work goes to other servers, which are free, so the
-// suspect never gets the chance to prove itself, and its cached prefixes go
-// unused for good.
-func TestASuspicionFadesWithoutWork(t *testing.T) {
+// Guards against a server that stays suspect for good because other servers are free
+// and it gets no requests with which to recover.
+func TestASuspectWithoutWorkRecovers(t *testing.T) {
 	m, _ := pool(3)
 	m.Failed(start, "b00")
 	m.Tick(start.Add(10 * time.Second))
@@ -171,26 +167,26 @@
 	assert.Equal(t, membership.StateHealthy, m.State("b00"))
 }
 
-func TestAnotherEntrysEjectionIsNotTaken(t *testing.T) {
+func TestEjectionsByOtherEntriesAreIgnored(t *testing.T) {
 	m, _ := pool(3)
 	m.ReceivePeerUpdates(start, []*jayv1.MemberNews{{Name: "b00", State: membership.StateEjected}})
 	assert.True(t, m.Usable("b00"))
 	m.ReceivePeerUpdates(start, []*jayv1.MemberNews{{Name: "b00", State: membership.StateDraining, AgeMs: 40_000}})
-	assert.True(t, m.Usable("b00"), "news that is too old")
+	assert.True(t, m.Usable("b00"), "an expired report is ignored")
 }
 
-func TestNewsIsToldByWhoHeardItFromTheServer(t *testing.T) {
+func TestOnlyReportsFromTheAgentAreSentToPeers(t *testing.T) {
 	a, _ := pool(3)
 	b, _ := pool(3)
 	a.ReceiveAgentState(start, "b00", &jayv1.AgentState{Incarnation: 2, Leaving: true})
 	b.ReceivePeerUpdates(start, a.PeerUpdates(start.Add(time.Second)))
 	assert.False(t, b.Usable("b00"))
-	assert.Empty(t, b.PeerUpdates(start), "news is not passed on, or it would never end")
+	assert.Empty(t, b.PeerUpdates(start), "reports of other entries are not forwarded, otherwise they would circulate for ever")
 }
 
-// Whatever comes in whatever order, at most the set share of a pool's present
-// servers is ejected, and no call on the members panics.
-func TestNoOrderOfEventsEjectsMoreThanTheShare(t *testing.T) {
+// Checks with random events that the ejected share of the present servers stays
+// within the limit and that nothing panics.
+func TestNoSequenceOfEventsEjectsMoreThanTheShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "servers")
 		m, names := pool(n)
@@ -204,7 +200,7 @@
 			case 1:
 				m.Succeeded(now, name)
 			case 2:
-				m.ReceiveAgentState(now, name, &jayv1.AgentState{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "boot"), Leaving: rapid.Bool().Draw(t, "leaving")})
+				m.ReceiveAgentState(now, name, &jayv1.AgentState{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "agent incarnation"), Leaving: rapid.Bool().Draw(t, "leaving")})
 			case 3:
 				state := rapid.SampledFrom([]platform.VMState{platform.VMLive, platform.VMLeaving, platform.VMGone}).Draw(t, "vm")
 				m.ReceiveVMs(now, platform.VMList{VMs: []platform.VM{{Name: name, State: state, Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation")}}})
@@ -229,11 +225,10 @@
 	})
 }
 
-// After a rolling release one backend server idles for ever. Its agent said
-// that it leaves, stopped and was started again at the same address; the engine
-// ran on, so no new boot shows. Entries keep it out because of its last word,
-// offer it nothing, and so never hear that it is back.
-func TestAServerThatLeftAndCameBackUnseenIsTriedAgain(t *testing.T) {
+// Guards against a server that stays out for good after its agent reported draining
+// and restarted: the engine ran on, so no new incarnation shows, and without offers
+// no newer report arrives.
+func TestAServerThatReturnsUnnoticedIsUsedAgain(t *testing.T) {
 	m, _ := pool(2)
 	now := start
 	m.ReceiveAgentState(now, "b00", &jayv1.AgentState{Incarnation: 1, Leaving: true})
@@ -242,15 +237,15 @@
 	m.Tick(now)
 	require.True(t, m.Usable("b00"))
 	m.RefusedDraining(now, "b00")
-	require.False(t, m.Usable("b00"), "one that is still leaving says so at once")
+	require.False(t, m.Usable("b00"), "a server that still drains refuses the next offer")
 }
 
-// Story: engines crash. Each entry needed three failed connections to each of
-// them before it left them alone, though nothing listened there.
-func TestAServerThatDoesNotListenIsLeftAloneAtOnce(t *testing.T) {
+// Guards against repeated failed connections to a server on whose address nothing
+// listens.
+func TestAServerThatDoesNotListenIsEjectedAtOnce(t *testing.T) {
 	m, names := pool(4)
 	m.NotListening(start, names[0])
 	assert.False(t, m.Usable(names[0]))
 	m.NotListening(start, names[1])
-	assert.True(t, m.Usable(names[1]), "a pool is not emptied on such evidence")
+	assert.True(t, m.Usable(names[1]), "the limit on ejections applies here too")
 }
