--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet holds what is known of the backend servers of forwarded calls:
-// the list that they register themselves in, and what is learned beside it.
-// It has no I/O, goroutine or clock; callers lock.
+// Package fleet holds the list of backend servers of forwarded calls: their own
+// registrations in the store, and what is learned about them from other sources.
+// It has no I/O, goroutines or clock; callers provide the locking.
 package fleet
 
 import (
@@ -10,122 +10,127 @@
 	"time"
 )
 
-// Incarnation is one run of a backend server, from its start to its end. A server
-// may start again under its name: it then holds nothing of what it held, and
-// all that was learned of the run before is void.
+// Incarnation is one run of a backend server's process, from start to end. A
+// server may start again under the same name; it has then lost what it held in
+// memory, and everything learned about the previous incarnation is void.
 type Incarnation struct {
 	// Instance is the name that the server gives itself.
 	Instance string
-	// StartedMS is when it started, in Unix ms by its own clock; 0: it does not say.
+	// StartedMS is the start time in Unix ms by the server's clock; 0 if unknown.
 	StartedMS int64
 }
 
-// lifetimeMark stands between the server's name and its birth in an ID.
-const lifetimeMark = "@"
+// incarnationSeparator separates the server's name and its start time in an ID.
+const incarnationSeparator = "@"
 
-// InstanceOf returns the server's own name from the ID of one of its lifetimes,
-// for what outlasts a restart.
+// InstanceOf returns the server's own name from the ID of an incarnation, for
+// state that is kept across restarts.
 func InstanceOf(id string) string {
-	if at := strings.LastIndex(id, lifetimeMark); at > 0 {
+	if at := strings.LastIndex(id, incarnationSeparator); at > 0 {
 		return id[:at]
 	}
 	return id
 }
 
-// ID names the lifetime among all others, for beliefs and for words between
-// entries: what is said of an earlier run bears another name.
-func (l Incarnation) ID() string {
-	if l.StartedMS == 0 {
-		return l.Instance
+// ID identifies the incarnation, in the entry's own state and in messages between
+// entries, so that a message about an earlier incarnation is not applied to a
+// later one.
+func (i Incarnation) ID() string {
+	if i.StartedMS == 0 {
+		return i.Instance
 	}
-	return l.Instance + lifetimeMark + strconv.FormatInt(l.StartedMS, 36)
+	return i.Instance + incarnationSeparator + strconv.FormatInt(i.StartedMS, 36)
 }
 
-// Backend is one lifetime of a backend server, as its own entry in the list says.
+// Backend is one incarnation of a backend server as it registered itself.
 type Backend struct {
 	Incarnation
-	// ID of the lifetime; Hash is its rendezvous hash.
+	// ID of the incarnation; Hash is its rendezvous hash.
 	ID         string
 	Hash       uint64
 	Service    string
 	Address    string
 	DataCentre string
 	Slots      int
-	// Draining backends get no new work.
+	// Draining backends get no new requests.
 	Draining bool
-	// Cold is how much longer it stays slow after its start.
+	// Cold is how much longer the server stays slow after its start.
 	Cold time.Duration
-	// Versions of the weights loaded, by model. The list lags.
+	// Versions of the loaded weights, by model. They may be out of date.
 	Versions map[string]uint64
 }
 
-// List is the backends in force, one lifetime of each server. An entry that
-// vanished while the list could not be read may only have expired: it stays for
-// the grace time after the list is back, and is gone if it is still missing then.
+// List holds the current backends, one incarnation of each server. If a
+// registration disappeared while the store could not be read, it may only have
+// expired for lack of renewal. So it is kept for a grace period after the store is
+// readable again and removed if it is still missing then.
 type List struct {
-	// Grace is how long an entry may be missing after an outage.
+	// grace is how long a registration may be missing after an outage.
 	grace time.Duration
-	// byName holds the entries by the servers' own names, byID by lifetime.
+	// byName holds the backends by the servers' own names, byID by incarnation.
 	byName map[string]*Backend
 	byID   map[string]*Backend
-	// missing are the names of servers whose entries vanished.
+	// missing maps the names of servers whose registrations disappeared to the end
+	// of their grace period.
 	missing map[string]time.Time
-	// ended holds lifetimes that are proven over though they are still listed,
-	// with the time until which that proof goes before the list.
+	// ended maps incarnations that are known to have ended, though they are still
+	// listed, to the time until which that overrides the list.
 	ended map[string]time.Time
-	// doubted are entries of earlier lifetimes, by the servers' own names.
-	doubted map[string]doubt
-	// restoredAt is when the list was last regained.
+	// unconfirmed holds registrations of earlier incarnations, by the servers' own names.
+	unconfirmed map[string]unconfirmedBackend
+	// restoredAt is when the store last became readable again.
 	restoredAt time.Time
-	// byHash and sorted are derived from byID, nil when it changed.
+	// byHash and sorted are derived from byID; nil after a change.
 	byHash map[uint32]*Backend
 	sorted map[string][]*Backend
 	// generation counts the changes.
 	generation uint64
 }
 
-// NewList makes an empty list.
+// NewList returns an empty list with this grace period.
 func NewList(grace time.Duration) *List {
 	return &List{
 		grace: grace, byName: map[string]*Backend{}, byID: map[string]*Backend{},
-		missing: map[string]time.Time{}, ended: map[string]time.Time{}, doubted: map[string]doubt{},
+		missing: map[string]time.Time{}, ended: map[string]time.Time{}, unconfirmed: map[string]unconfirmedBackend{},
 	}
 }
 
-// Change is what an entry did to the list.
+// Change is the effect of a registration on the list.
 type Change int
 
-// The changes.
+// Values of Change.
 const (
-	// Added: a server that was not listed.
+	// Added: the server was not listed.
 	Added Change = iota
-	// Updated: the same lifetime, with other words perhaps.
+	// Updated: the listed incarnation, possibly with other properties.
 	Updated
-	// Restarted: another lifetime of a server that was listed.
+	// Restarted: another incarnation of a listed server.
 	Restarted
-	// Stale: an entry of an earlier lifetime than the listed one; not taken yet.
+	// Stale: an earlier incarnation than the listed one; not applied yet.
 	Stale
 )
 
-// staleFor is how long an entry of an earlier lifetime must stand before it is
-// believed. A late word of the run before is written over by the server's next
-// heartbeat; one that stands was born by a clock that had gone back.
-const staleFor = 5 * time.Second
+// confirmPeriod is how long a registration with an earlier start time must persist
+// before it is applied. A delayed registration of the previous incarnation is
+// overwritten by the server's next heartbeat. One that persists means that the
+// server's clock was set back before a restart.
+const confirmPeriod = 5 * time.Second
 
-// doubt is an entry that speaks of an earlier lifetime than the listed one.
-type doubt struct {
-	entry *Backend
-	since time.Time
+// unconfirmedBackend is a registration with an earlier start time than the listed
+// incarnation, and since when it has persisted.
+type unconfirmedBackend struct {
+	backend *Backend
+	since   time.Time
 }
 
-// Put takes in an entry. old is the one before under the server's name, nil when
-// there was none. The entry's ID is set here.
+// Put applies a registration and sets its ID. old is the previous backend under
+// the server's name, nil if there was none.
 //
-// An entry that does not say when its server was born speaks of the lifetime
-// that is listed: a restart always says it, and not every writer does. One that
-// says it of a server for which it was not known, or that names another
-// address, is another lifetime: a process does not move, and beliefs given up
-// for nothing cost less than orders that count on a run that is over.
+// A registration without a start time is taken to be of the listed incarnation: not
+// every writer states the time, but a restarted server always does. A
+// registration that adds a start time where none was known, or has another address, is
+// another incarnation. A process does not change its address, and dropping valid
+// state costs less than sending orders that rely on an incarnation that has ended.
 func (l *List) Put(now time.Time, b *Backend) (old *Backend, change Change) {
 	old = l.byName[b.Instance]
 	if old != nil && b.StartedMS == 0 {
@@ -136,123 +141,126 @@
 	case old == nil:
 		change = Added
 	case b.StartedMS < old.StartedMS:
-		l.doubt(now, b)
+		l.addUnconfirmed(now, b)
 		return old, Stale
 	case b.StartedMS > old.StartedMS, b.Address != old.Address:
 		change = Restarted
-		l.forget(old)
+		l.removeIncarnation(old)
 	default:
 		change = Updated
 	}
-	l.take(b)
+	l.setBackend(b)
 	return old, change
 }
 
-// doubt keeps an entry of an earlier lifetime, with how long it has stood.
-func (l *List) doubt(now time.Time, b *Backend) {
+// addUnconfirmed keeps a registration of an earlier incarnation until it is confirmed.
+func (l *List) addUnconfirmed(now time.Time, b *Backend) {
 	since := now
-	if before, ok := l.doubted[b.Instance]; ok && before.entry.StartedMS == b.StartedMS {
+	if before, ok := l.unconfirmed[b.Instance]; ok && before.backend.StartedMS == b.StartedMS {
 		since = before.since
 	}
-	l.doubted[b.Instance] = doubt{entry: b, since: since}
+	l.unconfirmed[b.Instance] = unconfirmedBackend{backend: b, since: since}
 }
 
-// take lists an entry as its server's lifetime.
-func (l *List) take(b *Backend) {
+// setBackend makes b the listed incarnation of its server.
+func (l *List) setBackend(b *Backend) {
 	l.byName[b.Instance], l.byID[b.ID] = b, b
 	delete(l.missing, b.Instance)
-	delete(l.doubted, b.Instance)
-	l.changed()
+	delete(l.unconfirmed, b.Instance)
+	l.invalidate()
 }
 
-// forget drops what is kept by a lifetime's ID.
-func (l *List) forget(b *Backend) {
+// removeIncarnation drops what is stored under the incarnation's ID.
+func (l *List) removeIncarnation(b *Backend) {
 	delete(l.byID, b.ID)
 	delete(l.ended, b.ID)
-	l.changed()
+	l.invalidate()
 }
 
-// endedFor is how long a proof that a lifetime is over goes before the list:
-// an entry expires after three missed heartbeats, and some seconds later while
-// the store is down. It lapses by itself, so that a false proof costs no server.
-const endedFor = 8 * time.Second
+// endedTTL is how long the proof that an incarnation ended overrides the list. A
+// registration expires after three missed heartbeats, and some seconds later if the
+// store is down. The limit ensures that a wrong proof does not exclude a server
+// for good.
+const endedTTL = 8 * time.Second
 
-// MarkEnded takes in the proof that a lifetime is over: another instance answered at
-// its address. The list shows it some seconds later; until then each request
-// for it would be refused there. False: it is not listed, or known to be over.
+// MarkEnded records the proof that an incarnation ended: another instance answered
+// at its address. The list shows this some seconds later; until then requests for
+// it would be refused. It reports false if the incarnation is not listed or is
+// already marked.
 func (l *List) MarkEnded(now time.Time, id string) bool {
 	if l.byID[id] == nil || l.Ended(now, id) {
 		return false
 	}
-	l.ended[id] = now.Add(endedFor)
+	l.ended[id] = now.Add(endedTTL)
 	return true
 }
 
-// Ended tells whether a lifetime is proven over.
+// Ended reports whether an incarnation is marked as ended.
 func (l *List) Ended(now time.Time, id string) bool { return now.Before(l.ended[id]) }
 
-// Restored tells that the list can be read again after an outage.
+// Restored records that the store is readable again after an outage.
 func (l *List) Restored(now time.Time) { l.restoredAt = now }
 
-// Remove takes in that the entry of a server vanished. It goes at once, but for
-// the grace time after an outage: then it leaves with Tick unless Put brings it
-// back. gone is the backend that went, nil when none did.
+// Remove records that the registration of a server disappeared. The server is
+// removed at once, except within the grace period after an outage if it is not
+// draining: then Tick removes it unless Put adds it again. gone is the removed
+// backend, nil if none was.
 func (l *List) Remove(now time.Time, instance string) (gone *Backend) {
 	b := l.byName[instance]
 	if b == nil {
 		return nil
 	}
 	if l.restoredAt.IsZero() || now.Sub(l.restoredAt) >= l.grace || b.Draining {
-		l.drop(b)
+		l.removeServer(b)
 		return b
 	}
 	l.missing[instance] = l.restoredAt.Add(l.grace)
 	return nil
 }
 
-// Tick drops entries whose grace is over, and believes those that were doubted
-// for long enough. It returns the backends that are gone by that, and those that
-// are listed anew; a server that is among both has another lifetime.
+// Tick removes servers whose grace period is over and applies registrations that
+// have persisted for the confirmation period. It returns the backends removed and
+// those listed as a result; a server that is in both has a new incarnation.
 func (l *List) Tick(now time.Time) (gone, listed []*Backend) {
 	for instance, until := range l.missing {
 		if !now.Before(until) {
 			b := l.byName[instance]
-			l.drop(b)
+			l.removeServer(b)
 			gone = append(gone, b)
 		}
 	}
-	for instance, d := range l.doubted {
-		if now.Sub(d.since) < staleFor {
+	for instance, u := range l.unconfirmed {
+		if now.Sub(u.since) < confirmPeriod {
 			continue
 		}
 		if old := l.byName[instance]; old != nil {
-			l.forget(old)
+			l.removeIncarnation(old)
 			gone = append(gone, old)
 		}
-		l.take(d.entry)
-		listed = append(listed, d.entry)
+		l.setBackend(u.backend)
+		listed = append(listed, u.backend)
 	}
 	return gone, listed
 }
 
-func (l *List) drop(b *Backend) {
-	l.forget(b)
+func (l *List) removeServer(b *Backend) {
+	l.removeIncarnation(b)
 	delete(l.byName, b.Instance)
 	delete(l.missing, b.Instance)
-	delete(l.doubted, b.Instance)
+	delete(l.unconfirmed, b.Instance)
 }
 
-// Get returns a backend by its lifetime's ID, nil when that is not in the list.
+// Get returns the backend with this incarnation ID, nil if it is not listed.
 func (l *List) Get(id string) *Backend { return l.byID[id] }
 
-// Named returns the backend under a server's own name, nil when none is listed.
+// Named returns the backend with this server name, nil if it is not listed.
 func (l *List) Named(instance string) *Backend { return l.byName[instance] }
 
-// Len counts the entries.
+// Len returns the number of backends.
 func (l *List) Len() int { return len(l.byID) }
 
-// OfService returns the backends of a service in order of their names. The caller must
-// not change the slice.
+// OfService returns the backends of a service sorted by ID. The caller must not
+// change the slice.
 func (l *List) OfService(service string) []*Backend {
 	if l.sorted == nil {
 		l.sorted = map[string][]*Backend{}
@@ -263,8 +271,9 @@
 	return l.sorted[service]
 }
 
-// ByHash returns the backends by the hash of their names. It is made anew only
-// when the list changed.
+// ByHash returns the backends by the hash of their IDs. The result is cached until
+// the list changes, so hash must always be the same function. The caller must not
+// change the map.
 func (l *List) ByHash(hash func(string) uint32) map[uint32]*Backend {
 	if l.byHash == nil {
 		l.byHash = make(map[uint32]*Backend, len(l.byID))
@@ -275,16 +284,16 @@
 	return l.byHash
 }
 
-// changed forgets what was derived from the list.
-func (l *List) changed() {
+// invalidate drops everything derived from the list and increments its generation.
+func (l *List) invalidate() {
 	l.byHash, l.sorted = nil, nil
 	l.generation++
 }
 
-// Generation names the list as it is: another one is another list.
+// Generation changes whenever the list changes.
 func (l *List) Generation() uint64 { return l.generation }
 
-// All returns every backend in order of names.
+// All returns all backends sorted by ID.
 func (l *List) All() []*Backend {
 	all := make([]*Backend, 0, len(l.byID))
 	for _, b := range l.byID {
