--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -1,13 +1,14 @@
-// Package shard divides the backend servers of each service among the entries.
-// The entry that owns a shard chooses among its servers for all entries: it
-// alone hears of every request there, so it knows their load and what they
-// keep, and what it has to be told does not grow with the fleet.
+// Package shard assigns the backend servers of each service to the entries that
+// own them. The entry that owns a shard chooses among its servers for all entries.
+// As it sees all requests for these servers, it knows their load and their caches,
+// and what it needs from other entries does not grow with the fleet.
 //
-// Who owns what follows from the rows of the entries and the list of servers,
-// which all entries read: nothing is agreed on or kept. Entries that see
-// different lists for a while ask different owners, each of which knows a part;
-// that costs a longer queue, never a wrong answer. It has no I/O, goroutine or
-// clock; callers lock.
+// The assignment is computed from the stored rows of the entries and the list of
+// servers, which all entries read; there is no coordination and no stored
+// assignment. Entries that see different lists for a while ask different owners,
+// each of which knows part of the load. That may cost longer queues but gives no
+// wrong answers. The package has no I/O, goroutines or clock; callers provide the
+// locking.
 package shard
 
 import (
@@ -22,234 +23,235 @@
 )
 
 const (
-	// leastServers of a shard on average: with fewer the choice within it is poor,
-	// as a prefix whose server is busy should find an idle one in the same shard.
-	leastServers = 8
-	// strongShare of the cores of the strongest entry that an owner has at least.
-	// Every request to a shard waits for its owner, and a weak VM answers late
-	// while it serves callers.
-	strongShare = 0.5
-	// missesAtLeast in a row, over silentAtLeast, after which an owner is passed
-	// over: datagrams are lost now and then, and a VM that has used up its
-	// processor time goes on within a tenth of a second.
-	missesAtLeast = 2
-	silentAtLeast = 60 * time.Millisecond
-	// silentFirst is for how long it is passed over at first, doubled up to
-	// silentAtMost each time that it is still silent: each try costs the requests
-	// of that moment the time that an answer is waited for.
-	silentFirst  = time.Second
-	silentAtMost = 8 * time.Second
+	// minServersPerShard is the minimum average size of a shard. In a smaller shard a
+	// prefix whose preferred server is busy would often find no idle one.
+	minServersPerShard = 8
+	// minCoreShare is the minimum number of cores of an owner, as a share of those of
+	// the entry with the most cores. Every request to a shard waits for its owner,
+	// and a weak VM responds late while it serves callers.
+	minCoreShare = 0.5
+	// minTimeouts is the number of consecutive timeouts, and minSilence the time since
+	// the first of them, after which an owner is skipped: datagrams get lost, and a
+	// VM that is throttled by its CPU quota continues within a tenth of a second.
+	minTimeouts = 2
+	minSilence  = 60 * time.Millisecond
+	// initialBackoff is how long an owner is skipped at first. The time doubles, up to
+	// maxBackoff, each time that it still does not answer; each new attempt delays
+	// some requests until it times out.
+	initialBackoff = time.Second
+	maxBackoff     = 8 * time.Second
 )
 
 // Entry is a process that may own shards.
 type Entry struct {
 	Name string
-	// Address that it is asked at.
+	// Address that placement requests to the owner are sent to.
 	Address string
-	// Cores that its VM gives it.
+	// Cores of its VM.
 	Cores float64
 }
 
-// Assignment of the servers of one service. It must not be changed.
+// Assignment maps the servers of one service to their owners. It must not be changed.
 type Assignment struct {
-	// Owners of the shards; empty: nobody can own one.
+	// Owners of the shards; empty if no entry can own one.
 	Owners []Entry
-	// owner of each server, an index into Owners, in the order of the list that
-	// the division was made from; servers are their rendezvous hashes.
+	// owner is the index into Owners for each server, in the order of the server
+	// list; servers are the rendezvous hashes of that list.
 	owner   []int
 	servers []uint64
-	// owned are the places of each owner's servers in that list.
-	owned [][]int
-	// generation of that list, and until when the division holds.
+	// serversOf are the indexes of each owner's servers in the list.
+	serversOf [][]int
+	// generation of the server list, and until when the assignment is valid.
 	generation uint64
 	until      time.Time
 }
 
-// silence is an entry that did not answer of late.
-type silence struct {
-	misses int
-	// since is when the first of the misses was seen.
+// unresponsiveEntry is an entry that did not answer recently.
+type unresponsiveEntry struct {
+	timeouts int
+	// since is the time of the first of these timeouts.
 	since time.Time
-	// until is when it may be asked again, pause for how long it was passed over.
-	until time.Time
-	pause time.Duration
+	// until is when it may be asked again; backoff is the length of the last skip.
+	until   time.Time
+	backoff time.Duration
 }
 
 const (
-	// cutOffAfter misses in a row of whatever owners an entry takes itself to be cut
-	// off from all: each question would cost its request the time of an answer.
-	cutOffAfter = 6
-	// probePause between two questions meanwhile.
-	probePause = 200 * time.Millisecond
+	// isolationTimeouts is the number of consecutive timeouts, of any owners, after
+	// which an entry assumes that it is isolated from all of them: each further
+	// placement request would delay a caller's request by a timeout.
+	isolationTimeouts = 6
+	// probeInterval is the time between two placement requests of an isolated entry.
+	probeInterval = 200 * time.Millisecond
 )
 
-// Map tells who owns what.
+// Map knows the entries and computes the assignment for each service.
 type Map struct {
-	// misses in a row of all owners; probeAt is when the next question may go out
-	// in spite of them.
-	misses    int
-	probeAt   time.Time
-	entries   []Entry
-	silent    map[string]*silence
-	divisions map[string]*Assignment
+	// timeouts is the number of consecutive timeouts of any owners; probeAt is when an
+	// isolated entry may send the next placement request.
+	timeouts     int
+	probeAt      time.Time
+	entries      []Entry
+	unresponsive map[string]*unresponsiveEntry
+	assignments  map[string]*Assignment
 }
 
-// NewMap knows no entry.
+// NewMap returns a map without entries.
 func NewMap() *Map {
-	return &Map{silent: map[string]*silence{}, divisions: map[string]*Assignment{}}
+	return &Map{unresponsive: map[string]*unresponsiveEntry{}, assignments: map[string]*Assignment{}}
 }
 
-// SetEntries takes in all entries, this one included.
+// SetEntries sets all entries, including this one.
 func (m *Map) SetEntries(entries []Entry) {
 	m.entries = entries
-	for name := range m.silent {
+	for name := range m.unresponsive {
 		if !slices.ContainsFunc(entries, func(e Entry) bool { return e.Name == name }) {
-			delete(m.silent, name)
+			delete(m.unresponsive, name)
 		}
 	}
-	m.changed()
+	m.invalidate()
 }
 
-func (m *Map) changed() { clear(m.divisions) }
+func (m *Map) invalidate() { clear(m.assignments) }
 
-// OwnerTimedOut takes in that an owner did not answer in time. True: it is passed over
-// from now on.
+// OwnerTimedOut records that an owner did not answer in time. It reports whether
+// the owner is skipped from now on and was not before.
 func (m *Map) OwnerTimedOut(now time.Time, name string) bool {
-	m.misses++
-	s := m.silent[name]
-	if s == nil {
-		s = &silence{since: now}
-		m.silent[name] = s
+	m.timeouts++
+	u := m.unresponsive[name]
+	if u == nil {
+		u = &unresponsiveEntry{since: now}
+		m.unresponsive[name] = u
 	}
-	s.misses++
-	if s.misses < missesAtLeast || now.Sub(s.since) < silentAtLeast || now.Before(s.until) {
+	u.timeouts++
+	if u.timeouts < minTimeouts || now.Sub(u.since) < minSilence || now.Before(u.until) {
 		return false
 	}
-	s.pause = min(max(2*s.pause, silentFirst), silentAtMost)
-	s.until = now.Add(s.pause)
-	m.changed()
+	u.backoff = min(max(2*u.backoff, initialBackoff), maxBackoff)
+	u.until = now.Add(u.backoff)
+	m.invalidate()
 	return true
 }
 
-// OwnerAnswered takes in that an owner answered.
+// OwnerAnswered records that an owner answered.
 func (m *Map) OwnerAnswered(name string) {
-	m.misses = 0
-	s := m.silent[name]
-	if s == nil {
+	m.timeouts = 0
+	u := m.unresponsive[name]
+	if u == nil {
 		return
 	}
-	delete(m.silent, name)
-	if !s.until.IsZero() {
-		m.changed()
+	delete(m.unresponsive, name)
+	if !u.until.IsZero() {
+		m.invalidate()
 	}
 }
 
-// MayAsk tells whether owners may be asked now; an entry that is cut off from all
-// of them tries only now and then.
+// MayAsk reports whether owners may be asked now. For an isolated entry it returns
+// true once per probe interval, which that call uses up.
 func (m *Map) MayAsk(now time.Time) bool {
-	if m.misses < cutOffAfter {
+	if m.timeouts < isolationTimeouts {
 		return true
 	}
 	if now.Before(m.probeAt) {
 		return false
 	}
-	m.probeAt = now.Add(probePause)
+	m.probeAt = now.Add(probeInterval)
 	return true
 }
 
-// Assignment returns who owns which of a service's servers. generation names the
-// list that hashes returns: the rendezvous hashes of the servers, in its order.
+// Assignment returns the assignment for a service's servers. hashes returns the
+// rendezvous hashes of the server list, and generation identifies that list.
 func (m *Map) Assignment(now time.Time, service string, generation uint64, hashes func() []uint64) *Assignment {
-	if d := m.divisions[service]; d != nil && d.generation == generation && now.Before(d.until) {
-		return d
+	if a := m.assignments[service]; a != nil && a.generation == generation && now.Before(a.until) {
+		return a
 	}
-	alive, until := m.alive(now)
-	d := &Assignment{servers: hashes(), generation: generation, until: until}
-	d.Owners = owners(service, len(d.servers), alive)
-	d.divide()
-	m.divisions[service] = d
-	return d
+	available, until := m.available(now)
+	a := &Assignment{servers: hashes(), generation: generation, until: until}
+	a.Owners = owners(service, len(a.servers), available)
+	a.assign()
+	m.assignments[service] = a
+	return a
 }
 
-// forever is until when a division holds that no silence bounds.
+// forever is the validity of an assignment while no entry is skipped.
 var forever = time.Unix(math.MaxInt32, 0)
 
-// alive are the entries that are not passed over now, and until when that holds.
-func (m *Map) alive(now time.Time) (alive []Entry, until time.Time) {
+// available returns the entries that are not skipped now, and until when that holds.
+func (m *Map) available(now time.Time) (available []Entry, until time.Time) {
 	until = forever
 	for _, e := range m.entries {
-		s := m.silent[e.Name]
-		if s == nil || !now.Before(s.until) {
-			alive = append(alive, e)
+		u := m.unresponsive[e.Name]
+		if u == nil || !now.Before(u.until) {
+			available = append(available, e)
 			continue
 		}
-		if s.until.Before(until) {
-			until = s.until
+		if u.until.Before(until) {
+			until = u.until
 		}
 	}
-	return alive, until
+	return available, until
 }
 
-// Eligible are the entries that do work for others: those with a good part of the
-// cores of the strongest.
+// Eligible returns the entries that may do work for others: those with at least
+// minCoreShare of the cores of the entry with the most.
 func Eligible(entries []Entry) []Entry {
-	most := 0.0
+	maxCores := 0.0
 	for _, e := range entries {
-		most = max(most, e.Cores)
+		maxCores = max(maxCores, e.Cores)
 	}
-	var strong []Entry
+	var eligible []Entry
 	for _, e := range entries {
-		if e.Cores >= strongShare*most {
-			strong = append(strong, e)
+		if e.Cores >= minCoreShare*maxCores {
+			eligible = append(eligible, e)
 		}
 	}
-	return strong
+	return eligible
 }
 
-// owners picks the entries that own a shard of a service: strong ones, no more
-// than there are shards of a useful size, by their rendezvous order, so that one
-// that is lost changes nothing for the others.
+// owners selects the entries that own a shard of a service: eligible ones, as many as
+// there are shards of the minimum size, in rendezvous order, so that the loss of an
+// entry does not affect the selection of others.
 func owners(service string, servers int, entries []Entry) []Entry {
-	strong := Eligible(entries)
+	eligible := Eligible(entries)
 	key := xxh3.HashString(service)
-	slices.SortFunc(strong, func(a, b Entry) int {
+	slices.SortFunc(eligible, func(a, b Entry) int {
 		return cmp.Compare(routing.Rendezvous(key, xxh3.HashString(b.Name)), routing.Rendezvous(key, xxh3.HashString(a.Name)))
 	})
-	return strong[:min(len(strong), max(1, servers/leastServers))]
+	return eligible[:min(len(eligible), max(1, servers/minServersPerShard))]
 }
 
-// divide gives each server its owner.
-func (d *Assignment) divide() {
-	if len(d.Owners) == 0 {
+// assign sets the owner of each server.
+func (a *Assignment) assign() {
+	if len(a.Owners) == 0 {
 		return
 	}
-	hashes := make([]uint64, len(d.Owners))
-	for i, e := range d.Owners {
+	hashes := make([]uint64, len(a.Owners))
+	for i, e := range a.Owners {
 		hashes[i] = xxh3.HashString(e.Name)
 	}
-	d.owner = make([]int, len(d.servers))
-	d.owned = make([][]int, len(d.Owners))
-	for i, server := range d.servers {
+	a.owner = make([]int, len(a.servers))
+	a.serversOf = make([][]int, len(a.Owners))
+	for i, server := range a.servers {
 		best := uint64(0)
 		for k, owner := range hashes {
 			if w := routing.Rendezvous(server, owner); w >= best {
-				best, d.owner[i] = w, k
+				best, a.owner[i] = w, k
 			}
 		}
-		d.owned[d.owner[i]] = append(d.owned[d.owner[i]], i)
+		a.serversOf[a.owner[i]] = append(a.serversOf[a.owner[i]], i)
 	}
 }
 
-// OwnersFor returns the owners to ask for a prefix, the first one first: that of the
-// first server in the prefix's rendezvous order, and that of the first server
-// behind it that another entry owns. All entries with the same lists ask alike.
-func (d *Assignment) OwnersFor(prefix uint64) []Entry {
-	if len(d.Owners) == 0 {
+// OwnersFor returns the owners to ask for a prefix, in order: the owner of the
+// prefix's first server in rendezvous order, and the owner of the next server that
+// another entry owns. All entries with the same lists ask the same owners.
+func (a *Assignment) OwnersFor(prefix uint64) []Entry {
+	if len(a.Owners) == 0 {
 		return nil
 	}
-	best := make([]uint64, len(d.Owners))
-	for i, server := range d.servers {
-		owner := d.owner[i]
+	best := make([]uint64, len(a.Owners))
+	for i, server := range a.servers {
+		owner := a.owner[i]
 		best[owner] = max(best[owner], routing.Rendezvous(prefix, server))
 	}
 	first, second := -1, -1
@@ -265,23 +267,23 @@
 	var asked []Entry
 	for _, i := range []int{first, second} {
 		if i >= 0 {
-			asked = append(asked, d.Owners[i])
+			asked = append(asked, a.Owners[i])
 		}
 	}
 	return asked
 }
 
-// ServersOf returns the places of an entry's servers in the list. It must not be changed.
-func (d *Assignment) ServersOf(name string) []int {
-	for k := range d.Owners {
-		if d.Owners[k].Name == name {
-			return d.owned[k]
+// ServersOf returns the indexes of an entry's servers in the list. The result must not be changed.
+func (a *Assignment) ServersOf(name string) []int {
+	for k := range a.Owners {
+		if a.Owners[k].Name == name {
+			return a.serversOf[k]
 		}
 	}
 	return nil
 }
 
-// Owns tells whether an entry owns the i-th server of the list.
-func (d *Assignment) Owns(name string, i int) bool {
-	return i < len(d.owner) && d.Owners[d.owner[i]].Name == name
+// Owns reports whether an entry owns the i-th server of the list.
+func (a *Assignment) Owns(name string, i int) bool {
+	return i < len(a.owner) && a.Owners[a.owner[i]].Name == name
 }
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
-// serverHashes of so many servers.
+// serverHashes returns a list of n server hashes.
 func serverHashes(n int) func() []uint64 {
 	return func() []uint64 {
 		var hashes []uint64
@@ -25,7 +25,7 @@
 	}
 }
 
-// entriesOf names so many entries with as many cores each.
+// entriesOf returns n entries with the same number of cores.
 func entriesOf(prefix string, n int, cores float64) []shard.Entry {
 	var entries []shard.Entry
 	for i := range n {
@@ -40,12 +40,12 @@
 	return m
 }
 
-// ownersOf each server by name.
-func ownersOf(d *shard.Assignment, servers int) []string {
+// ownersOf returns the name of the owner of each server.
+func ownersOf(assignment *shard.Assignment, servers int) []string {
 	owners := make([]string, servers)
 	for i := range owners {
-		for _, o := range d.Owners {
-			if d.Owns(o.Name, i) {
+		for _, o := range assignment.Owners {
+			if assignment.Owns(o.Name, i) {
 				owners[i] = o.Name
 			}
 		}
@@ -53,40 +53,40 @@
 	return owners
 }
 
-// Callers waited behind the decisions of all others: a VM with a seventh of a core
-// owned as many servers as one with most of a core, and answered late.
-func TestOnlyStrongEntriesOwnShards(t *testing.T) {
+// Guards against owners on weak VMs, which delay the requests of all entries that
+// wait for their answers.
+func TestOnlyEntriesWithEnoughCoresOwnShards(t *testing.T) {
 	entries := append(entriesOf("weak", 88, 0.144), entriesOf("strong", 15, 0.8)...)
-	d := mapOf(entries).Assignment(start, "models", 1, serverHashes(180))
-	require.Len(t, d.Owners, 15)
-	for _, o := range d.Owners {
+	assignment := mapOf(entries).Assignment(start, "models", 1, serverHashes(180))
+	require.Len(t, assignment.Owners, 15)
+	for _, o := range assignment.Owners {
 		assert.Contains(t, o.Name, "strong")
 	}
-	for i, owner := range ownersOf(d, 180) {
+	for i, owner := range ownersOf(assignment, 180) {
 		assert.NotEmpty(t, owner, i)
 	}
 }
 
-func TestShardsAreNotSmall(t *testing.T) {
+func TestShardsHaveAMinimumSize(t *testing.T) {
 	m := mapOf(entriesOf("e", 100, 1))
 	assert.Len(t, m.Assignment(start, "models", 1, serverHashes(48)).Owners, 6)
-	assert.Len(t, m.Assignment(start, "bookings", 1, serverHashes(9)).Owners, 1, "each service is divided by itself")
+	assert.Len(t, m.Assignment(start, "bookings", 1, serverHashes(9)).Owners, 1, "each service has its own assignment")
 	assert.Empty(t, mapOf(nil).Assignment(start, "models", 1, serverHashes(9)).OwnersFor(7))
 }
 
-// An owner that is lost takes its own shard with it, and no other: the rest
-// would be read anew at servers that another owner chooses.
+// Guards against moving the servers of other owners when one is lost: new owners do
+// not know what the caches of those servers hold.
 func TestALostOwnerMovesItsOwnServersOnly(t *testing.T) {
 	entries := entriesOf("e", 12, 1)
 	before := mapOf(entries).Assignment(start, "models", 1, serverHashes(200))
 	lost := before.Owners[3].Name
-	var left []shard.Entry
+	var remaining []shard.Entry
 	for _, e := range entries {
 		if e.Name != lost {
-			left = append(left, e)
+			remaining = append(remaining, e)
 		}
 	}
-	after := mapOf(left).Assignment(start, "models", 1, serverHashes(200))
+	after := mapOf(remaining).Assignment(start, "models", 1, serverHashes(200))
 	old, now := ownersOf(before, 200), ownersOf(after, 200)
 	for i := range old {
 		if old[i] != lost {
@@ -95,56 +95,56 @@
 	}
 }
 
-// An owner froze. Each request that asked it waited for nothing, for as long as
-// its row stood: seconds, or for good where it was lost.
-func TestASilentOwnerIsPassedOver(t *testing.T) {
+// Guards against requests that wait for an owner that does not answer, for as long
+// as its row remains in the store.
+func TestAnUnresponsiveOwnerIsSkipped(t *testing.T) {
 	m := mapOf(entriesOf("e", 6, 1))
-	division := func(now time.Time) *shard.Assignment { return m.Assignment(now, "models", 1, serverHashes(48)) }
-	name := division(start).OwnersFor(7)[0].Name
+	assignment := func(now time.Time) *shard.Assignment { return m.Assignment(now, "models", 1, serverHashes(48)) }
+	name := assignment(start).OwnersFor(7)[0].Name
 	assert.False(t, m.OwnerTimedOut(start, name), "one datagram may be lost")
-	assert.False(t, m.OwnerTimedOut(start.Add(10*time.Millisecond), name), "it may wait for its processor")
-	silent := start.Add(80 * time.Millisecond)
-	assert.True(t, m.OwnerTimedOut(silent, name))
-	assert.NotEqual(t, name, division(silent).OwnersFor(7)[0].Name)
-	again := silent.Add(1100 * time.Millisecond)
-	assert.Equal(t, name, division(again).OwnersFor(7)[0].Name, "it is tried again")
+	assert.False(t, m.OwnerTimedOut(start.Add(10*time.Millisecond), name), "its VM may be throttled for a moment")
+	skippedAt := start.Add(80 * time.Millisecond)
+	assert.True(t, m.OwnerTimedOut(skippedAt, name))
+	assert.NotEqual(t, name, assignment(skippedAt).OwnersFor(7)[0].Name)
+	again := skippedAt.Add(1100 * time.Millisecond)
+	assert.Equal(t, name, assignment(again).OwnersFor(7)[0].Name, "it is asked again after the backoff")
 	assert.True(t, m.OwnerTimedOut(again, name))
-	assert.NotEqual(t, name, division(again.Add(1500 * time.Millisecond)).OwnersFor(7)[0].Name, "longer each time")
+	assert.NotEqual(t, name, assignment(again.Add(1500 * time.Millisecond)).OwnersFor(7)[0].Name, "the backoff doubles")
 	m.OwnerAnswered(name)
-	assert.Equal(t, name, division(again.Add(1600 * time.Millisecond)).OwnersFor(7)[0].Name, "a late answer shows that it is there")
+	assert.Equal(t, name, assignment(again.Add(1600 * time.Millisecond)).OwnersFor(7)[0].Name, "an answer ends the skip")
 }
 
-// An entry was cut off from all others. Each of its requests waited for one owner
-// after the other.
-func TestAnEntryThatIsCutOffDecidesAlone(t *testing.T) {
+// Guards against requests of an isolated entry that wait for one owner after the
+// other.
+func TestAnIsolatedEntryRarelyAsksOwners(t *testing.T) {
 	m := mapOf(entriesOf("e", 30, 1))
 	now := start
-	for i := range cutOff {
+	for i := range isolationTimeouts {
 		assert.True(t, m.MayAsk(now), i)
 		m.OwnerTimedOut(now, fmt.Sprint("e", i))
 		now = now.Add(time.Millisecond)
 	}
-	assert.True(t, m.MayAsk(now), "it tries now and then")
+	assert.True(t, m.MayAsk(now), "a probe is allowed")
 	assert.False(t, m.MayAsk(now))
 	assert.True(t, m.MayAsk(now.Add(time.Second)))
 	m.OwnerAnswered("e20")
 	assert.True(t, m.MayAsk(now.Add(time.Second)))
-	assert.True(t, m.MayAsk(now.Add(time.Second)), "somebody answers")
+	assert.True(t, m.MayAsk(now.Add(time.Second)), "an owner answered, so the entry is not isolated")
 }
 
-// cutOff is how many misses in a row show it.
-const cutOff = 6
+// isolationTimeouts is the constant of the same name in package shard.
+const isolationTimeouts = 6
 
-// All entries ask the same two owners for a prefix, whatever order they heard of
-// each other in.
-func TestAllEntriesAskAlike(t *testing.T) {
+// Guards against entries that ask different owners because they learned of each other
+// in a different order.
+func TestAllEntriesAskTheSameOwners(t *testing.T) {
 	entries := entriesOf("e", 20, 1)
-	var turned []shard.Entry
+	var rotated []shard.Entry
 	for i := range entries {
-		turned = append(turned, entries[(i+7)%len(entries)])
+		rotated = append(rotated, entries[(i+7)%len(entries)])
 	}
 	one := mapOf(entries).Assignment(start, "models", 1, serverHashes(160))
-	other := mapOf(turned).Assignment(start, "models", 1, serverHashes(160))
+	other := mapOf(rotated).Assignment(start, "models", 1, serverHashes(160))
 	for prefix := range uint64(50) {
 		asked := one.OwnersFor(prefix)
 		require.Len(t, asked, 2)
@@ -153,30 +153,30 @@
 	}
 }
 
-func TestANewListIsDividedAnew(t *testing.T) {
+func TestANewListGetsANewAssignment(t *testing.T) {
 	m := mapOf(entriesOf("e", 4, 1))
 	first := m.Assignment(start, "models", 1, serverHashes(40))
 	assert.Same(t, first, m.Assignment(start, "models", 1, serverHashes(50)))
 	assert.NotSame(t, first, m.Assignment(start, "models", 2, serverHashes(50)))
 }
 
-// sizes of fleets: servers and owners.
+// sizes of the fleets in the benchmarks.
 var sizes = []struct{ servers, owners int }{{180, 15}, {1000, 100}, {7000, 810}}
 
-// BenchmarkAsked is what a request costs the entry that asks.
-func BenchmarkAsked(b *testing.B) {
+// BenchmarkOwnersFor measures the selection of the owners for one request.
+func BenchmarkOwnersFor(b *testing.B) {
 	for _, size := range sizes {
-		d := mapOf(entriesOf("e", size.owners, 1)).Assignment(start, "models", 1, serverHashes(size.servers))
+		assignment := mapOf(entriesOf("e", size.owners, 1)).Assignment(start, "models", 1, serverHashes(size.servers))
 		b.Run(fmt.Sprint(size.servers), func(b *testing.B) {
 			for i := range b.N {
-				d.OwnersFor(uint64(i)) //nolint:gosec // a count
+				assignment.OwnersFor(uint64(i)) //nolint:gosec // a count
 			}
 		})
 	}
 }
 
-// BenchmarkDivision is what a change of the list costs each entry.
-func BenchmarkDivision(b *testing.B) {
+// BenchmarkAssignment measures a new assignment after a change of the server list.
+func BenchmarkAssignment(b *testing.B) {
 	for _, size := range sizes {
 		m, hashes := mapOf(entriesOf("e", size.owners, 1)), serverHashes(size.servers)()
 		b.Run(fmt.Sprint(size.servers), func(b *testing.B) {
