--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Guards against requests to a draining server that would be refused or cut: any of
+// Guards against requests to a draining server that would be refused or fail: any of
 // the sources may be the first to report it.
 func TestTheFirstSourceThatReportsDrainingCounts(t *testing.T) {
 	sources := map[string]func(m *membership.Members){
--- a/internal/quarantine/breaks.go
+++ b/internal/quarantine/breaks.go
@@ -26,7 +26,7 @@
 }
 
 // Interruptions holds runs that were interrupted early until it is known whether
-// their servers crashed; a stream can be cut for many other reasons.
+// their servers crashed; a stream can end early for many other reasons.
 type Interruptions struct {
 	// pending maps server incarnations to their interrupted requests and when each expires.
 	pending map[string]map[Fingerprint]time.Time
