--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -53,7 +53,7 @@
 		j.trial = verdict.Trial
 		return 0, false
 	}
-	return verdict.RetryAfter, verdict.Held
+	return verdict.RetryAfter, verdict.Quarantined
 }
 
 // respondQuarantined ends a quarantined request.
@@ -110,7 +110,7 @@
 		return
 	}
 	j.interruptedEarly = append(j.interruptedEarly, server.ID)
-	g.state.suspects.runInterrupted(now, quarantine.Strike{Request: j.fingerprint(), Server: server.ID})
+	g.state.suspects.runInterrupted(now, quarantine.Crash{Request: j.fingerprint(), Server: server.ID})
 	if g.state.suspects.beginProbe(server.ID) {
 		g.spawn(func() { g.probeServer(server.ID, server.Address) })
 	}
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -266,7 +266,7 @@
 	if !s.shards.MayAsk(now) {
 		return ask, nil
 	}
-	return ask, s.divisionLocked(now, j.service.Name).Asked(request.HomeKey(s.book.Newest(ask.Model)))
+	return ask, s.divisionLocked(now, j.service.Name).OwnersFor(request.HomeKey(s.book.Newest(ask.Model)))
 }
 
 // acceptOffer places the request at the offered server and counts it there. It
@@ -343,7 +343,7 @@
 func (s *state) ownerTimedOut(now time.Time, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.shards.Missed(now, name) {
+	if s.shards.OwnerTimedOut(now, name) {
 		klog.InfoS("Owner passed over", "owner", name)
 	}
 }
@@ -351,5 +351,5 @@
 func (s *state) ownerAnswered(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shards.Answered(name)
+	s.shards.OwnerAnswered(name)
 }
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -40,7 +40,7 @@
 
 // suspectRow is the parsed key of a row.
 type suspectRow struct {
-	crash quarantine.Strike
+	crash quarantine.Crash
 	// trial is the trial's number; 0: the row holds the crash.
 	trial int
 }
@@ -50,7 +50,7 @@
 	Entry string `json:"entry"`
 }
 
-func crashKey(crash quarantine.Strike) string {
+func crashKey(crash quarantine.Crash) string {
 	return suspectPrefix + crash.Request.String() + "/" + crashKind + "/" + crash.Server
 }
 
@@ -134,7 +134,7 @@
 	}
 }
 
-func crashDatagrams(crashes []quarantine.Strike, cleared []quarantine.Fingerprint) []*jayv1.Datagram {
+func crashDatagrams(crashes []quarantine.Crash, cleared []quarantine.Fingerprint) []*jayv1.Datagram {
 	var datagrams []*jayv1.Datagram
 	for len(crashes)+len(cleared) > 0 {
 		update := &jayv1.StrikeNews{}
@@ -154,14 +154,14 @@
 
 // receiveCrashes applies another entry's update.
 func (g *Gateway) receiveCrashes(update *jayv1.StrikeNews, source string) {
-	var crashes []quarantine.Strike
+	var crashes []quarantine.Crash
 	var cleared []quarantine.Fingerprint
 	for _, crash := range update.GetStrikes() {
 		if len(crash.GetRequest()) != len(quarantine.Fingerprint{}) {
 			g.metrics.Count("datagrams", "malformed", 1)
 			return
 		}
-		crashes = append(crashes, quarantine.Strike{Request: quarantine.Fingerprint(crash.GetRequest()), Server: crash.GetServer()})
+		crashes = append(crashes, quarantine.Crash{Request: quarantine.Fingerprint(crash.GetRequest()), Server: crash.GetServer()})
 	}
 	for _, f := range update.GetCleared() {
 		if len(f) != len(quarantine.Fingerprint{}) {
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -24,13 +24,13 @@
 	publish chan struct{}
 
 	mu            sync.Mutex
-	book          *quarantine.Book
-	interruptions *quarantine.Breaks
+	book          *quarantine.Registry
+	interruptions *quarantine.Interruptions
 	// probing holds the server incarnations that are being probed.
 	probing map[string]bool
 	// unsent holds crashes, unsentCleared cleared requests that are still to be sent
 	// in datagrams.
-	unsent        []quarantine.Strike
+	unsent        []quarantine.Crash
 	unsentCleared []quarantine.Fingerprint
 	// unwrittenRows holds the keys of rows that are still to be written to the store
 	// (true) or deleted there (false).
@@ -43,17 +43,17 @@
 
 func newSuspects() *suspects {
 	return &suspects{
-		book: quarantine.NewBook(quarantine.DefaultSettings()), interruptions: quarantine.NewBreaks(),
+		book: quarantine.NewRegistry(quarantine.DefaultSettings()), interruptions: quarantine.NewInterruptions(),
 		probing: map[string]bool{}, unwrittenRows: map[string]bool{}, publish: make(chan struct{}, 1),
 	}
 }
 
 // runInterrupted records a run that was interrupted early.
-func (s *suspects) runInterrupted(now time.Time, run quarantine.Strike) {
+func (s *suspects) runInterrupted(now time.Time, run quarantine.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.interruptions.Broke(now, run) {
-		s.recordOwnCrashesLocked(now, []quarantine.Strike{run})
+	if s.interruptions.Add(now, run) {
+		s.recordOwnCrashesLocked(now, []quarantine.Crash{run})
 	}
 	s.updateTrackedLocked()
 }
@@ -67,7 +67,7 @@
 func (s *suspects) serverCrashed(now time.Time, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.recordOwnCrashesLocked(now, s.interruptions.Crashed(now, server))
+	s.recordOwnCrashesLocked(now, s.interruptions.ServerCrashed(now, server))
 	s.updateTrackedLocked()
 }
 
@@ -75,7 +75,7 @@
 func (s *suspects) serverEnded(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.interruptions.Left(server)
+	s.interruptions.ServerDrained(server)
 	s.updateTrackedLocked()
 }
 
@@ -96,12 +96,12 @@
 	defer s.mu.Unlock()
 	delete(s.probing, server)
 	if alive {
-		s.interruptions.Alive(now, server)
+		s.interruptions.ServerListening(now, server)
 	}
 }
 
 // recordOwnCrashesLocked adds crashes that this entry observed.
-func (s *suspects) recordOwnCrashesLocked(now time.Time, crashes []quarantine.Strike) {
+func (s *suspects) recordOwnCrashesLocked(now time.Time, crashes []quarantine.Crash) {
 	if len(crashes) == 0 {
 		return
 	}
@@ -115,8 +115,8 @@
 
 // addCrashesLocked adds crashes from any source. Most arrive from several
 // sources and are added once.
-func (s *suspects) addCrashesLocked(now time.Time, crashes []quarantine.Strike, source string) {
-	crashes = slices.DeleteFunc(slices.Clone(crashes), s.book.Knows)
+func (s *suspects) addCrashesLocked(now time.Time, crashes []quarantine.Crash, source string) {
+	crashes = slices.DeleteFunc(slices.Clone(crashes), s.book.Contains)
 	quarantined := s.book.Add(now, crashes)
 	s.updateTrackedLocked()
 	for _, crash := range crashes {
@@ -129,7 +129,7 @@
 }
 
 // receive adds the records of another entry's update.
-func (s *suspects) receive(now time.Time, crashes []quarantine.Strike, cleared []quarantine.Fingerprint, source string) {
+func (s *suspects) receive(now time.Time, crashes []quarantine.Crash, cleared []quarantine.Fingerprint, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addCrashesLocked(now, crashes, source)
@@ -143,11 +143,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if row.trial > 0 {
-		s.book.Tried(now, row.crash.Request, row.trial)
+		s.book.TrialClaimed(now, row.crash.Request, row.trial)
 		s.updateTrackedLocked()
 		return
 	}
-	s.addCrashesLocked(now, []quarantine.Strike{row.crash}, source)
+	s.addCrashesLocked(now, []quarantine.Crash{row.crash}, source)
 }
 
 func (s *suspects) rowRemoved(row suspectRow) {
@@ -178,7 +178,7 @@
 }
 
 func (s *suspects) clearLocked(f quarantine.Fingerprint, reason string) (quarantine.Request, bool) {
-	s.interruptions.RanWhole(f)
+	s.interruptions.Completed(f)
 	defer s.updateTrackedLocked()
 	request, ok := s.book.Clear(time.Now(), f)
 	if !ok {
@@ -187,7 +187,7 @@
 	for _, crash := range crashesOf(request) {
 		delete(s.unwrittenRows, crashKey(crash))
 	}
-	klog.InfoS("Request cleared", "fingerprint", f.String(), "why", reason, "held", request.Held, "servers", request.Servers, "trials", request.Trials)
+	klog.InfoS("Request cleared", "fingerprint", f.String(), "why", reason, "held", request.Quarantined, "servers", request.Servers, "trials", request.Trials)
 	return request, true
 }
 
@@ -225,7 +225,7 @@
 	head := hashes.Head()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.MayKnow(head) || s.interruptions.MayKnow(head)
+	return s.book.MayContain(head) || s.interruptions.MayContain(head)
 }
 
 func (s *suspects) verdict(now time.Time, f quarantine.Fingerprint) quarantine.Verdict {
@@ -237,7 +237,7 @@
 func (s *suspects) crashCount(f quarantine.Fingerprint) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Strikes(f)
+	return s.book.CrashCount(f)
 }
 
 func (s *suspects) mayRepeat(f quarantine.Fingerprint, interruptedAt []string) bool {
@@ -251,7 +251,7 @@
 func (s *suspects) trialClaimed(now time.Time, f quarantine.Fingerprint, trial int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Tried(now, f, trial)
+	s.book.TrialClaimed(now, f, trial)
 }
 
 func (s *suspects) trialReleased(f quarantine.Fingerprint, trial int) {
@@ -273,7 +273,7 @@
 func (s *suspects) counts() (suspects, quarantined int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Len(), s.book.Held()
+	return s.book.Len(), s.book.QuarantinedCount()
 }
 
 // tick deletes expired records. With deleteRows it also deletes their rows,
@@ -285,7 +285,7 @@
 	expired := s.book.Tick(now)
 	s.updateTrackedLocked()
 	for _, request := range expired {
-		klog.InfoS("Records of a suspect request expired", "fingerprint", request.Fingerprint.String(), "held", request.Held, "servers", request.Servers)
+		klog.InfoS("Records of a suspect request expired", "fingerprint", request.Fingerprint.String(), "held", request.Quarantined, "servers", request.Servers)
 		if deleteRows {
 			s.removeRowsLocked(request)
 			s.signalPublish()
@@ -296,12 +296,12 @@
 // takeUnsent returns what is still to be sent in datagrams. If there are more
 // than limit crashes it returns only those of requests with at least two; the
 // other entries read the rest from the store.
-func (s *suspects) takeUnsent(limit int) ([]quarantine.Strike, []quarantine.Fingerprint) {
+func (s *suspects) takeUnsent(limit int) ([]quarantine.Crash, []quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	crashes := s.unsent
 	if len(crashes) > limit {
-		crashes = slices.DeleteFunc(crashes, func(crash quarantine.Strike) bool { return s.book.Strikes(crash.Request) < 2 })
+		crashes = slices.DeleteFunc(crashes, func(crash quarantine.Crash) bool { return s.book.CrashCount(crash.Request) < 2 })
 	}
 	cleared := s.unsentCleared
 	s.unsent, s.unsentCleared = nil, nil
@@ -335,10 +335,10 @@
 	}
 }
 
-func crashesOf(request quarantine.Request) []quarantine.Strike {
-	crashes := make([]quarantine.Strike, 0, len(request.Servers))
+func crashesOf(request quarantine.Request) []quarantine.Crash {
+	crashes := make([]quarantine.Crash, 0, len(request.Servers))
 	for _, server := range request.Servers {
-		crashes = append(crashes, quarantine.Strike{Request: request.Fingerprint, Server: server})
+		crashes = append(crashes, quarantine.Crash{Request: request.Fingerprint, Server: server})
 	}
 	return crashes
 }
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -35,7 +35,7 @@
 // request.
 func (g *Gateway) simulateCrash(f quarantine.Fingerprint, servers ...string) {
 	for _, server := range servers {
-		g.state.suspects.runInterrupted(time.Now(), quarantine.Strike{Request: f, Server: server})
+		g.state.suspects.runInterrupted(time.Now(), quarantine.Crash{Request: f, Server: server})
 		g.state.suspects.serverCrashed(time.Now(), server)
 	}
 }
@@ -61,7 +61,7 @@
 	require.True(t, one.writeSuspects(t.Context()))
 	require.True(t, two.writeSuspects(t.Context()))
 	starting.loadSuspects(t)
-	assert.True(t, starting.state.suspects.verdict(time.Now(), suspectFingerprint(1)).Held)
+	assert.True(t, starting.state.suspects.verdict(time.Now(), suspectFingerprint(1)).Quarantined)
 	require.True(t, starting.state.suspects.clear(suspectFingerprint(1), "operator"))
 	require.True(t, starting.writeSuspects(t.Context()))
 	restarted := newTableEntry(table, "gw4")
@@ -105,10 +105,10 @@
 
 func TestCrashUpdatesFitDatagrams(t *testing.T) {
 	g := newTableEntry(platformtest.New(), "gw1")
-	var crashes []quarantine.Strike
+	var crashes []quarantine.Crash
 	var cleared []quarantine.Fingerprint
 	for n := range 45 {
-		crashes = append(crashes, quarantine.Strike{Request: suspectFingerprint(n), Server: strings.Repeat("s", 24)})
+		crashes = append(crashes, quarantine.Crash{Request: suspectFingerprint(n), Server: strings.Repeat("s", 24)})
 		cleared = append(cleared, suspectFingerprint(100+n))
 	}
 	datagrams := crashDatagrams(crashes, cleared)
@@ -162,7 +162,7 @@
 // ran.
 func TestPlannedEndIsNotCountedAsCrash(t *testing.T) {
 	s := newSuspects()
-	s.runInterrupted(time.Now(), quarantine.Strike{Request: suspectFingerprint(1), Server: "a"})
+	s.runInterrupted(time.Now(), quarantine.Crash{Request: suspectFingerprint(1), Server: "a"})
 	s.serverEnded("a")
 	s.serverCrashed(time.Now(), "a")
 	assert.Empty(t, s.list())
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -89,17 +89,17 @@
 	now := time.Now()
 	w := &waiter{job: j, granted: make(chan grant, 1)}
 	request := waitroom.Request{
-		ID: j.head.ID, Urgency: j.table.PriorityLevel(j.route, j.workspace), Arrived: j.arrived,
-		Reading: readTime, InTimeUntil: j.arrived.Add(j.route.LatencyTarget), Deadline: j.firstEventDeadline(),
+		ID: j.head.ID, Priority: j.table.PriorityLevel(j.route, j.workspace), Arrived: j.arrived,
+		Prefill: readTime, FirstTokenTarget: j.arrived.Add(j.route.LatencyTarget), Deadline: j.firstEventDeadline(),
 	}
 	s.mu.Lock()
 	// A second send may begin when no time is left to wait. And if a caller uses an
 	// ID twice, only one of the two requests can wait under it.
-	if _, duplicate := s.waiters[j.head.ID]; duplicate || !now.Before(request.Until()) {
+	if _, duplicate := s.waiters[j.head.ID]; duplicate || !now.Before(request.SendAt()) {
 		s.mu.Unlock()
 		return j.place(false)
 	}
-	retryAfter, ok := s.room.Enter(now, request)
+	retryAfter, ok := s.room.Add(now, request)
 	if ok {
 		s.waiters[j.head.ID] = w
 	}
@@ -111,7 +111,7 @@
 		return routing.DirectChoice{}, errRejected
 	}
 	j.gateway.metrics.Count("waited_for_memory", j.routeLabel(), 1)
-	klog.InfoS("Waits for memory", "request", j.head.ID, "urgency", request.Urgency, "waiting", waiting, "sendAt", request.Until())
+	klog.InfoS("Waits for memory", "request", j.head.ID, "urgency", request.Priority, "waiting", waiting, "sendAt", request.SendAt())
 	return j.awaitGrant(w)
 }
 
@@ -143,7 +143,7 @@
 	s := j.gateway.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.room.Leave(j.head.ID) {
+	if s.room.Remove(j.head.ID) {
 		delete(s.waiters, j.head.ID)
 		if w.offer != nil {
 			go j.gateway.placements.releaseOffer(w.offer, nil)
@@ -163,7 +163,7 @@
 	s := g.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rejected := s.room.Serve(now, func(id string, force bool) bool {
+	rejected := s.room.Dispatch(now, func(id string, force bool) bool {
 		w := s.waiters[id]
 		// A stopping process has no time to wait.
 		choice, err := w.placeLocked(now, force || g.stopping.Load())
@@ -175,7 +175,7 @@
 		return true
 	})
 	for _, id := range rejected {
-		s.waiters[id].granted <- grant{err: errRejected, retryAfter: waitroom.ComeBack}
+		s.waiters[id].granted <- grant{err: errRejected, retryAfter: waitroom.RetryAfter}
 		delete(s.waiters, id)
 	}
 }
--- a/internal/routing/fleetmodel_test.go
+++ b/internal/routing/fleetmodel_test.go
@@ -84,14 +84,14 @@
 	ordered  []*modelEngine
 	servers  []routing.DirectServer
 	entries  []*routing.Direct
-	rooms    []*waitroom.Room
+	rooms    []*waitroom.Queue
 	requests map[string]*modelRequest
 	// mayWait: requests wait in the entries rather than at full engines.
 	mayWait bool
 	// owners of shards that choose for all entries, by name; nil: none, and the
 	// entries tell each other what they do.
 	owners   map[string]*routing.Direct
-	division *shard.Division
+	division *shard.Assignment
 	// mute entries, the first ones, neither tell the others anything nor hear.
 	mute int
 	// returns are callers that will come back, by time.
@@ -206,9 +206,9 @@
 		return
 	}
 	class := r.class
-	_, ok := f.rooms[r.entry].Enter(modelTime(now), waitroom.Request{
-		ID: r.id, Urgency: class.urgency, Arrived: modelTime(now), Reading: routing.ReadingTime(r.tokens()),
-		InTimeUntil: modelTime(now + class.aimMS), Deadline: modelTime(r.firstBy),
+	_, ok := f.rooms[r.entry].Add(modelTime(now), waitroom.Request{
+		ID: r.id, Priority: class.urgency, Arrived: modelTime(now), Prefill: routing.ReadingTime(r.tokens()),
+		FirstTokenTarget: modelTime(now + class.aimMS), Deadline: modelTime(r.firstBy),
 	})
 	if !ok {
 		f.turnAway(r, now)
@@ -238,7 +238,7 @@
 	var best routing.DirectChoice
 	r.owner = nil
 	err := routing.ErrNoRoom
-	for _, entry := range f.division.Asked(request.HomeKey(1)) {
+	for _, entry := range f.division.OwnersFor(request.HomeKey(1)) {
 		owner := f.owners[entry.Name]
 		if r.owner != nil && best.Source == routing.SourceHeld {
 			owner.HearHolder(modelTime(now), request, routing.Holding{Server: best.Server.ID, Address: best.Server.Address, Version: best.Server.Version})
@@ -291,7 +291,7 @@
 		f.owners[name] = routing.NewDirect(routing.DirectOptions{DataCentre: "a", Sole: true})
 	}
 	m.SetEntries(all)
-	f.division = m.Division(directStart, "models", 1, func() []uint64 {
+	f.division = m.Assignment(directStart, "models", 1, func() []uint64 {
 		var hashes []uint64
 		for i := range f.servers {
 			hashes = append(hashes, f.servers[i].Hash)
@@ -320,7 +320,7 @@
 		if (i+int(now/modelHintMS))%modelServeTicks != 0 {
 			continue
 		}
-		away := room.Serve(modelTime(now), func(id string, anyway bool) bool { return f.place(f.requests[id], now, anyway) })
+		away := room.Dispatch(modelTime(now), func(id string, anyway bool) bool { return f.place(f.requests[id], now, anyway) })
 		for _, id := range away {
 			f.turnAway(f.requests[id], now)
 		}
