--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -28,7 +28,7 @@
 	loads   map[string]time.Time
 	orders  map[string]uint64
 	target  map[string]uint64
-	// most is the highest number of concurrent loads so far.
+	// maxLoading is the highest number of concurrent loads so far.
 	maxLoading int
 	// dead servers do not answer.
 	dead map[string]bool
