--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -66,10 +66,10 @@
 	switch {
 	case answer.Instance != "" && answer.Instance != server.Instance:
 		j.gateway.pool.Forget(server.Address)
-		j.gateway.state.lifetimeOver(now, server.ID, "answer of "+answer.Instance)
-		j.evidence.otherLifetime = true
+		j.gateway.state.incarnationEnded(now, server.ID, "answer of "+answer.Instance)
+		j.evidence.otherIncarnation = true
 	case answer.Version > server.Version,
-		answer.Status == http.StatusMisdirectedRequest && j.gateway.state.otherWeights(server.ID, j.modelName(), server.Version):
+		answer.Status == http.StatusMisdirectedRequest && j.gateway.state.inferNextVersion(server.ID, j.modelName(), server.Version):
 		// Our belief was old, the server is fine: it may be asked again for what it
 		// has. Left out, it was missed when all others took new weights just then.
 		j.tried = j.tried[:len(j.tried)-1]
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -119,7 +119,7 @@
 // budget as well.
 func (j *job) mayGoOn(why string) bool {
 	now := time.Now()
-	if j.ctx.Err() == nil && j.sends < maxSends && j.gateway.state.mayResend(now, j.service.Name, j.deadline) {
+	if j.ctx.Err() == nil && j.sends < maxSends && j.gateway.state.takeRetry(now, j.service.Name, j.deadline) {
 		return true
 	}
 	j.giveUp(why + ", no further send")
@@ -132,7 +132,7 @@
 // mayRepeat decides after a send that may have run.
 func (j *job) mayRepeat() bool {
 	may := j.route.Repeatable() && j.ranOn < j.route.MaxAttempts && j.ctx.Err() == nil && j.suspectsAllowRepeat()
-	if may && j.sends < maxSends && j.gateway.state.mayResend(time.Now(), j.service.Name, j.deadline) {
+	if may && j.sends < maxSends && j.gateway.state.takeRetry(time.Now(), j.service.Name, j.deadline) {
 		return true
 	}
 	j.giveUp("outcome unknown, not repeated")
@@ -219,7 +219,7 @@
 		return request
 	}
 	request.Tokens, request.OutputTokens = j.head.InputTokens, j.head.OutputTokens
-	request.Prefix, request.Stores = j.head.Shared(), s.storesLocked(j.table, j.service.Engine)
+	request.Prefix, request.Stores = j.head.Shared(), s.kvStoresLocked(j.table, j.service.Engine)
 	request.MemoryShare = routing.MemoryShare(j.table.RankOf(j.route))
 	if j.workspace != nil && j.workspace.Isolated {
 		request.Wall = j.workspace.Name
@@ -240,7 +240,7 @@
 	if j.service.MaxConns <= 0 {
 		return false
 	}
-	share := max(leastConns, int(connShare*float64(j.service.MaxConns)/float64(j.gateway.state.entries)))
+	share := max(leastConns, int(connShare*float64(j.service.MaxConns)/float64(j.gateway.state.entryCount)))
 	return j.gateway.pool.Busy(server.Address) >= share
 }
 
@@ -287,7 +287,7 @@
 	defer response.Close()
 	answer := g.ports.Dialect.Answer(response.Status, response.Header)
 	response.KeepFor(keepFor(answer.KeepFor))
-	g.state.told(time.Now(), server.ID, j.modelName(), &answer)
+	g.state.observeAnswer(time.Now(), server.ID, j.modelName(), &answer)
 	outcome := j.take(choice, response, &answer)
 	j.finished(choice, outcome)
 	return outcome
@@ -354,7 +354,7 @@
 // finished tells the routers how the send ended: ours, and the owner of the
 // server's shard.
 func (j *job) finished(choice *routing.DirectChoice, outcome result) {
-	j.tellOwner(j.evidence.end(outcome == delivered))
+	j.tellOwner(j.evidence.endedProgress(outcome == delivered))
 	j.offer, j.evidence = nil, evidence{}
 	j.reached = j.reached || (outcome != notSent && outcome != notRun)
 	s := j.gateway.state
--- a/internal/gateway/datagrams.go
+++ b/internal/gateway/datagrams.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// maxDatagram fits a packet of the usual network.
-	maxDatagram = 1400
-	// overheadBytes of a datagram's own headers.
-	overheadBytes = 28
+	// maxDatagramBytes fits a packet of the usual network.
+	maxDatagramBytes = 1400
+	// datagramOverheadBytes of a datagram's own headers.
+	datagramOverheadBytes = 28
 )
 
-// errNoDatagrams tells that the port for words between entries is not open.
-var errNoDatagrams = eris.New("no port for datagrams")
+// errNoDatagramPort tells that the port for words between entries is not open.
+var errNoDatagramPort = eris.New("no port for datagrams")
 
 // datagrams carries words between entries that are worth nothing once late.
 // All entries use one port.
@@ -81,13 +81,13 @@
 // encode makes the bytes of a word.
 func (d *datagrams) encode(word *jayv1.Datagram) ([]byte, error) {
 	if d.conn == nil {
-		return nil, errNoDatagrams
+		return nil, errNoDatagramPort
 	}
 	text, err := proto.Marshal(word)
 	if err != nil {
 		return nil, eris.Wrap(err, "encode datagram")
 	}
-	if len(text) > maxDatagram {
+	if len(text) > maxDatagramBytes {
 		return nil, eris.Errorf("datagram of %d bytes is too long", len(text))
 	}
 	return text, nil
@@ -100,21 +100,21 @@
 		return err
 	}
 	if to == nil {
-		return errNoDatagrams
+		return errNoDatagramPort
 	}
 	_, err = d.conn.WriteToUDP(text, to)
 	return err
 }
 
-// tell is send for words of which a lost one costs little: failures are counted.
-func (d *datagrams) tell(to *net.UDPAddr, word *jayv1.Datagram) {
+// trySend is send for words of which a lost one costs little: failures are counted.
+func (d *datagrams) trySend(to *net.UDPAddr, word *jayv1.Datagram) {
 	if err := d.send(to, word); err != nil {
 		d.gateway.metrics.Count("datagrams", "not_sent", 1)
 	}
 }
 
-// tellAll is tell for several entries.
-func (d *datagrams) tellAll(targets []*net.UDPAddr, word *jayv1.Datagram) {
+// trySendAll is tell for several entries.
+func (d *datagrams) trySendAll(targets []*net.UDPAddr, word *jayv1.Datagram) {
 	text, err := d.encode(word)
 	if err != nil {
 		d.gateway.metrics.Count("datagrams", "not_sent", int64(len(targets)))
@@ -128,7 +128,7 @@
 }
 
 func (d *datagrams) receive() {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := d.conn.ReadFromUDP(buffer)
 		if err != nil {
@@ -140,24 +140,24 @@
 			d.gateway.metrics.Count("datagrams", "malformed", 1)
 			continue
 		}
-		d.take(word, from)
+		d.handle(word, from)
 	}
 }
 
-func (d *datagrams) take(word *jayv1.Datagram, from *net.UDPAddr) {
+func (d *datagrams) handle(word *jayv1.Datagram, from *net.UDPAddr) {
 	g := d.gateway
 	switch body := word.GetBody().(type) {
 	case *jayv1.Datagram_Hints:
-		g.hints.take(body.Hints)
+		g.hints.receive(body.Hints)
 	case *jayv1.Datagram_Ask:
 		offer := g.state.offer(time.Now(), body.Ask)
-		d.tell(from, &jayv1.Datagram{Body: &jayv1.Datagram_Offer{Offer: offer}})
+		d.trySend(from, &jayv1.Datagram{Body: &jayv1.Datagram_Offer{Offer: offer}})
 	case *jayv1.Datagram_Offer:
 		g.placing.answered(body.Offer, from)
 	case *jayv1.Datagram_Progress:
-		g.state.progress(time.Now(), body.Progress)
+		g.state.applyProgress(time.Now(), body.Progress)
 	case *jayv1.Datagram_Switches:
-		g.takeSwitchWords(body.Switches)
+		g.receiveSwitches(body.Switches)
 	case *jayv1.Datagram_Strikes:
 		g.takeStrikes(body.Strikes, from.String())
 	default:
--- a/internal/gateway/datagrams_test.go
+++ b/internal/gateway/datagrams_test.go
@@ -13,7 +13,7 @@
 // version of the program, or of nobody that it knows.
 func FuzzDatagram(f *testing.F) {
 	for _, word := range []*jayv1.Datagram{
-		{Body: &jayv1.Datagram_Ask{Ask: askFor(1, "aa")}},
+		{Body: &jayv1.Datagram_Ask{Ask: newAsk(1, "aa")}},
 		{Body: &jayv1.Datagram_Progress{Progress: &jayv1.PlacementProgress{Key: 1, First: true, Elsewhere: &jayv1.Held{Address: "10.0.0.1:1"}}}},
 		{Body: &jayv1.Datagram_Offer{Offer: &jayv1.PlacementOffer{Key: 1, Outcome: jayv1.PlacementOffer_OUTCOME_SERVER}}},
 		{Body: &jayv1.Datagram_Hints{Hints: &jayv1.Hints{Prefix: []uint32{1}, PrefixServer: []uint32{2}, PrefixReadyMs: []uint32{3}}}},
@@ -36,7 +36,7 @@
 		}
 		g := &Gateway{settings: Settings{Node: "gw1"}, state: newOwner("gw1"), metrics: metrics.New(8), peers: newPeers(Settings{Node: "gw1"})}
 		g.placing, g.hints, g.datagrams = newPlacing(g), &hints{gateway: g}, &datagrams{gateway: g}
-		g.datagrams.take(word, nil)
-		g.datagrams.take(word, nil)
+		g.datagrams.handle(word, nil)
+		g.datagrams.handle(word, nil)
 	})
 }
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// operatorWait is how long a call for changes of the operator's table waits.
-	operatorWait = 20 * time.Second
+	// longPollWait is how long a call for changes of the operator's table waits.
+	longPollWait = 20 * time.Second
 	// backendPauseShare of the bound on leaving servers is between two reads of
 	// the list of backend servers. It changes with every heartbeat, so a call
 	// that waits for changes would return at once.
 	backendPauseShare = 0.35
-	// callTime bounds a call beyond what it waits on purpose.
-	callTime = 1200 * time.Millisecond
+	// callTimeout bounds a call beyond what it waits on purpose.
+	callTimeout = 1200 * time.Millisecond
 	// relayPause between two reads from another entry, and relayMargin for processes
 	// that wait for their processor: with the pause between two reads of the list
 	// they bound how long ago the store may have been heard from.
@@ -30,21 +30,21 @@
 	// each row that is written ends every call that waits for changes: 103 entries
 	// made more than a thousand calls in their first second.
 	entriesPause = 500 * time.Millisecond
-	// placeWait is how long after its start an entry waits to see its own row, and
+	// ownRowTimeout is how long after its start an entry waits to see its own row, and
 	// so whom to read from, before it asks the store for changes by itself.
-	placeWait = 2 * time.Second
-	// failedPause after a failed call. Only the list of servers is asked for that
+	ownRowTimeout = 2 * time.Second
+	// retryPause after a failed call. Only the list of servers is asked for that
 	// often, the other tables each sideFailedPause: they come with it.
-	failedPause     = 250 * time.Millisecond
-	sideFailedPause = time.Second
-	// agedPausePerPeer and agedPauseAtMost bound how often an entry asks the store
+	retryPause            = 250 * time.Millisecond
+	otherTablesRetryPause = time.Second
+	// staleRelayPausePerPeer and agedPauseAtMost bound how often an entry asks the store
 	// itself whose relays are there but have not heard from the store: an outage
 	// shows to them first. With each of 103 entries asking by itself all the while,
 	// eight seconds without the store took 7,000 calls.
-	agedPausePerPeer = 100 * time.Millisecond
-	agedPauseAtMost  = 3 * time.Second
-	// outageTime without a good read of the list that counts as an outage.
-	outageTime = 1500 * time.Millisecond
+	staleRelayPausePerPeer = 100 * time.Millisecond
+	maxStaleRelayPause     = 3 * time.Second
+	// minOutage without a good read of the list that counts as an outage.
+	minOutage = 1500 * time.Millisecond
 	// sourceStore names the store in logs.
 	sourceStore = "store"
 )
@@ -62,27 +62,27 @@
 	mu   sync.Mutex
 	copy mirror.Copy
 
-	// lastGood is when the store last answered, in Unix nanoseconds.
-	lastGood atomic.Int64
-	failing  atomic.Bool
+	// lastAnswer is when the store last answered, in Unix nanoseconds.
+	lastAnswer atomic.Int64
+	failing    atomic.Bool
 	// interrupt ends a call that waits; interrupted: it did, and the next call
 	// does not wait.
 	interrupt   atomic.Pointer[context.CancelFunc]
 	interrupted atomic.Bool
 }
 
-// patience is how long the next call may wait for a change. After a failure it
+// pollTimeout is how long the next call may wait for a change. After a failure it
 // asks without waiting: with an answer only at the next change, or at the end
 // of the wait, the store counted as lost for 20 s after it was back.
-func (f *feed) patience() time.Duration {
+func (f *feed) pollTimeout() time.Duration {
 	if f.interrupted.Swap(false) || f.failing.Load() {
 		return 0
 	}
 	return f.wait
 }
 
-// stopWaiting ends a call that waits.
-func (f *feed) stopWaiting() {
+// interruptPoll ends a call that waits.
+func (f *feed) interruptPoll() {
 	if interrupt := f.interrupt.Load(); f.wait > 0 && interrupt != nil {
 		f.interrupted.Store(true)
 		(*interrupt)()
@@ -103,7 +103,7 @@
 
 // age is how long ago the store was last heard from.
 func (f *feed) age(now time.Time) time.Duration {
-	return now.Sub(time.Unix(0, f.lastGood.Load()))
+	return now.Sub(time.Unix(0, f.lastAnswer.Load()))
 }
 
 // tableAge is how old a table may be. A call that waits for changes hears from the
@@ -121,10 +121,10 @@
 	return age
 }
 
-// relayFresh is how long ago the store may have been heard from by what a relay
+// maxRelayAge is how long ago the store may have been heard from by what a relay
 // gives that has so many entries between itself and the store. The less, the sooner
 // another one is asked: a configuration must be in force within its bound.
-func (g *Gateway) relayFresh(between int) time.Duration {
+func (g *Gateway) maxRelayAge(between int) time.Duration {
 	return g.backendPause() + time.Duration(between)*relayPause + relayMargin
 }
 
@@ -133,32 +133,32 @@
 	return time.Duration(float64(g.settings.DrainBound) * backendPauseShare)
 }
 
-// take applies a batch, in order with any other.
-func (f *feed) take(batch mirror.Batch, source string) {
+// applyBatch applies a batch, in order with any other.
+func (f *feed) applyBatch(batch mirror.Batch, source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	changed := f.copy.Apply(batch)
 	f.apply(time.Now(), changed, source)
 }
 
-// follow starts all that runs beside the requests.
-func (g *Gateway) follow(ctx context.Context) {
-	operators := &feed{table: g.ports.Decoder.OperatorTable, wait: operatorWait, relayPause: relayPause, apply: g.applyOperator}
+// startBackgroundTasks starts all that runs beside the requests.
+func (g *Gateway) startBackgroundTasks(ctx context.Context) {
+	operators := &feed{table: g.ports.Decoder.OperatorTable, wait: longPollWait, relayPause: relayPause, apply: g.applyOperator}
 	backends := &feed{copy: mirror.NewCopy(g.ports.Decoder.SameBackend), table: g.ports.Decoder.BackendTable, pause: g.backendPause(), relayPause: relayPause, apply: g.applyBackends}
-	entries := &feed{table: g.ports.Decoder.EntryTable, wait: operatorWait, pause: entriesPause, relayPause: relayPause, apply: g.applyEntries}
-	suspected := &feed{table: g.ports.Decoder.SuspectTable, wait: operatorWait, pause: entriesPause, relayPause: suspectRelayPause, apply: g.applySuspects}
+	entries := &feed{table: g.ports.Decoder.EntryTable, wait: longPollWait, pause: entriesPause, relayPause: relayPause, apply: g.applyEntries}
+	suspected := &feed{table: g.ports.Decoder.SuspectTable, wait: longPollWait, pause: entriesPause, relayPause: suspectRelayPause, apply: g.applySuspects}
 	g.feeds = []*feed{operators, backends, entries, suspected}
-	placed := time.Now().Add(placeWait)
-	g.spawn(func() { g.run(ctx, operators, placed) })
-	g.spawn(func() { g.run(ctx, backends, placed) })
-	g.spawn(func() { g.run(ctx, entries, time.Time{}) })
-	g.spawn(func() { g.run(ctx, suspected, placed) })
+	placed := time.Now().Add(ownRowTimeout)
+	g.spawn(func() { g.runFeed(ctx, operators, placed) })
+	g.spawn(func() { g.runFeed(ctx, backends, placed) })
+	g.spawn(func() { g.runFeed(ctx, entries, time.Time{}) })
+	g.spawn(func() { g.runFeed(ctx, suspected, placed) })
 	g.spawn(func() { g.spreadSuspects(ctx) })
-	g.spawn(func() { g.fallBack(ctx, backends) })
+	g.spawn(func() { g.readFromPeersDuringOutage(ctx, backends) })
 	g.spawn(func() { g.register(ctx) })
-	g.spawn(func() { g.learnWeights(ctx) })
+	g.spawn(func() { g.fetchWeightHistory(ctx) })
 	g.spawn(func() { g.every(ctx, serveTick, g.serveRoom) })
-	g.spawn(func() { g.watchStores(ctx) })
+	g.spawn(func() { g.watchKVStores(ctx) })
 	g.startRollouts(ctx)
 	g.spawn(func() { g.every(ctx, stateTick, g.tick) })
 }
@@ -183,26 +183,26 @@
 	g.state.suspects.tick(now, holder)
 }
 
-// run keeps a feed's copy. Between its first read and placed it waits until the
+// runFeed keeps a feed's copy. Between its first read and placed it waits until the
 // entry knows its place among the others.
-func (g *Gateway) run(ctx context.Context, f *feed, placed time.Time) {
+func (g *Gateway) runFeed(ctx context.Context, f *feed, placed time.Time) {
 	var askedAt time.Time
 	for ctx.Err() == nil {
-		for f.version() > 0 && !g.peers.placed() && time.Now().Before(placed) && ctx.Err() == nil {
+		for f.version() > 0 && !g.peers.ownRowSeen() && time.Now().Before(placed) && ctx.Err() == nil {
 			sleep(ctx, drainStep)
 		}
-		from := g.throughRelay(ctx, f)
-		if from == relayGave {
+		from := g.readThroughRelay(ctx, f)
+		if from == relayFresh {
 			sleep(ctx, f.relayPause)
 			continue
 		}
-		if from == relayAged && time.Since(askedAt) < g.agedPause() {
-			g.feedFailed(f, errAged)
-			sleep(ctx, failedPause)
+		if from == relayStale && time.Since(askedAt) < g.staleRelayPause() {
+			g.feedFailed(f, errStaleRelays)
+			sleep(ctx, retryPause)
 			continue
 		}
 		askedAt = time.Now()
-		err := g.readOnce(ctx, f)
+		err := g.readFromStore(ctx, f)
 		if f.interrupted.Load() {
 			continue
 		}
@@ -215,53 +215,53 @@
 	}
 }
 
-// agedPause is how long this entry leaves the store alone whose relays are there.
-func (g *Gateway) agedPause() time.Duration {
-	return min(time.Duration(g.peers.count())*agedPausePerPeer, agedPauseAtMost)
+// staleRelayPause is how long this entry leaves the store alone whose relays are there.
+func (g *Gateway) staleRelayPause() time.Duration {
+	return min(time.Duration(g.peers.count())*staleRelayPausePerPeer, maxStaleRelayPause)
 }
 
 func (g *Gateway) pauseAfterFailure(f *feed) time.Duration {
 	if f.table == g.ports.Decoder.BackendTable {
-		return failedPause
+		return retryPause
 	}
-	return sideFailedPause
+	return otherTablesRetryPause
 }
 
-// relayed is what came of reading through relays.
-type relayed int
+// relayOutcome is what came of reading through relays.
+type relayOutcome int
 
 const (
-	// relayNone: this entry asks the store itself, or no relay answers.
-	relayNone relayed = iota
-	// relayGave: a relay gave what it has, and that is fresh.
-	relayGave
-	// relayAged: a relay answered that has not heard from the store of late.
-	relayAged
+	// relayUnavailable: this entry asks the store itself, or no relay answers.
+	relayUnavailable relayOutcome = iota
+	// relayFresh: a relay gave what it has, and that is fresh.
+	relayFresh
+	// relayStale: a relay answered that has not heard from the store of late.
+	relayStale
 )
 
-// errAged tells that the relays have not heard from the store.
-var errAged = errors.New("the relays have not heard from the store")
+// errStaleRelays tells that the relays have not heard from the store.
+var errStaleRelays = errors.New("the relays have not heard from the store")
 
-// throughRelay reads a table from an entry that is nearer to the store. With
+// readThroughRelay reads a table from an entry that is nearer to the store. With
 // every entry asking by itself the store's calls grow with the fleet.
-func (g *Gateway) throughRelay(ctx context.Context, f *feed) relayed {
-	outcome := relayNone
+func (g *Gateway) readThroughRelay(ctx context.Context, f *feed) relayOutcome {
+	outcome := relayUnavailable
 	relays, between := g.peers.relays(time.Now())
 	for _, relay := range relays {
 		batch, err := g.peers.table(ctx, relay, f.table, f.version())
 		if err != nil && ctx.Err() == nil {
-			g.peers.didNotAnswer(time.Now(), relay)
+			g.peers.markUnresponsive(time.Now(), relay)
 		}
-		if err != nil || batch.AgeMS > g.relayFresh(between).Milliseconds() || batch.Version == 0 {
+		if err != nil || batch.AgeMS > g.maxRelayAge(between).Milliseconds() || batch.Version == 0 {
 			g.metrics.Count("relay_failed", f.table, 1)
 			if err == nil && batch.Version > 0 {
-				outcome = relayAged
+				outcome = relayStale
 			}
 			continue
 		}
-		g.feedWorks(f, time.Duration(batch.AgeMS)*time.Millisecond)
-		f.take(batch.Batch, relay)
-		return relayGave
+		g.feedSucceeded(f, time.Duration(batch.AgeMS)*time.Millisecond)
+		f.applyBatch(batch.Batch, relay)
+		return relayFresh
 	}
 	return outcome
 }
@@ -278,11 +278,11 @@
 	}
 }
 
-// readOnce asks the store for changes, or for the whole table where its
+// readFromStore asks the store for changes, or for the whole table where its
 // history does not reach back.
-func (g *Gateway) readOnce(ctx context.Context, f *feed) error {
-	wait := f.patience()
-	ctx, cancel := context.WithTimeout(ctx, wait+callTime)
+func (g *Gateway) readFromStore(ctx context.Context, f *feed) error {
+	wait := f.pollTimeout()
+	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	f.interrupt.Store(&cancel)
 	after := f.version()
@@ -297,8 +297,8 @@
 	if err != nil {
 		return err
 	}
-	g.feedWorks(f, 0)
-	f.take(batch, sourceStore)
+	g.feedSucceeded(f, 0)
+	f.applyBatch(batch, sourceStore)
 	return nil
 }
 
@@ -309,12 +309,12 @@
 	}
 }
 
-// feedWorks notes that the store answered, so long ago. After an outage entries of the list
+// feedSucceeded notes that the store answered, so long ago. After an outage entries of the list
 // may have expired though their servers are alive, and a call that waits on
 // another connection may wait for an answer that was lost.
-func (g *Gateway) feedWorks(f *feed, age time.Duration) {
+func (g *Gateway) feedSucceeded(f *feed, age time.Duration) {
 	now := time.Now().Add(-age)
-	last := f.lastGood.Swap(now.UnixNano())
+	last := f.lastAnswer.Swap(now.UnixNano())
 	if !f.failing.Swap(false) {
 		return
 	}
@@ -323,22 +323,22 @@
 	if f.table != g.ports.Decoder.BackendTable {
 		return
 	}
-	if last > 0 && gap > outageTime {
+	if last > 0 && gap > minOutage {
 		g.state.mu.Lock()
 		g.state.list.Restored(now)
 		g.state.mu.Unlock()
 	}
 	for _, other := range g.feeds {
 		if other != f {
-			other.stopWaiting()
+			other.interruptPoll()
 		}
 	}
 }
 
-// fallBack asks other entries while the store turns this one away: it serves
+// readFromPeersDuringOutage asks other entries while the store turns this one away: it serves
 // them perhaps, and the operator's changes count for all.
-func (g *Gateway) fallBack(ctx context.Context, gauge *feed) {
-	g.every(ctx, failedPause, func(time.Time) {
+func (g *Gateway) readFromPeersDuringOutage(ctx context.Context, gauge *feed) {
+	g.every(ctx, retryPause, func(time.Time) {
 		if !gauge.failing.Load() {
 			return
 		}
@@ -349,7 +349,7 @@
 				continue
 			}
 			if batch.Version > 0 {
-				f.take(batch, peer)
+				f.applyBatch(batch, peer)
 			}
 		}
 	})
@@ -384,7 +384,7 @@
 	changes := make([]backendChange, 0, len(rows))
 	for _, row := range rows {
 		if row.Removed {
-			changes = append(changes, backendChange{gone: row.Key})
+			changes = append(changes, backendChange{removed: row.Key})
 			continue
 		}
 		b, err := g.ports.Decoder.Backend(row.Key, row.Value)
@@ -392,7 +392,7 @@
 			klog.ErrorS(err, "Backend server not understood; its last good entry stays", "row", row.Key, "rowVersion", row.Version, "source", source)
 			continue
 		}
-		changes = append(changes, backendChange{entry: b})
+		changes = append(changes, backendChange{backend: b})
 	}
 	g.state.changeBackends(now, changes)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -88,7 +88,7 @@
 	}
 	g.startDatagrams(ctx)
 	g.startHints(ctx)
-	g.follow(ctx)
+	g.startBackgroundTasks(ctx)
 	g.awaitConfig(ctx)
 	if err := g.listenCallers(); err != nil {
 		return nil, err
@@ -196,17 +196,17 @@
 	g.metrics.Gauge("backend_servers", "listed", int64(s.list.Len()))
 	g.metrics.Gauge("backend_servers", "switching", int64(len(s.switches)))
 	g.metrics.Gauge("prefix_survival_ms", "estimate", s.router.Survival().Milliseconds())
-	for service, budget := range s.budgets {
+	for service, budget := range s.retryBudgets {
 		g.metrics.Gauge("retry_budget", service, int64(budget.Left(now)))
 	}
-	for _, model := range s.book.Models() {
-		g.metrics.Gauge("weights_named", model, int64(s.book.Newest(model))) //nolint:gosec // a count
+	for _, model := range s.weights.Models() {
+		g.metrics.Gauge("weights_named", model, int64(s.weights.Newest(model))) //nolint:gosec // a count
 	}
 	known, held := s.suspects.counts()
 	g.metrics.Gauge("suspected_requests", "known", int64(known))
 	g.metrics.Gauge("suspected_requests", "held", int64(held))
 	g.metrics.Gauge("requests_active", "all", g.active.Load())
-	g.metrics.Gauge("requests_waiting", "memory", int64(s.room.Len()))
+	g.metrics.Gauge("requests_waiting", "memory", int64(s.waitQueue.Len()))
 	g.metrics.Gauge("connections_opened", "all", g.pool.Opened())
 }
 
--- a/internal/gateway/hints.go
+++ b/internal/gateway/hints.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// hintPause collects hints for one datagram. It bounds how long another
+	// hintInterval collects hints for one datagram. It bounds how long another
 	// entry does not know that a prefix is being read.
-	hintPause = 20 * time.Millisecond
-	// loadPause is the least time between two words on our unread prompts.
-	loadPause = 100 * time.Millisecond
-	// memoryPause is the least time between two words on the memory that our
+	hintInterval = 20 * time.Millisecond
+	// loadHintInterval is the least time between two words on our unread prompts.
+	loadHintInterval = 100 * time.Millisecond
+	// memoryHintInterval is the least time between two words on the memory that our
 	// requests take: they take it for seconds.
-	memoryPause = 500 * time.Millisecond
-	// hintBytesPerPeer a second is what all hints to one other entry may take,
+	memoryHintInterval = 500 * time.Millisecond
+	// hintBytesPerSecondPerPeer a second is what all hints to one other entry may take,
 	// hintBytesAtMost what those to all of them may. Four entries that told 2 KB/s
 	// in all earned 0.776 of a day with new weights, with 4 KB/s 0.796, with 8 KB/s 0.791.
-	hintBytesPerPeer = 1300
-	hintBytesAtMost  = 32 << 10
+	hintBytesPerSecondPerPeer = 1300
+	maxHintBytesPerSecond     = 32 << 10
 	// hintBurst is for how long unused bytes are saved up.
 	hintBurst = time.Second
-	// prefixReserve, a share of the saved bytes, is kept for prefixes: what waits where
+	// prefixBudgetShare, a share of the saved bytes, is kept for prefixes: what waits where
 	// is guessed from our own requests when it is not told.
-	prefixReserve = 0.5
-	// tellAllAtMost entries tell each other all: with more, what one may send
+	prefixBudgetShare = 0.5
+	// maxUnshardedEntries entries tell each other all: with more, what one may send
 	// leaves less than hintBytesPerPeer for each of the others.
-	tellAllAtMost = hintBytesAtMost/hintBytesPerPeer + 1
+	maxUnshardedEntries = maxHintBytesPerSecond/hintBytesPerSecondPerPeer + 1
 )
 
 // hints tells other entries where prefixes are read and what waits where.
@@ -48,24 +48,24 @@
 	mu      sync.Mutex
 	targets []*net.UDPAddr
 	// budget of bytes, filled over time.
-	budget   float64
-	filledAt time.Time
-	loadsAt  time.Time
-	memoryAt time.Time
-	// waiting are prefixes that the budget did not allow to tell yet.
-	waiting *jayv1.Hints
+	budget       float64
+	refilledAt   time.Time
+	loadsSentAt  time.Time
+	memorySentAt time.Time
+	// postponed are prefixes that the budget did not allow to tell yet.
+	postponed *jayv1.Hints
 }
 
 // startHints begins to tell, where the port for datagrams is open.
 func (g *Gateway) startHints(ctx context.Context) {
-	g.hints = &hints{gateway: g, self: uint32(xxh3.HashString(g.settings.Node)), filledAt: time.Now()} //nolint:gosec // the low half of a hash
+	g.hints = &hints{gateway: g, self: uint32(xxh3.HashString(g.settings.Node)), refilledAt: time.Now()} //nolint:gosec // the low half of a hash
 	if g.datagrams.conn != nil {
-		g.spawn(func() { g.every(ctx, hintPause, g.hints.send) })
+		g.spawn(func() { g.every(ctx, hintInterval, g.hints.send) })
 	}
 }
 
-// setEntries tells where the other entries are.
-func (h *hints) setEntries(addresses []string) {
+// setTargets tells where the other entries are.
+func (h *hints) setTargets(addresses []string) {
 	targets := h.gateway.datagrams.addressesOf(addresses)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,25 +78,25 @@
 	}
 	h.mu.Lock()
 	targets := h.targets
-	rate := float64(min(hintBytesPerPeer*len(targets), hintBytesAtMost))
+	rate := float64(min(hintBytesPerSecondPerPeer*len(targets), maxHintBytesPerSecond))
 	full := rate * hintBurst.Seconds()
-	h.budget = min(full, h.budget+rate*now.Sub(h.filledAt).Seconds())
-	h.filledAt = now
-	loadsDue := now.Sub(h.loadsAt) >= loadPause
-	memoryDue := now.Sub(h.memoryAt) >= memoryPause
+	h.budget = min(full, h.budget+rate*now.Sub(h.refilledAt).Seconds())
+	h.refilledAt = now
+	loadsDue := now.Sub(h.loadsSentAt) >= loadHintInterval
+	memoryDue := now.Sub(h.memorySentAt) >= memoryHintInterval
 	h.mu.Unlock()
 	if len(targets) == 0 {
 		return
 	}
-	message := h.message(loadsDue, memoryDue)
+	message := h.buildMessage(loadsDue, memoryDue)
 	if message == nil {
 		return
 	}
-	h.sendAll(now, message, targets, prefixReserve*full)
+	h.sendAll(now, message, targets, prefixBudgetShare*full)
 }
 
-// message is what there is to tell; nil when nothing.
-func (h *hints) message(loadsDue, memoryDue bool) *jayv1.Hints {
+// buildMessage is what there is to tell; nil when nothing.
+func (h *hints) buildMessage(loadsDue, memoryDue bool) *jayv1.Hints {
 	s := h.gateway.state
 	s.mu.Lock()
 	news, placed, saved := s.router.News(), s.router.Placed(), s.router.Saved()
@@ -110,8 +110,8 @@
 	}
 	s.mu.Unlock()
 	h.mu.Lock()
-	message := h.waiting
-	h.waiting = nil
+	message := h.postponed
+	h.postponed = nil
 	h.mu.Unlock()
 	if message == nil && len(news) == 0 && len(loads) == 0 && len(memory) == 0 && len(placed) == 0 && len(saved) == 0 {
 		return nil
@@ -152,21 +152,21 @@
 // sendAll sends the message to every entry, as far as the budget reaches:
 // without loads first, then not at all.
 func (h *hints) sendAll(now time.Time, message *jayv1.Hints, targets []*net.UDPAddr, reserve float64) {
-	size := (proto.Size(message) + overheadBytes) * len(targets)
+	size := (proto.Size(message) + datagramOverheadBytes) * len(targets)
 	h.mu.Lock()
 	if float64(size) > h.budget-reserve && len(message.GetLoadServer()) > 0 {
 		message.LoadServer, message.LoadMs = nil, nil
-		size = (proto.Size(message) + overheadBytes) * len(targets)
+		size = (proto.Size(message) + datagramOverheadBytes) * len(targets)
 	}
-	affordable := float64(size) <= h.budget && worthSending(message)
+	affordable := float64(size) <= h.budget && hasHints(message)
 	if affordable {
 		h.budget -= float64(size)
 	}
 	if len(message.GetLoadServer()) > 0 {
-		h.loadsAt = now
+		h.loadsSentAt = now
 	}
 	if message.GetHasMemory() && affordable {
-		h.memoryAt = now
+		h.memorySentAt = now
 	}
 	h.mu.Unlock()
 	if !affordable {
@@ -174,11 +174,11 @@
 		return
 	}
 	word := &jayv1.Datagram{Body: &jayv1.Datagram_Hints{Hints: message}}
-	h.gateway.datagrams.tellAll(targets, word)
+	h.gateway.datagrams.trySendAll(targets, word)
 	h.gateway.metrics.Count("hints", "sent", int64(len(targets)))
 }
 
-func worthSending(message *jayv1.Hints) bool {
+func hasHints(message *jayv1.Hints) bool {
 	return len(message.GetPrefix())+len(message.GetLoadServer())+len(message.GetMemoryServer())+len(message.GetPlacedServer())+len(message.GetSaved()) > 0
 }
 
@@ -190,10 +190,10 @@
 	message.LoadServer, message.LoadMs = nil, nil
 	message.MemoryServer, message.MemoryKilotokens, message.HasMemory = nil, nil, false
 	message.PlacedServer, message.PlacedKilotokens, message.PlacedReadMs = nil, nil, nil
-	h.waiting = message
+	h.postponed = message
 }
 
-func (h *hints) take(message *jayv1.Hints) {
+func (h *hints) receive(message *jayv1.Hints) {
 	servers, ready := message.GetPrefixServer(), message.GetPrefixReadyMs()
 	if len(servers) != len(message.GetPrefix()) || len(ready) != len(servers) || !sameLengths(message) {
 		h.gateway.metrics.Count("hints", "malformed", 1)
@@ -213,9 +213,9 @@
 	s.router.Hear(now, prefixes)
 	s.router.HearSaved(now, message.GetSaved())
 	if message.GetHasMemory() {
-		s.router.HearMemory(now, message.GetEntry(), memoryOf(message, byHash))
+		s.router.HearMemory(now, message.GetEntry(), memoryHints(message, byHash))
 	}
-	s.router.HearPlaced(now, message.GetEntry(), placedOf(message, byHash))
+	s.router.HearPlaced(now, message.GetEntry(), placedHints(message, byHash))
 	if len(message.GetLoadServer()) == 0 {
 		return
 	}
@@ -235,7 +235,7 @@
 		len(message.GetPlacedKilotokens()) == placed && len(message.GetPlacedReadMs()) == placed
 }
 
-func memoryOf(message *jayv1.Hints, byHash map[uint32]*fleet.Backend) []routing.MemoryHint {
+func memoryHints(message *jayv1.Hints, byHash map[uint32]*fleet.Backend) []routing.MemoryHint {
 	var hints []routing.MemoryHint
 	for i, hash := range message.GetMemoryServer() {
 		if b := byHash[hash]; b != nil {
@@ -245,7 +245,7 @@
 	return hints
 }
 
-func placedOf(message *jayv1.Hints, byHash map[uint32]*fleet.Backend) []routing.PlacedHint {
+func placedHints(message *jayv1.Hints, byHash map[uint32]*fleet.Backend) []routing.PlacedHint {
 	var hints []routing.PlacedHint
 	for i, hash := range message.GetPlacedServer() {
 		if b := byHash[hash]; b != nil {
--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -18,14 +18,14 @@
 
 // putBackend takes in an entry of the list of backend servers.
 func (s *state) putBackend(now time.Time, b *fleet.Backend) {
-	s.changeBackends(now, []backendChange{{entry: b}})
+	s.changeBackends(now, []backendChange{{backend: b}})
 }
 
 // backendChange is one entry of the list that changed, or the name of a server
 // whose entry vanished.
 type backendChange struct {
-	entry *fleet.Backend
-	gone  string
+	backend *fleet.Backend
+	removed string
 }
 
 // changeBackends takes in changes of the list. The members are worked out once for
@@ -35,12 +35,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, change := range changes {
-		if change.entry != nil {
-			s.putLocked(now, change.entry)
+		if change.backend != nil {
+			s.putLocked(now, change.backend)
 			continue
 		}
-		if gone := s.list.Remove(now, change.gone); gone != nil {
-			s.leftLocked(now, gone, "list")
+		if gone := s.list.Remove(now, change.removed); gone != nil {
+			s.forgetIncarnationLocked(now, gone, "list")
 		}
 	}
 	s.refreshMembersLocked(now)
@@ -54,27 +54,27 @@
 		klog.InfoS("Entry of an earlier lifetime not taken", "server", old.ID, "entry", b.ID)
 		return
 	case fleet.Restarted:
-		s.leftLocked(now, old, "started again as "+b.ID)
+		s.forgetIncarnationLocked(now, old, "started again as "+b.ID)
 	case fleet.Added, fleet.Updated:
 	}
-	s.listedLocked(b)
+	s.initListedLocked(b)
 	if change != fleet.Updated || old.Draining != b.Draining || old.Service != b.Service {
 		klog.InfoS("Backend server listed", "server", b.ID, "service", b.Service, "address", b.Address, "draining", b.Draining, "versions", b.Versions)
 		s.membersStale = true
 	}
 }
 
-// listedLocked completes an entry that the list has taken.
-func (s *state) listedLocked(b *fleet.Backend) {
+// initListedLocked completes an entry that the list has taken.
+func (s *state) initListedLocked(b *fleet.Backend) {
 	b.Hash = routing.ServerHash(b.ID)
 	for model, version := range b.Versions {
-		s.sawVersionLocked(b.ID, model, version, "list")
+		s.observeVersionLocked(b.ID, model, version, "list")
 	}
 }
 
-// leftLocked forgets a lifetime that is over, and all that was believed of it.
+// forgetIncarnationLocked forgets a lifetime that is over, and all that was believed of it.
 // What other holders ordered counts for the server under whatever lifetime.
-func (s *state) leftLocked(now time.Time, b *fleet.Backend, source string) {
+func (s *state) forgetIncarnationLocked(now time.Time, b *fleet.Backend, source string) {
 	klog.InfoS("Backend server gone", "server", b.ID, "source", source)
 	if b.Draining {
 		s.suspects.left(b.ID)
@@ -95,9 +95,9 @@
 	s.membersStale = true
 }
 
-// ofLifetime tells whether a report is about the lifetime that was asked. One
+// reportIsCurrent tells whether a report is about the lifetime that was asked. One
 // that was born later shows that the server started again.
-func (s *state) ofLifetime(now time.Time, id string, report *call.Report) bool {
+func (s *state) reportIsCurrent(now time.Time, id string, report *call.Report) bool {
 	s.mu.Lock()
 	b := s.list.Get(id)
 	s.mu.Unlock()
@@ -107,40 +107,40 @@
 	case report.Born == 0 || b.Born == 0 || report.Born == b.Born:
 		return true
 	case report.Born > b.Born:
-		s.startedAgain(now, b, report)
+		s.recordRestart(now, b, report)
 	}
 	return false
 }
 
-// startedAgain takes in that a server says of itself that it was born later than
+// recordRestart takes in that a server says of itself that it was born later than
 // the lifetime that is listed: the list shows it with its next heartbeat.
-func (s *state) startedAgain(now time.Time, listed *fleet.Backend, report *call.Report) {
+func (s *state) recordRestart(now time.Time, listed *fleet.Backend, report *call.Report) {
 	next := *listed
 	next.Born, next.Versions = report.Born, report.Versions
 	s.putBackend(now, &next)
 }
 
-// lifetimeOver takes in the proof that a lifetime of a backend server is over.
-func (s *state) lifetimeOver(now time.Time, id, source string) {
+// incarnationEnded takes in the proof that a lifetime of a backend server is over.
+func (s *state) incarnationEnded(now time.Time, id, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endLocked(now, id, source)
+	s.endIncarnationLocked(now, id, source)
 }
 
-func (s *state) endLocked(now time.Time, id, source string) {
+func (s *state) endIncarnationLocked(now time.Time, id, source string) {
 	if !s.list.End(now, id) {
 		return
 	}
 	klog.InfoS("Lifetime over", "server", id, "source", source)
 	s.suspects.crashed(now, id)
-	s.emptiedLocked(id)
+	s.cacheClearedLocked(id)
 }
 
 // reportFailed takes in that a server did not tell its state. Servers that were
 // gone held places among those that load at once until the list showed it.
 func (s *state) reportFailed(now time.Time, id string, err error) {
 	if errors.Is(err, call.ErrOtherInstance) {
-		s.lifetimeOver(now, id, "report")
+		s.incarnationEnded(now, id, "report")
 		return
 	}
 	if errors.Is(err, upstream.ErrNoListener) {
--- a/internal/gateway/owning.go
+++ b/internal/gateway/owning.go
@@ -74,13 +74,13 @@
 		return none
 	}
 	division := s.divisionLocked(now, service.Name)
-	s.own.SetSavers(len(division.Owners))
+	s.shardRouter.SetSavers(len(division.Owners))
 	servers := s.candidatesAtLocked(now, service, ask.GetModel(), division.Owned(s.settings.Node))
-	request := s.requestOfLocked(now, table, service, ask)
+	request := s.routingRequestLocked(now, table, service, ask)
 	if held := ask.GetHeld(); held != nil {
-		s.own.HearHolder(now, &request, s.holdingLocked(service.Name, held))
+		s.shardRouter.HearHolder(now, &request, s.holdingLocked(service.Name, held))
 	}
-	choice, err := s.own.Choose(now, &request, servers, s.namesOfLocked(ask.GetTried()))
+	choice, err := s.shardRouter.Choose(now, &request, servers, s.idsByHashLocked(ask.GetTried()))
 	switch {
 	case errors.Is(err, routing.ErrNoRoom):
 		none.Outcome = jayv1.PlacementOffer_OUTCOME_NO_ROOM
@@ -89,13 +89,13 @@
 		return none
 	}
 	klog.V(1).InfoS("Offered", "key", request.ID, "server", choice.Server.ID, "servers", len(servers), "totalMS", int(choice.Terms.Total()))
-	return offerOf(ask.GetKey(), &choice)
+	return newOffer(ask.GetKey(), &choice)
 }
 
-// requestOfLocked is the request of a question as the router sees it.
-func (s *state) requestOfLocked(now time.Time, table *routetable.Table, service *routetable.Service, ask *jayv1.PlacementAsk) routing.DirectRequest {
+// routingRequestLocked is the request of a question as the router sees it.
+func (s *state) routingRequestLocked(now time.Time, table *routetable.Table, service *routetable.Service, ask *jayv1.PlacementAsk) routing.DirectRequest {
 	request := routing.DirectRequest{
-		ID: requestName(ask.GetKey()), DataCentre: ask.GetDataCentre(), MayWait: ask.GetMayWait(),
+		ID: placementID(ask.GetKey()), DataCentre: ask.GetDataCentre(), MayWait: ask.GetMayWait(),
 		Until: now.Add(time.Duration(ask.GetLeftMs()) * time.Millisecond),
 	}
 	if ask.GetModel() == "" {
@@ -108,7 +108,7 @@
 		request.Prefix = append(request.Prefix, call.Part{ID: id, Tokens: int(ask.GetPartTokens()[i])})
 	}
 	if service.Engine != nil {
-		request.Stores = s.storesLocked(table, service.Engine)
+		request.Stores = s.kvStoresLocked(table, service.Engine)
 	}
 	return request
 }
@@ -136,11 +136,11 @@
 
 const percent = 100
 
-// requestName names a request that was asked for under a key.
-func requestName(key uint64) string { return strconv.FormatUint(key, 36) }
+// placementID names a request that was asked for under a key.
+func placementID(key uint64) string { return strconv.FormatUint(key, 36) }
 
-// namesOfLocked are the listed servers of some hashes.
-func (s *state) namesOfLocked(hashes []uint32) []string {
+// idsByHashLocked are the listed servers of some hashes.
+func (s *state) idsByHashLocked(hashes []uint32) []string {
 	var names []string
 	byHash := s.list.ByHash(nameHash)
 	for _, hash := range hashes {
@@ -151,91 +151,91 @@
 	return names
 }
 
-func offerOf(key uint64, choice *routing.DirectChoice) *jayv1.PlacementOffer {
+func newOffer(key uint64, choice *routing.DirectChoice) *jayv1.PlacementOffer {
 	return &jayv1.PlacementOffer{
 		Key: key, Outcome: jayv1.PlacementOffer_OUTCOME_SERVER,
 		Server: nameHash(choice.Server.ID), Version: choice.Server.Version,
 		FetchFrom: choice.FetchFrom, SaveTo: choice.SaveTo, Source: uint32(choice.Source), //nolint:gosec // few
-		QueueMs: wholeMS(choice.Terms.QueueMS), MemoryMs: wholeMS(choice.Terms.MemoryMS),
-		ReadMs: wholeMS(choice.Terms.ReadMS), TotalMs: wholeMS(choice.Terms.Total()),
+		QueueMs: clampMS(choice.Terms.QueueMS), MemoryMs: clampMS(choice.Terms.MemoryMS),
+		ReadMs: clampMS(choice.Terms.ReadMS), TotalMs: clampMS(choice.Terms.Total()),
 	}
 }
 
-// wholeMS bounds a time that goes into a datagram.
-func wholeMS(ms float64) uint32 { return uint32(min(max(ms, 0), float64(time.Hour/time.Millisecond))) }
+// clampMS bounds a time that goes into a datagram.
+func clampMS(ms float64) uint32 { return uint32(min(max(ms, 0), float64(time.Hour/time.Millisecond))) }
 
-// progress takes in how an offered request goes on. Evidence on its server comes
+// applyProgress takes in how an offered request goes on. Evidence on its server comes
 // from all entries, so that a server which is gone is known with the first
 // request that finds it so.
-func (s *state) progress(now time.Time, p *jayv1.PlacementProgress) {
+func (s *state) applyProgress(now time.Time, p *jayv1.PlacementProgress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	request := requestName(p.GetKey())
-	server := s.own.ServerOf(request)
+	request := placementID(p.GetKey())
+	server := s.shardRouter.ServerOf(request)
 	if server == "" {
 		return
 	}
 	if p.GetFirst() {
-		s.own.FirstToken(now, request)
+		s.shardRouter.FirstToken(now, request)
 	}
 	if p.GetHasLoad() {
 		// What is in it beyond the requests that we placed came from entries that
 		// could not ask us.
-		s.own.Told(now, server, call.Load{Running: int(p.GetRunning()), Waiting: int(p.GetWaiting())})
+		s.shardRouter.Told(now, server, call.Load{Running: int(p.GetRunning()), Waiting: int(p.GetWaiting())})
 	}
 	if held := p.GetElsewhere(); held != nil {
-		s.own.WentElsewhere(now, request, s.holdingLocked(s.serviceOf(server), held))
+		s.shardRouter.WentElsewhere(now, request, s.holdingLocked(s.serviceOf(server), held))
 		return
 	}
 	if p.GetEnded() {
-		s.own.Finished(now, request, p.GetRan())
-		s.evidenceLocked(now, server, p)
+		s.shardRouter.Finished(now, request, p.GetRan())
+		s.applyEvidenceLocked(now, server, p)
 	}
 }
 
-// restLocked leaves a server that refused alone for a while: most likely it takes
+// pauseServerLocked leaves a server that refused alone for a while: most likely it takes
 // the next weights.
-func (s *state) restLocked(now time.Time, server string) {
+func (s *state) pauseServerLocked(now time.Time, server string) {
 	next := uint64(0)
 	for key, version := range s.versions {
 		if key.server == server {
 			next = max(next, version+1)
 		}
 	}
-	s.switches[server] = switching{version: next, until: now.Add(refusedRest)}
+	s.switches[server] = weightSwitch{version: next, until: now.Add(refusedRest)}
 }
 
 // evidence is what an entry saw of the server that a request was sent to.
 type evidence struct {
-	failed, notListening, otherLifetime, refused bool
+	failed, notListening, otherIncarnation, refused bool
 	// version of the model that the server has, where it differs from what was
 	// believed; 0: nothing was seen.
 	model   string
 	version uint64
 }
 
-// end is the word to the owner that the request ended.
-func (e *evidence) end(ran bool) *jayv1.PlacementProgress {
+// endedProgress is the word to the owner that the request ended.
+func (e *evidence) endedProgress(ran bool) *jayv1.PlacementProgress {
 	return &jayv1.PlacementProgress{
-		Ended: true, Ran: ran, Failed: e.failed, NotListening: e.notListening, OtherLifetime: e.otherLifetime,
+		Ended: true, Ran: ran, Failed: e.failed, NotListening: e.notListening, OtherLifetime: e.otherIncarnation,
 		Refused: e.refused, Model: e.model, Version: e.version,
 	}
 }
 
-// evidenceLocked takes in what an entry saw of a server.
-func (s *state) evidenceLocked(now time.Time, server string, p *jayv1.PlacementProgress) {
+// applyEvidenceLocked takes in what an entry saw of a server.
+func (s *state) applyEvidenceLocked(now time.Time, server string, p *jayv1.PlacementProgress) {
 	if p.GetVersion() > 0 {
-		s.sawVersionLocked(server, p.GetModel(), p.GetVersion(), "entry")
+		s.observeVersionLocked(server, p.GetModel(), p.GetVersion(), "entry")
 	}
 	switch {
 	case p.GetOtherLifetime():
-		s.endLocked(now, server, "entry")
+		s.endIncarnationLocked(now, server, "entry")
 	case p.GetNotListening():
 		s.notListeningLocked(now, server)
 	case p.GetFailed():
 		s.members.Failed(now, server)
 	case p.GetRefused():
-		s.restLocked(now, server)
+		s.pauseServerLocked(now, server)
 	case p.GetRan():
 		s.members.Succeeded(now, server)
 	}
--- a/internal/gateway/owning_test.go
+++ b/internal/gateway/owning_test.go
@@ -18,7 +18,7 @@
 	"github.com/jayproxy/jayproxy/internal/weights"
 )
 
-var ownStart = time.Unix(1000, 0)
+var ownerTestStart = time.Unix(1000, 0)
 
 // newOwner is an entry that owns its part of 32 engines beside three others.
 func newOwner(node string) *state {
@@ -26,7 +26,7 @@
 	engines := &routetable.Service{Name: "engines", Engine: &routetable.Engine{Slots: 8, KVCapacityTokens: 100000}}
 	s.table.Store(&routetable.Table{Version: 1, Services: map[string]*routetable.Service{"engines": engines}})
 	for i := range 32 {
-		s.putBackend(ownStart, &fleet.Backend{
+		s.putBackend(ownerTestStart, &fleet.Backend{
 			Lifetime: fleet.Lifetime{Instance: fmt.Sprint("e", i), Born: 1}, Service: "engines", Address: fmt.Sprintf("10.0.0.%d:1", i+1), Slots: 8,
 			Versions: map[string]uint64{"m": 1},
 		})
@@ -36,18 +36,18 @@
 		entries = append(entries, shard.Entry{Name: fmt.Sprint("gw", i), Address: fmt.Sprintf("10.1.0.%d:1", i), Cores: 1})
 	}
 	s.setOwners(entries)
-	s.nameVersion(ownStart, weights.Named{Model: "m", Version: 1}, "test")
+	s.nameVersion(ownerTestStart, weights.Named{Model: "m", Version: 1}, "test")
 	return s
 }
 
-func askFor(key uint64, document string) *jayv1.PlacementAsk {
+func newAsk(key uint64, document string) *jayv1.PlacementAsk {
 	return &jayv1.PlacementAsk{
 		Key: key, Service: "engines", Model: "m", Part: []string{document}, PartTokens: []uint32{5000}, Tokens: 6000,
 		OutputTokens: 100, MemoryPercent: percent, LeftMs: 10000,
 	}
 }
 
-func serverNamed(s *state, hash uint32) string {
+func serverByHash(s *state, hash uint32) string {
 	b := s.list.ByHash(nameHash)[hash]
 	if b == nil {
 		return ""
@@ -57,30 +57,30 @@
 
 // Two entries asked for the same prefix at the same moment. Each chose by itself
 // before, and the prefix was read at two engines.
-func TestAnOwnerKeepsRequestsWithOnePrefixTogether(t *testing.T) {
+func TestOwnerPlacesSamePrefixOnSameServer(t *testing.T) {
 	s := newOwner("gw1")
-	first, second := s.offer(ownStart, askFor(1, "aa")), s.offer(ownStart, askFor(2, "aa"))
+	first, second := s.offer(ownerTestStart, newAsk(1, "aa")), s.offer(ownerTestStart, newAsk(2, "aa"))
 	require.Equal(t, jayv1.PlacementOffer_OUTCOME_SERVER, first.GetOutcome())
 	assert.Equal(t, first.GetServer(), second.GetServer())
 }
 
 // The owner's servers are its own part of the list, and those that were tried
 // are left out.
-func TestAnOwnerOffersItsOwnServersOnly(t *testing.T) {
+func TestOwnerOffersOnlyItsServers(t *testing.T) {
 	s := newOwner("gw1")
 	own := map[string]bool{}
 	for i, b := range s.list.Of("engines") {
-		own[b.ID] = s.divisionLocked(ownStart, "engines").Owns("gw1", i)
+		own[b.ID] = s.divisionLocked(ownerTestStart, "engines").Owns("gw1", i)
 	}
 	var tried []uint32
 	for key := range uint64(32) {
-		ask := askFor(key, "aa")
+		ask := newAsk(key, "aa")
 		ask.Tried = tried
-		offer := s.offer(ownStart, ask)
+		offer := s.offer(ownerTestStart, ask)
 		if offer.GetOutcome() != jayv1.PlacementOffer_OUTCOME_SERVER {
 			break
 		}
-		assert.True(t, own[serverNamed(s, offer.GetServer())])
+		assert.True(t, own[serverByHash(s, offer.GetServer())])
 		assert.NotContains(t, tried, offer.GetServer())
 		tried = append(tried, offer.GetServer())
 	}
@@ -95,38 +95,38 @@
 
 // An engine crashed. Each of a hundred entries found that out by itself, with
 // requests of its own, until the list showed it some seconds later.
-func TestWhatOneEntrySawOfAServerCountsForAll(t *testing.T) {
+func TestOwnerAppliesEvidenceFromOtherEntries(t *testing.T) {
 	s := newOwner("gw1")
-	offer := s.offer(ownStart, askFor(1, "aa"))
-	s.progress(ownStart, &jayv1.PlacementProgress{Key: 1, Ended: true, NotListening: true})
-	assert.NotEqual(t, offer.GetServer(), s.offer(ownStart, askFor(2, "aa")).GetServer())
+	offer := s.offer(ownerTestStart, newAsk(1, "aa"))
+	s.applyProgress(ownerTestStart, &jayv1.PlacementProgress{Key: 1, Ended: true, NotListening: true})
+	assert.NotEqual(t, offer.GetServer(), s.offer(ownerTestStart, newAsk(2, "aa")).GetServer())
 }
 
 // A word that a request ended was lost, or its entry died. The owner must not
 // count the request at the server for ever.
-func TestARequestWhoseEndIsNotToldIsForgotten(t *testing.T) {
+func TestOwnerForgetsRequestWithoutEndReport(t *testing.T) {
 	s := newOwner("gw1")
-	server := serverNamed(s, s.offer(ownStart, askFor(1, "aa")).GetServer())
-	require.Equal(t, 1, s.own.Running(server))
-	s.tick(ownStart.Add(9 * time.Second))
-	assert.Equal(t, 1, s.own.Running(server), "it may still run")
-	s.tick(ownStart.Add(11 * time.Second))
-	assert.Zero(t, s.own.Running(server))
+	server := serverByHash(s, s.offer(ownerTestStart, newAsk(1, "aa")).GetServer())
+	require.Equal(t, 1, s.shardRouter.Running(server))
+	s.tick(ownerTestStart.Add(9 * time.Second))
+	assert.Equal(t, 1, s.shardRouter.Running(server), "it may still run")
+	s.tick(ownerTestStart.Add(11 * time.Second))
+	assert.Zero(t, s.shardRouter.Running(server))
 }
 
 // A request went to another owner's engine, as the first owner's were busy. The
 // next one with its prefix is to fetch it there rather than read it once more.
-func TestAnOwnerKnowsWhoHoldsAPrefixElsewhere(t *testing.T) {
+func TestOwnerOffersFetchFromOtherOwnersServer(t *testing.T) {
 	s := newOwner("gw1")
-	first := s.offer(ownStart, askFor(1, "aa"))
+	first := s.offer(ownerTestStart, newAsk(1, "aa"))
 	var other *fleet.Backend
 	for i, b := range s.list.Of("engines") {
-		if !s.divisionLocked(ownStart, "engines").Owns("gw1", i) {
+		if !s.divisionLocked(ownerTestStart, "engines").Owns("gw1", i) {
 			other = b
 		}
 	}
-	s.progress(ownStart, &jayv1.PlacementProgress{Key: 1, Ended: true, Elsewhere: &jayv1.Held{Address: other.Address, Version: 1, ReadyMs: 100}})
-	next := s.offer(ownStart.Add(time.Second), askFor(2, "aa"))
+	s.applyProgress(ownerTestStart, &jayv1.PlacementProgress{Key: 1, Ended: true, Elsewhere: &jayv1.Held{Address: other.Address, Version: 1, ReadyMs: 100}})
+	next := s.offer(ownerTestStart.Add(time.Second), newAsk(2, "aa"))
 	assert.Equal(t, other.Address, next.GetFetchFrom())
 	assert.Less(t, next.GetReadMs(), first.GetReadMs())
 }
@@ -151,16 +151,16 @@
 
 // A question goes to another process and back; a word on it later reaches the
 // same request there.
-func TestAnOwnerIsAskedByDatagram(t *testing.T) {
+func TestAskAndOfferByDatagram(t *testing.T) {
 	one, other := datagramPair(t)
 	owner := shard.Entry{Name: "gw2", Address: "127.0.0.2:1"}
-	offer := one.placing.ask(context.Background(), owner, askFor(7, "aa"))
+	offer := one.placing.ask(context.Background(), owner, newAsk(7, "aa"))
 	require.NotNil(t, offer)
 	require.Equal(t, jayv1.PlacementOffer_OUTCOME_SERVER, offer.GetOutcome())
 	running := func() int {
 		other.state.mu.Lock()
 		defer other.state.mu.Unlock()
-		return other.state.own.Running(serverNamed(other.state, offer.GetServer()))
+		return other.state.shardRouter.Running(serverByHash(other.state, offer.GetServer()))
 	}
 	assert.Equal(t, 1, running())
 	one.placing.giveBack(&offered{owner: owner, PlacementOffer: offer}, nil)
@@ -169,29 +169,29 @@
 
 // An owner answered when the entry that asked had gone on alone. The owner must
 // hear that its offer is not used: it would count a request that never comes.
-func TestALateOfferIsGivenBack(t *testing.T) {
+func TestLateOfferIsReturned(t *testing.T) {
 	one, other := datagramPair(t)
-	offer := other.state.offer(time.Now(), askFor(9, "aa"))
-	server := serverNamed(other.state, offer.GetServer())
+	offer := other.state.offer(time.Now(), newAsk(9, "aa"))
+	server := serverByHash(other.state, offer.GetServer())
 	from := other.datagrams.conn.LocalAddr().(*net.UDPAddr)
 	one.placing.answered(offer, from)
 	assert.Eventually(t, func() bool {
 		other.state.mu.Lock()
 		defer other.state.mu.Unlock()
-		return other.state.own.Running(server) == 0
+		return other.state.shardRouter.Running(server) == 0
 	}, time.Second, time.Millisecond)
 }
 
 // A request asks an owner that is gone. It must wait for some milliseconds only,
 // and the owner is passed over from then on.
-func TestASilentOwnerCostsLittle(t *testing.T) {
+func TestUnresponsiveOwnerIsExcluded(t *testing.T) {
 	one, _ := datagramPair(t)
 	gone := shard.Entry{Name: "gw3", Address: "127.0.0.9:1"}
 	begun := time.Now()
-	assert.Nil(t, one.placing.ask(context.Background(), gone, askFor(1, "aa")))
+	assert.Nil(t, one.placing.ask(context.Background(), gone, newAsk(1, "aa")))
 	assert.Less(t, time.Since(begun), 10*askTime)
 	time.Sleep(askTime)
-	assert.Nil(t, one.placing.ask(context.Background(), gone, askFor(2, "aa")))
+	assert.Nil(t, one.placing.ask(context.Background(), gone, newAsk(2, "aa")))
 	one.state.mu.Lock()
 	defer one.state.mu.Unlock()
 	for _, owner := range one.state.divisionLocked(time.Now(), "engines").Owners {
@@ -200,12 +200,12 @@
 }
 
 // A rollout's news came to the owners by datagram, one of which was lost.
-func TestSwitchesComeByDatagram(t *testing.T) {
+func TestSwitchUpdatesByDatagram(t *testing.T) {
 	s := newOwner("gw1")
 	b := s.list.Of("engines")[3]
-	news := []switchNews{{Server: b.ID, Model: "m", Version: 2, ForMS: 1500, Ordered: true}}
-	words := switchWords(news)
+	news := []switchUpdate{{Server: b.ID, Model: "m", Version: 2, ForMS: 1500, Ordered: true}}
+	words := switchDatagrams(news)
 	require.Len(t, words, 1)
-	assert.Equal(t, news, s.switchesOf(words[0].GetSwitches()))
-	assert.Len(t, switchWords(make([]switchNews, 2*switchesPerWord+1)), 3)
+	assert.Equal(t, news, s.switchUpdatesOf(words[0].GetSwitches()))
+	assert.Len(t, switchDatagrams(make([]switchUpdate, 2*switchesPerDatagram+1)), 3)
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -25,15 +25,15 @@
 const (
 	// entryPrefix of the rows in which entries write their addresses.
 	entryPrefix = "entries/"
-	// peerTime bounds a call to another entry.
-	peerTime = 700 * time.Millisecond
-	// peerTries of one pull.
-	peerTries    = 2
-	maxPeerBytes = 8 << 20
-	// weightTries to learn the ages of weights, weightPause apart.
-	weightTries   = 10
-	weightPause   = 150 * time.Millisecond
-	registerPause = time.Second
+	// peerTimeout bounds a call to another entry.
+	peerTimeout = 700 * time.Millisecond
+	// maxPullAttempts of one pull.
+	maxPullAttempts      = 2
+	maxPeerResponseBytes = 8 << 20
+	// weightHistoryAttempts to learn the ages of weights, weightPause apart.
+	weightHistoryAttempts = 10
+	weightHistoryPause    = 150 * time.Millisecond
+	registerRetryPause    = time.Second
 )
 
 // entryRow is the value of an entry's row.
@@ -51,34 +51,34 @@
 
 	mu    sync.Mutex
 	seeds []string
-	named map[string]entryRow
+	rows  map[string]entryRow
 	// node and dataCentre of this entry.
 	node, dataCentre string
-	// downUntil is until when an entry that did not answer is passed over.
-	downUntil map[string]time.Time
+	// skipUntil is until when an entry that did not answer is passed over.
+	skipUntil map[string]time.Time
 }
 
 func newPeers(settings Settings) *peers {
 	transport := &http.Transport{
-		DialContext:         upstream.Dialer(peerTime, peerTime).DialContext,
+		DialContext:         upstream.Dialer(peerTimeout, peerTimeout).DialContext,
 		MaxIdleConnsPerHost: 2,
 		IdleConnTimeout:     10 * time.Second,
 		DisableCompression:  true,
 	}
 	return &peers{
-		self: settings.ControlAddress, seeds: settings.Seeds, named: map[string]entryRow{},
-		node: settings.Node, dataCentre: settings.DataCentre, downUntil: map[string]time.Time{},
+		self: settings.ControlAddress, seeds: settings.Seeds, rows: map[string]entryRow{},
+		node: settings.Node, dataCentre: settings.DataCentre, skipUntil: map[string]time.Time{},
 		http: &http.Client{Transport: transport},
 	}
 }
 
-// all addresses of other entries, each once.
-func (p *peers) all() []string {
+// addresses addresses of other entries, each once.
+func (p *peers) addresses() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	seen := map[string]bool{p.self: true}
 	var all []string
-	for _, entry := range p.named {
+	for _, entry := range p.rows {
 		if !seen[entry.Address] {
 			seen[entry.Address] = true
 			all = append(all, entry.Address)
@@ -103,30 +103,30 @@
 func (p *peers) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(1, len(p.named))
+	return max(1, len(p.rows))
 }
 
-// downTime is how long an entry that did not answer as a relay is passed over.
+// unresponsiveSkipTime is how long an entry that did not answer as a relay is passed over.
 // The row of an entry that is lost for good stays; asked first each time, it
 // would hold up every read of the list by a time-out.
-const downTime = 5 * time.Second
+const unresponsiveSkipTime = 5 * time.Second
 
-// didNotAnswer passes an entry over for a while.
-func (p *peers) didNotAnswer(now time.Time, address string) {
+// markUnresponsive passes an entry over for a while.
+func (p *peers) markUnresponsive(now time.Time, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.downUntil[address] = now.Add(downTime)
+	p.skipUntil[address] = now.Add(unresponsiveSkipTime)
 }
 
-// agedBatch is a batch with how long ago the store itself told it.
-type agedBatch struct {
+// tableResponse is a batch with how long ago the store itself told it.
+type tableResponse struct {
 	mirror.Batch
 	AgeMS int64 `json:"age_ms"`
 }
 
 // table asks one entry for what changed in a table.
-func (p *peers) table(ctx context.Context, address, table string, after uint64) (agedBatch, error) {
-	var batch agedBatch
+func (p *peers) table(ctx context.Context, address, table string, after uint64) (tableResponse, error) {
+	var batch tableResponse
 	path := "/v1/tables/" + url.PathEscape(table) + "?after=" + strconv.FormatUint(after, 10)
 	err := p.call(ctx, http.MethodGet, address, path, nil, &batch)
 	return batch, err
@@ -134,14 +134,14 @@
 
 // pull asks other entries, in random order, for what changed in a table.
 func (p *peers) pull(ctx context.Context, table string, after uint64) (mirror.Batch, string, error) {
-	all := p.all()
+	all := p.addresses()
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	err := eris.New("no other entry is known")
 	for i, address := range all {
-		if i == peerTries {
+		if i == maxPullAttempts {
 			break
 		}
-		var batch agedBatch
+		var batch tableResponse
 		if batch, err = p.table(ctx, address, table, after); err == nil {
 			return batch.Batch, address, nil
 		}
@@ -150,7 +150,7 @@
 }
 
 func (p *peers) call(ctx context.Context, method, address, path string, body, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, peerTime)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var reader io.Reader
 	if body != nil {
@@ -176,56 +176,56 @@
 	if into == nil {
 		return nil
 	}
-	return json.NewDecoder(io.LimitReader(response.Body, maxPeerBytes)).Decode(into)
+	return json.NewDecoder(io.LimitReader(response.Body, maxPeerResponseBytes)).Decode(into)
 }
 
 // controlRoutes are what entries ask each other.
 func (g *Gateway) controlRoutes() http.Handler {
 	e := echo.New()
-	e.GET("/v1/tables/:table", g.giveTable)
-	e.POST("/v1/switches", g.takeSwitches)
-	e.GET("/v1/weights", g.giveWeights)
+	e.GET("/v1/tables/:table", g.handleTable)
+	e.POST("/v1/switches", g.handleSwitches)
+	e.GET("/v1/weights", g.handleWeights)
 	e.GET("/v1/suspects", g.giveSuspects)
 	e.DELETE("/v1/suspects/:fingerprint", g.freeSuspect)
 	e.GET("/metrics", g.giveMetrics)
 	return e
 }
 
-func (g *Gateway) giveTable(c echo.Context) error {
+func (g *Gateway) handleTable(c echo.Context) error {
 	after, err := strconv.ParseUint(c.QueryParam("after"), 10, 64)
 	if err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
 	for _, f := range g.feeds {
 		if f.table == c.Param("table") {
-			return c.JSON(http.StatusOK, agedBatch{Batch: f.since(after), AgeMS: g.tableAge(time.Now(), f).Milliseconds()})
+			return c.JSON(http.StatusOK, tableResponse{Batch: f.since(after), AgeMS: g.tableAge(time.Now(), f).Milliseconds()})
 		}
 	}
 	return c.NoContent(http.StatusNotFound)
 }
 
-func (g *Gateway) giveWeights(c echo.Context) error {
+func (g *Gateway) handleWeights(c echo.Context) error {
 	s := g.state
 	s.mu.Lock()
-	steps := s.book.Steps(time.Now())
+	steps := s.weights.Steps(time.Now())
 	s.mu.Unlock()
 	return c.JSON(http.StatusOK, steps)
 }
 
-// learnWeights asks another entry how long ago versions were named, once after
+// fetchWeightHistory asks another entry how long ago versions were named, once after
 // the start.
-func (g *Gateway) learnWeights(ctx context.Context) {
-	for try := 0; try < weightTries && ctx.Err() == nil; try++ {
-		sleep(ctx, weightPause)
+func (g *Gateway) fetchWeightHistory(ctx context.Context) {
+	for try := 0; try < weightHistoryAttempts && ctx.Err() == nil; try++ {
+		sleep(ctx, weightHistoryPause)
 		if !g.state.ready() {
 			continue
 		}
-		for _, address := range g.peers.all() {
+		for _, address := range g.peers.addresses() {
 			var steps map[string][]weights.Step
 			if err := g.peers.call(ctx, http.MethodGet, address, "/v1/weights", nil, &steps); err != nil {
 				continue
 			}
-			g.state.learnWeights(time.Now(), steps)
+			g.state.mergeWeightHistory(time.Now(), steps)
 			klog.InfoS("Ages of weights learned", "entry", address, "models", len(steps))
 			return
 		}
@@ -242,7 +242,7 @@
 	}
 	for ctx.Err() == nil && !g.stopping.Load() {
 		txn := platform.Txn{Puts: []platform.Put{{Key: entryPrefix + g.settings.Node, Value: value}}}
-		callCtx, cancel := context.WithTimeout(ctx, callTime)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		_, err := g.ports.Table.Commit(callCtx, txn)
 		cancel()
 		if err == nil {
@@ -250,12 +250,12 @@
 			return
 		}
 		klog.InfoS("Entry not registered yet", "err", err)
-		sleep(ctx, registerPause)
+		sleep(ctx, registerRetryPause)
 	}
 }
 
 func (g *Gateway) unregister(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	txn := platform.Txn{Deletes: []string{entryPrefix + g.settings.Node}}
 	if _, err := g.ports.Table.Commit(ctx, txn); err != nil {
@@ -268,17 +268,17 @@
 	for _, row := range rows {
 		var entry entryRow
 		if row.Removed {
-			delete(g.peers.named, row.Key)
+			delete(g.peers.rows, row.Key)
 			continue
 		}
 		if err := json.Unmarshal(row.Value, &entry); err != nil {
 			klog.ErrorS(err, "Entry's row not understood", "row", row.Key, "source", source)
 			continue
 		}
-		g.peers.named[row.Key] = entry
+		g.peers.rows[row.Key] = entry
 	}
 	g.peers.mu.Unlock()
-	g.state.setEntries(g.peers.count())
-	g.state.setOwners(g.peers.owners())
-	g.hints.setEntries(g.peers.all())
+	g.state.setEntryCount(g.peers.count())
+	g.state.setOwners(g.peers.shardEntries())
+	g.hints.setTargets(g.peers.addresses())
 }
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -10,10 +10,10 @@
 	"github.com/jayproxy/jayproxy/internal/weights"
 )
 
-func entriesAt(node string, n int) *peers {
+func newTestPeers(node string, n int) *peers {
 	p := newPeers(Settings{Node: node, DataCentre: "a"})
 	for i := range n {
-		p.named[fmt.Sprint("gw", i)] = entryRow{Address: fmt.Sprint("10.0.0.", i, ":1"), DataCentre: []string{"a", "b"}[i%2]}
+		p.rows[fmt.Sprint("gw", i)] = entryRow{Address: fmt.Sprint("10.0.0.", i, ":1"), DataCentre: []string{"a", "b"}[i%2]}
 	}
 	return p
 }
@@ -21,13 +21,13 @@
 // Each data centre's first entries asked the store, which has a price for each
 // call: with five data centres ten did, and all of them while they started. In a
 // small fleet they do, as one more step would not keep its bounds.
-func TestAFewEntriesAskTheStore(t *testing.T) {
+func TestFewEntriesReadFromStore(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for entries, want := range map[int]int{40: storeReaders, 20: 2 * relaysPerDataCentre} {
 		asking, steps := 0, map[int]int{}
 		for i := range entries {
-			p := entriesAt(fmt.Sprint("gw", i), entries)
-			p.dataCentre = p.named[p.node].DataCentre
+			p := newTestPeers(fmt.Sprint("gw", i), entries)
+			p.dataCentre = p.rows[p.node].DataCentre
 			relays, between := p.relays(now)
 			if len(relays) == 0 {
 				asking++
@@ -37,59 +37,59 @@
 		}
 		assert.Equal(t, want, asking, "%d entries", entries)
 		assert.Equal(t, entries, asking+steps[0]+steps[1], "everybody reads from somebody")
-		assert.Equal(t, entries > tellAllAtMost, steps[1] > 0)
+		assert.Equal(t, entries > maxUnshardedEntries, steps[1] > 0)
 	}
 }
 
 // What the others read from the strongest entries takes a weak one from its
 // callers: one of 0.144 cores served the list to twenty others.
-func TestStrongEntriesReadForTheOthers(t *testing.T) {
+func TestRelaysAreStrongestEntries(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := entriesAt("gw9", 40)
+	p := newTestPeers("gw9", 40)
 	p.dataCentre = "b"
 	for _, strong := range []string{"gw3", "gw5", "gw6"} {
-		row := p.named[strong]
+		row := p.rows[strong]
 		row.Cores = 0.8
-		p.named[strong] = row
+		p.rows[strong] = row
 	}
-	assert.ElementsMatch(t, []string{p.named["gw3"].Address, p.named["gw5"].Address}, relaysOf(p, now), "those of its data centre")
+	assert.ElementsMatch(t, []string{p.rows["gw3"].Address, p.rows["gw5"].Address}, relaysOf(p, now), "those of its data centre")
 	p.node = "gw6"
 	assert.Nil(t, relaysOf(p, now))
 }
 
-func TestAnEntryThatIsNotInTheTableYetAsksTheStore(t *testing.T) {
-	assert.Nil(t, relaysOf(entriesAt("new", 20), time.Unix(1000, 0)))
+func TestEntryWithoutRowReadsFromStore(t *testing.T) {
+	assert.Nil(t, relaysOf(newTestPeers("new", 20), time.Unix(1000, 0)))
 }
 
 // The list of servers is read a second late, each time. An entry was lost for
 // good, its row stayed, and the others of its data centre went on to ask it first.
-func TestALostRelayIsPassedOver(t *testing.T) {
+func TestUnresponsiveRelayIsSkipped(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for i := 0; i < 20; i += 2 {
-		p := entriesAt(fmt.Sprint("gw", i), 20)
+		p := newTestPeers(fmt.Sprint("gw", i), 20)
 		relays := relaysOf(p, now)
 		if relays == nil {
 			continue
 		}
-		p.didNotAnswer(now, relays[0])
+		p.markUnresponsive(now, relays[0])
 		assert.NotContains(t, relaysOf(p, now), relays[0])
-		assert.Equal(t, relays, relaysOf(p, now.Add(downTime)), "asked again later")
+		assert.Equal(t, relays, relaysOf(p, now.Add(unresponsiveSkipTime)), "asked again later")
 	}
 }
 
 // Every entry of a large fleet looked at the lease while new weights went round
 // as they should, which takes longer there than the age at which others help.
-func TestOthersContendOnlyWhenNobodyChangesOldWeights(t *testing.T) {
+func TestOthersContendOnlyWithoutActiveHolder(t *testing.T) {
 	settings := Settings{Node: "gw9", DataCentre: "a"}
-	g := &Gateway{settings: settings, state: newState(settings, func(string) {}), peers: entriesAt("gw9", 20)}
+	g := &Gateway{settings: settings, state: newState(settings, func(string) {}), peers: newTestPeers("gw9", 20)}
 	now := time.Now()
 	g.state.nameVersion(now.Add(-time.Minute), weights.Named{Model: "m", Version: 1}, "test")
-	g.state.nameVersion(now.Add(-2*helpAfter), weights.Named{Model: "m", Version: 2}, "test")
+	g.state.nameVersion(now.Add(-2*contendAfter), weights.Named{Model: "m", Version: 2}, "test")
 	g.state.versions[versionKey{"s1", "m"}] = 1
 	assert.True(t, g.contends(), "nobody was heard")
-	g.state.heardHolder(now)
+	g.state.recordHolderActivity(now)
 	assert.False(t, g.contends(), "another is at work")
-	g.state.heardHolder(now.Add(-2 * newsLife))
+	g.state.recordHolderActivity(now.Add(-2 * holderTimeout))
 	assert.True(t, g.contends(), "it has gone silent")
 }
 
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -29,13 +29,13 @@
 // they do; from some number on that no longer fits what words may take, and each
 // would decide by a small part of what goes on.
 func (g *Gateway) sharded() bool {
-	return g.peers.count() > tellAllAtMost && g.datagrams.conn != nil
+	return g.peers.count() > maxUnshardedEntries && g.datagrams.conn != nil
 }
 
 // deciders is how many entries decide by what they know of all servers.
 func (g *Gateway) deciders() int {
 	if g.sharded() {
-		return g.peers.strong()
+		return g.peers.strongCount()
 	}
 	return g.peers.count()
 }
@@ -136,7 +136,7 @@
 		return
 	}
 	p.gateway.metrics.Count("placement_late", "given back", 1)
-	p.gateway.datagrams.tell(from, progressWord(&jayv1.PlacementProgress{Key: offer.GetKey(), Ended: true}))
+	p.gateway.datagrams.trySend(from, progressWord(&jayv1.PlacementProgress{Key: offer.GetKey(), Ended: true}))
 }
 
 func progressWord(p *jayv1.PlacementProgress) *jayv1.Datagram {
@@ -147,11 +147,11 @@
 func (p *placing) report(owner shard.Entry, progress *jayv1.PlacementProgress) {
 	g := p.gateway
 	if owner.Name != g.settings.Node {
-		g.datagrams.tell(g.datagrams.addressOf(owner.Address), progressWord(progress))
+		g.datagrams.trySend(g.datagrams.addressOf(owner.Address), progressWord(progress))
 		return
 	}
 	// Evidence on the server is known here already.
-	g.state.progress(time.Now(), &jayv1.PlacementProgress{
+	g.state.applyProgress(time.Now(), &jayv1.PlacementProgress{
 		Key: progress.GetKey(), First: progress.GetFirst(), Ended: progress.GetEnded(), Elsewhere: progress.GetElsewhere(),
 		HasLoad: progress.GetHasLoad(), Running: progress.GetRunning(), Waiting: progress.GetWaiting(),
 	})
@@ -252,7 +252,7 @@
 	if !s.shards.MayAsk(now) {
 		return ask, nil
 	}
-	return ask, s.divisionLocked(now, j.service.Name).Asked(request.HomeKey(s.book.Newest(ask.Model)))
+	return ask, s.divisionLocked(now, j.service.Name).Asked(request.HomeKey(s.weights.Newest(ask.Model)))
 }
 
 // accept sends the request where it was offered, and counts it there. False: by
@@ -272,7 +272,7 @@
 	}
 	model := j.modelName()
 	if model != "" {
-		s.sawVersionLocked(b.ID, model, one.GetVersion(), "owner")
+		s.observeVersionLocked(b.ID, model, one.GetVersion(), "owner")
 	}
 	server := s.serverLocked(now, j.service, model, b)
 	if j.isFull(&server) || server.VersionAge > s.settings.VersionBound-versionMargin {
--- a/internal/gateway/ranks.go
+++ b/internal/gateway/ranks.go
@@ -22,8 +22,8 @@
 	relaysPerDataCentre = 2
 )
 
-// ranked is a place among the entries.
-type ranked struct {
+// rankedEntry is a place among the entries.
+type rankedEntry struct {
 	node, address string
 	cores         float64
 	hash          uint64
@@ -31,31 +31,31 @@
 
 // compare puts the strongest VMs first: what the first of them do for all others
 // takes a weak one from its callers.
-func (r ranked) compare(other ranked) int {
+func (r rankedEntry) compare(other rankedEntry) int {
 	if order := cmp.Compare(other.cores, r.cores); order != 0 {
 		return order
 	}
 	return cmp.Compare(r.hash, other.hash)
 }
 
-// inOrder are this entry, where its row was seen, and those others that keep says.
-func (p *peers) inOrder(keep func(entryRow) bool) []ranked {
+// ranking are this entry, where its row was seen, and those others that keep says.
+func (p *peers) ranking(keep func(entryRow) bool) []rankedEntry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var all []ranked
-	for node, entry := range p.named {
+	var all []rankedEntry
+	for node, entry := range p.rows {
 		if node == p.node || keep(entry) {
-			all = append(all, ranked{node: node, address: entry.Address, cores: entry.Cores, hash: xxh3.HashString(node)})
+			all = append(all, rankedEntry{node: node, address: entry.Address, cores: entry.Cores, hash: xxh3.HashString(node)})
 		}
 	}
-	slices.SortFunc(all, ranked.compare)
+	slices.SortFunc(all, rankedEntry.compare)
 	return all
 }
 
 // rank of this entry among those that keep says, and the addresses of those before
 // it; -1 when its own row was not seen.
 func (p *peers) rank(keep func(entryRow) bool) (rank int, before []string) {
-	for i, entry := range p.inOrder(keep) {
+	for i, entry := range p.ranking(keep) {
 		if entry.node == p.node {
 			return i, before
 		}
@@ -74,9 +74,9 @@
 // centre ask the store: that is few calls, and a bound of two seconds is kept with
 // no second step between.
 func (p *peers) relays(now time.Time) (relays []string, between int) {
-	answers := func(e entryRow) bool { return !now.Before(p.downUntil[e.Address]) }
+	answers := func(e entryRow) bool { return !now.Before(p.skipUntil[e.Address]) }
 	rank, before := p.rank(func(e entryRow) bool { return e.DataCentre == p.dataCentre && answers(e) })
-	large := p.count() > tellAllAtMost
+	large := p.count() > maxUnshardedEntries
 	if rank >= relaysPerDataCentre {
 		if large {
 			between = 1
@@ -90,20 +90,20 @@
 	return nil, 0
 }
 
-// placed tells whether this entry's own row was seen.
-func (p *peers) placed() bool {
+// ownRowSeen tells whether this entry's own row was seen.
+func (p *peers) ownRowSeen() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, ok := p.named[p.node]
+	_, ok := p.rows[p.node]
 	return ok
 }
 
 // nextHolders are the addresses of the entries that try for the lease of orders
 // first, this one left out.
 func (p *peers) nextHolders() []string {
-	first := p.inOrder(everyEntry)
+	first := p.ranking(everyEntry)
 	var addresses []string
-	for _, entry := range first[:min(len(first), contenders+1)] {
+	for _, entry := range first[:min(len(first), ordinaryContenders+1)] {
 		if entry.node != p.node {
 			addresses = append(addresses, entry.address)
 		}
@@ -111,21 +111,21 @@
 	return addresses
 }
 
-// owners are all entries, as those that may own shards.
-func (p *peers) owners() []shard.Entry {
+// shardEntries are all entries, as those that may own shards.
+func (p *peers) shardEntries() []shard.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	entries := make([]shard.Entry, 0, len(p.named))
-	for node, entry := range p.named {
+	entries := make([]shard.Entry, 0, len(p.rows))
+	for node, entry := range p.rows {
 		entries = append(entries, shard.Entry{Name: node, Address: entry.Address, Cores: entry.Cores})
 	}
 	return entries
 }
 
-// strong counts the entries that do work for others.
-func (p *peers) strong() int { return max(1, len(shard.Strong(p.owners()))) }
+// strongCount counts the entries that do work for others.
+func (p *peers) strongCount() int { return max(1, len(shard.Strong(p.shardEntries()))) }
 
 // isStrong tells whether this entry is one of them.
 func (p *peers) isStrong() bool {
-	return slices.ContainsFunc(shard.Strong(p.owners()), func(e shard.Entry) bool { return e.Name == p.node })
+	return slices.ContainsFunc(shard.Strong(p.shardEntries()), func(e shard.Entry) bool { return e.Name == p.node })
 }
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -58,7 +58,7 @@
 	site.router.FirstToken(now, "r1")
 	require.Equal(t, routing.SourceHeld, site.choose(t, now, "r2").Source)
 	site.announceSwitch(first.Server.ID, 2, now.Add(time.Minute))
-	site.lifetimeOver(now, first.Server.ID, "test")
+	site.incarnationEnded(now, first.Server.ID, "test")
 	for range 20 {
 		site.sendFailed(now, first.Server.ID, errors.New("reset"))
 	}
@@ -87,12 +87,12 @@
 
 	site.router.FirstToken(now, "r1")
 	site.router.Finished(now, "r1", true)
-	site.sawVersion(first, "m", 7, "entry")
-	site.told(now, first, "m", &call.Answer{HasLoad: true, Load: call.Load{Running: 90}, Version: 7})
-	assert.False(t, site.ofLifetime(now, first, &call.Report{Born: 1000}), "asked of a run that is over")
-	assert.False(t, site.ofLifetime(now, next, &call.Report{Born: 1000}), "told by a run that is over")
-	assert.True(t, site.ofLifetime(now, next, &call.Report{Born: 2000}))
-	assert.True(t, site.ofLifetime(now, next, &call.Report{}), "not every report tells")
+	site.observeVersion(first, "m", 7, "entry")
+	site.observeAnswer(now, first, "m", &call.Answer{HasLoad: true, Load: call.Load{Running: 90}, Version: 7})
+	assert.False(t, site.reportIsCurrent(now, first, &call.Report{Born: 1000}), "asked of a run that is over")
+	assert.False(t, site.reportIsCurrent(now, next, &call.Report{Born: 1000}), "told by a run that is over")
+	assert.True(t, site.reportIsCurrent(now, next, &call.Report{Born: 2000}))
+	assert.True(t, site.reportIsCurrent(now, next, &call.Report{}), "not every report tells")
 
 	assert.Equal(t, uint64(1), site.versionOf(next, "m"))
 	assert.NotEqual(t, routing.SourceHeld, site.choose(t, now, "r2").Source)
@@ -108,7 +108,7 @@
 	now := time.Unix(1000, 0)
 	site.putBackend(now, engine(1000))
 	first := site.list.Named("e1").ID
-	assert.False(t, site.ofLifetime(now, first, &call.Report{Born: 2000, Versions: map[string]uint64{"m": 1}}))
+	assert.False(t, site.reportIsCurrent(now, first, &call.Report{Born: 2000, Versions: map[string]uint64{"m": 1}}))
 	require.Nil(t, site.list.Get(first))
 	second := site.list.Named("e1").ID
 	site.putBackend(now, engine(1000))
@@ -126,7 +126,7 @@
 	site.putBackend(now, engine(1000))
 	site.nameVersion(now, weights.Named{Model: "m", Version: 1}, "test")
 	site.nameVersion(now, weights.Named{Model: "m", Version: 2}, "test")
-	site.heardOrder(now, site.list.Named("e1").ID)
+	site.recordOrder(now, site.list.Named("e1").ID)
 	site.putBackend(now, engine(2000))
 	assert.Empty(t, site.rollingModels(now.Add(time.Second))[0].servers)
 	assert.Len(t, site.rollingModels(now.Add(4 * time.Second))[0].servers, 1)
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -18,22 +18,22 @@
 const (
 	// rolloutLease names the lease of the entry that gives orders.
 	rolloutLease = "rollout"
-	// rolloutTick between two looks at what is to be done.
-	rolloutTick = 50 * time.Millisecond
-	// announceTime is how long an announced server is left alone without
+	// rolloutInterval between two looks at what is to be done.
+	rolloutInterval = 50 * time.Millisecond
+	// announceDuration is how long an announced server is left alone without
 	// further word: a holder that dies must not keep it idle.
-	announceTime = 1500 * time.Millisecond
-	// orderTime is the same for a server that was ordered.
-	orderTime = 2500 * time.Millisecond
-	// contenders for the lease in ordinary times.
-	contenders = 2
-	// helpAfter is the age of replaced weights from which any entry contends.
-	helpAfter = 4 * time.Second
-	// newsLife is how long the last news of a holder shows that there is one. It
+	announceDuration = 1500 * time.Millisecond
+	// orderDuration is the same for a server that was ordered.
+	orderDuration = 2500 * time.Millisecond
+	// ordinaryContenders for the lease in ordinary times.
+	ordinaryContenders = 2
+	// contendAfter is the age of replaced weights from which any entry contends.
+	contendAfter = 4 * time.Second
+	// holderTimeout is how long the last news of a holder shows that there is one. It
 	// announces and orders servers several times a second while there is work.
-	newsLife = 2 * time.Second
-	// engineCallTime bounds a report or an order.
-	engineCallTime = 800 * time.Millisecond
+	holderTimeout = 2 * time.Second
+	// engineCallTimeout bounds a report or an order.
+	engineCallTimeout = 800 * time.Millisecond
 	// leaseMarginShare of the lease's time the holder stops to act before its end.
 	leaseMarginShare = 0.25
 	leaseRenewShare  = 0.3
@@ -45,11 +45,11 @@
 	mu      sync.Mutex
 	plans   map[string]*rollout.Plan
 	fence   uint64
-	// beatAt is when the others were last shown that the holder works.
-	beatAt time.Time
-	// started is when this process began to hear what other holders order, heldAt
+	// heartbeatAt is when the others were last shown that the holder works.
+	heartbeatAt time.Time
+	// startedAt is when this process began to hear what other holders order, heldAt
 	// when it took the lease.
-	started, heldAt time.Time
+	startedAt, heldAt time.Time
 }
 
 func (g *Gateway) startRollouts(ctx context.Context) {
@@ -59,8 +59,8 @@
 		Renew: time.Duration(float64(bound) * leaseRenewShare), Watch: time.Duration(float64(bound) * leaseRenewShare),
 	}
 	g.keeper = lease.KeepIf(ctx, g.ports.Table, rolloutLease, g.settings.Node, settings, lease.BootClock, g.contends)
-	r := &rollouts{gateway: g, plans: map[string]*rollout.Plan{}, started: time.Now()}
-	g.spawn(func() { g.every(ctx, rolloutTick, func(now time.Time) { r.tick(ctx, now) }) })
+	r := &rollouts{gateway: g, plans: map[string]*rollout.Plan{}, startedAt: time.Now()}
+	g.spawn(func() { g.every(ctx, rolloutInterval, func(now time.Time) { r.tick(ctx, now) }) })
 }
 
 // contends tells whether this entry tries for the lease. The first few of the
@@ -70,7 +70,7 @@
 // 732 of 1,090 calls to the store on a quiet day.
 func (g *Gateway) contends() bool {
 	rank, _ := g.peers.rank(everyEntry)
-	if rank >= 0 && rank < contenders {
+	if rank >= 0 && rank < ordinaryContenders {
 		return true
 	}
 	return g.state.needsHolder(time.Now())
@@ -101,20 +101,20 @@
 		klog.InfoS("Lease held", "lease", rolloutLease, "fence", fence, "inherited", r.gateway.keeper.Inherited())
 		r.fence, r.plans, r.heldAt = fence, map[string]*rollout.Plan{}, now
 	}
-	since := r.started
-	if !r.gateway.hearsOrders(now) {
+	since := r.startedAt
+	if !r.gateway.receivesOrders(now) {
 		since = r.heldAt
 	}
 	return !r.gateway.keeper.Inherited() || now.Sub(since) >= r.gateway.settings.LeaseTime
 }
 
-// hearsOrders tells whether this entry is told of the orders of other holders: in
+// receivesOrders tells whether this entry is told of the orders of other holders: in
 // large fleets the owners of shards are, and those that contend first.
-func (g *Gateway) hearsOrders(now time.Time) bool {
+func (g *Gateway) receivesOrders(now time.Time) bool {
 	if !g.sharded() {
 		return true
 	}
-	if rank, _ := g.peers.rank(everyEntry); rank >= 0 && rank <= contenders {
+	if rank, _ := g.peers.rank(everyEntry); rank >= 0 && rank <= ordinaryContenders {
 		return true
 	}
 	return slices.ContainsFunc(g.state.owners(now), func(o shard.Entry) bool { return o.Name == g.settings.Node })
@@ -130,39 +130,39 @@
 	actions := plan.Tick(now, model.wanted, model.servers)
 	fence := r.fence
 	r.mu.Unlock()
-	var news []switchNews
+	var news []switchUpdate
 	for _, action := range actions {
 		klog.InfoS("Rollout", "model", model.name, "action", action.Kind.String(), "server", action.Server, "version", action.Version, "orders", action.Orders)
 		switch action.Kind {
 		case rollout.Announce:
-			news = append(news, switchNews{Server: action.Server, Model: model.name, Version: action.Version, ForMS: announceTime.Milliseconds()})
+			news = append(news, switchUpdate{Server: action.Server, Model: model.name, Version: action.Version, ForMS: announceDuration.Milliseconds()})
 		case rollout.Order:
-			news = append(news, switchNews{Server: action.Server, Model: model.name, Version: action.Version, ForMS: orderTime.Milliseconds(), Ordered: true})
+			news = append(news, switchUpdate{Server: action.Server, Model: model.name, Version: action.Version, ForMS: orderDuration.Milliseconds(), Ordered: true})
 			go r.order(ctx, plan, model.name, action, fence)
 		case rollout.Look:
-			go r.look(ctx, plan, model.name, action)
+			go r.queryReport(ctx, plan, model.name, action)
 		case rollout.Withdraw:
-			news = append(news, switchNews{Server: action.Server, Model: model.name, Withdrawn: true})
+			news = append(news, switchUpdate{Server: action.Server, Model: model.name, Withdrawn: true})
 		}
 	}
-	r.gateway.spreadSwitches(ctx, news)
-	r.beat(now, model)
+	r.gateway.sendSwitchUpdates(ctx, news)
+	r.heartbeat(now, model)
 }
 
-// beat shows the other entries of a large fleet that this one is at work while
+// heartbeat shows the other entries of a large fleet that this one is at work while
 // a server is left that has older weights. They hear of no single server.
-func (r *rollouts) beat(now time.Time, model rollingModel) {
+func (r *rollouts) heartbeat(now time.Time, model rollingModel) {
 	working := slices.ContainsFunc(model.servers, func(s rollout.Server) bool { return s.Version < model.wanted })
-	if !working || !r.gateway.sharded() || now.Sub(r.beatAt) < beatPause {
+	if !working || !r.gateway.sharded() || now.Sub(r.heartbeatAt) < heartbeatInterval {
 		return
 	}
-	r.beatAt = now
-	r.gateway.beat()
+	r.heartbeatAt = now
+	r.gateway.sendHeartbeat()
 }
 
 // order gives one order, if the lease is still held.
 func (r *rollouts) order(ctx context.Context, plan *rollout.Plan, model string, action rollout.Action, fence uint64) {
-	ctx, cancel := context.WithTimeout(ctx, engineCallTime)
+	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	current, held := r.gateway.keeper.Held()
 	if !held || current != fence {
@@ -180,9 +180,9 @@
 	switch outcome {
 	case call.OrderHolds:
 		plan.Held(action.Server)
-		r.gateway.spreadSwitches(ctx, []switchNews{{Server: action.Server, Model: model, Version: action.Version}})
+		r.gateway.sendSwitchUpdates(ctx, []switchUpdate{{Server: action.Server, Model: model, Version: action.Version}})
 	case call.OrderMisdirected:
-		r.gateway.state.lifetimeOver(time.Now(), action.Server, "order")
+		r.gateway.state.incarnationEnded(time.Now(), action.Server, "order")
 		plan.Refused(time.Now(), action.Server)
 	case call.OrderBusy, call.OrderInvalid, call.OrderNotSent, call.OrderFenced:
 		plan.Refused(time.Now(), action.Server)
@@ -190,8 +190,8 @@
 	}
 }
 
-func (r *rollouts) look(ctx context.Context, plan *rollout.Plan, model string, action rollout.Action) {
-	callCtx, cancel := context.WithTimeout(ctx, engineCallTime)
+func (r *rollouts) queryReport(ctx context.Context, plan *rollout.Plan, model string, action rollout.Action) {
+	callCtx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	report, err := r.gateway.ports.Engines.Report(callCtx, fleet.InstanceOf(action.Server), action.Address)
 	if err != nil {
@@ -199,7 +199,7 @@
 		r.gateway.state.reportFailed(time.Now(), action.Server, err)
 		return
 	}
-	if !r.gateway.state.ofLifetime(time.Now(), action.Server, &report) {
+	if !r.gateway.state.reportIsCurrent(time.Now(), action.Server, &report) {
 		return
 	}
 	version := report.Versions[model]
@@ -207,7 +207,7 @@
 	plan.Saw(action.Server, rollout.Seen{Version: version, Busy: report.Busy, Orders: report.Orders, Running: report.Running, Queued: report.Queued})
 	r.mu.Unlock()
 	if version > r.gateway.state.versionOf(action.Server, model) && !report.Busy {
-		r.gateway.spreadSwitches(ctx, []switchNews{{Server: action.Server, Model: model, Version: version}})
+		r.gateway.sendSwitchUpdates(ctx, []switchUpdate{{Server: action.Server, Model: model, Version: version}})
 	}
 }
 
@@ -226,8 +226,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var rolling []rollingModel
-	for _, name := range s.book.Models() {
-		model := rollingModel{name: name, wanted: s.book.Newest(name)}
+	for _, name := range s.weights.Models() {
+		model := rollingModel{name: name, wanted: s.weights.Newest(name)}
 		for _, b := range s.list.All() {
 			if _, has := b.Versions[name]; !has || b.Draining || s.list.Ended(now, b.ID) || now.Sub(s.orderedAt[b.Instance]) < s.settings.LeaseTime {
 				continue
@@ -250,9 +250,9 @@
 // needsHolder tells whether old weights serve and nobody changes that.
 func (s *state) needsHolder(now time.Time) bool {
 	s.mu.Lock()
-	quiet := now.Sub(s.holderHeard) > newsLife
+	quiet := now.Sub(s.holderSeenAt) > holderTimeout
 	s.mu.Unlock()
-	return quiet && s.oldestAge(now) > helpAfter
+	return quiet && s.oldestAge(now) > contendAfter
 }
 
 // oldestAge is how long ago the oldest weights that still serve were replaced.
@@ -261,7 +261,7 @@
 	defer s.mu.Unlock()
 	oldest := time.Duration(0)
 	for key, version := range s.versions {
-		oldest = max(oldest, s.book.Age(now, key.model, version))
+		oldest = max(oldest, s.weights.Age(now, key.model, version))
 	}
 	return oldest
 }
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -16,24 +16,24 @@
 // An entry that is told of no orders took the lease when the others had gone
 // silent, and ordered engines that the holder before had ordered a moment ago:
 // each engine saw two holders by turns.
-func TestWhoHearsOfOrders(t *testing.T) {
+func TestReceivesOrders(t *testing.T) {
 	now := time.Now()
 	for node, want := range map[string]bool{"gw39": true, "gw37": true, "owner": true, "gw3": false} {
 		s := newOwner(node)
-		g := &Gateway{settings: Settings{Node: node}, state: s, peers: entriesAt(node, 40), metrics: metrics.New(8)}
+		g := &Gateway{settings: Settings{Node: node}, state: s, peers: newTestPeers(node, 40), metrics: metrics.New(8)}
 		ctx, cancel := context.WithCancel(context.Background())
 		g.settings.HintAddress = "127.0.0.1:0"
 		g.startDatagrams(ctx)
 		require.NotNil(t, g.datagrams.conn)
 		for i := range 40 {
-			row := g.peers.named[fmt.Sprint("gw", i)]
+			row := g.peers.rows[fmt.Sprint("gw", i)]
 			row.Cores = float64(i)
-			g.peers.named[fmt.Sprint("gw", i)] = row
+			g.peers.rows[fmt.Sprint("gw", i)] = row
 		}
 		s.setOwners([]shard.Entry{{Name: "owner", Cores: 1}})
-		assert.Equal(t, want, g.hearsOrders(now), node)
-		g.peers.named = map[string]entryRow{}
-		assert.True(t, g.hearsOrders(now), "a small fleet tells all")
+		assert.Equal(t, want, g.receivesOrders(now), node)
+		g.peers.rows = map[string]entryRow{}
+		assert.True(t, g.receivesOrders(now), "a small fleet tells all")
 		cancel()
 	}
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -136,7 +136,7 @@
 		return false
 	}
 	j.hashes.Identity = j.identity()
-	g.state.arrived(j.arrived, j.service.Name)
+	g.state.recordArrival(j.arrived, j.service.Name)
 	return true
 }
 
--- a/internal/gateway/size_test.go
+++ b/internal/gateway/size_test.go
@@ -13,7 +13,7 @@
 // whatever the size of the fleet: less than a twentieth. docs/CAPACITY.md names
 // the sizes.
 func TestWordsOnARequestAreSmall(t *testing.T) {
-	ask := askFor(1<<63, "91bd3f06")
+	ask := newAsk(1<<63, "91bd3f06")
 	ask.Service, ask.Model, ask.DataCentre, ask.Wall = "modelos", "daka510000", "quito-sala-a", "ctnfzs"
 	ask.Part, ask.PartTokens = []string{"5c1e07a2", "91bd3f06"}, []uint32{512, 5382}
 	words := map[string]*jayv1.Datagram{
@@ -26,7 +26,7 @@
 	}
 	sum := 0
 	for name, word := range words {
-		size := proto.Size(word) + overheadBytes
+		size := proto.Size(word) + datagramOverheadBytes
 		t.Logf("%s: %d bytes with headers", name, size)
 		sum += size
 	}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -25,9 +25,9 @@
 	// versionMargin before the bound from which older weights get no request:
 	// the request is still on its way then.
 	versionMargin = 1500 * time.Millisecond
-	// budgetShare of the allowed second sends that all entries use together:
+	// retryBudgetShare of the allowed second sends that all entries use together:
 	// entries that restart have forgotten what they sent.
-	budgetShare = 0.7
+	retryBudgetShare = 0.7
 )
 
 // state is what an entry believes. Its parts are pure; the lock is held for
@@ -38,30 +38,30 @@
 
 	mu      sync.Mutex
 	list    *fleet.List
-	book    *weights.Book
+	weights *weights.Book
 	members *membership.Members
 	// router places our own requests where no other entry is asked, and counts all
 	// of them; own places those of all entries in the shards that are ours.
-	router   *routing.Direct
-	own      *routing.Direct
-	shards   *shard.Map
-	versions map[versionKey]uint64
-	switches map[string]switching
+	router      *routing.Direct
+	shardRouter *routing.Direct
+	shards      *shard.Map
+	versions    map[versionKey]uint64
+	switches    map[string]weightSwitch
 	// orderedAt is when another entry last ordered a server, by the server's own
 	// name: what it did in an earlier lifetime counts too.
 	orderedAt map[string]time.Time
-	// holderHeard is when another entry last announced or ordered a server.
-	holderHeard time.Time
-	budgets     map[string]*retry.Window
-	entries     int
-	// room holds the requests that wait for memory, waiters who asked.
-	room    *waitroom.Room
-	waiters map[string]*waiter
-	// stores of kept cache as the engines storesOf see them.
-	stores   []routing.KeptStore
-	storesOf *routetable.Engine
-	// storesDown holds the addresses of stores that do not answer.
-	storesDown map[string]bool
+	// holderSeenAt is when another entry last announced or ordered a server.
+	holderSeenAt time.Time
+	retryBudgets map[string]*retry.Window
+	entryCount   int
+	// waitQueue holds the requests that wait for memory, waiters who asked.
+	waitQueue *waitroom.Room
+	waiters   map[string]*waiter
+	// kvStores of kept cache as the engines storesOf see them.
+	kvStores       []routing.KeptStore
+	kvStoresEngine *routetable.Engine
+	// kvStoresDown holds the addresses of stores that do not answer.
+	kvStoresDown map[string]bool
 	// scratch of candidatesLocked.
 	scratch []routing.DirectServer
 	// membersStale: the list changed since membership was last told.
@@ -77,8 +77,8 @@
 // versionKey is a model at one lifetime of a backend server.
 type versionKey struct{ server, model string }
 
-// switching is a server that is about to take new weights, or does so.
-type switching struct {
+// weightSwitch is a server that is about to take new weights, or does so.
+type weightSwitch struct {
 	version uint64
 	until   time.Time
 }
@@ -87,20 +87,20 @@
 	return &state{
 		settings: settings, closeIdle: closeIdle,
 		list:    fleet.NewList(listGrace),
-		book:    weights.NewBook(),
+		weights: weights.NewBook(),
 		members: membership.New(membership.DefaultSettings()),
 		router: routing.NewDirect(routing.DirectOptions{
 			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin,
 		}),
-		own: routing.NewDirect(routing.DirectOptions{
+		shardRouter: routing.NewDirect(routing.DirectOptions{
 			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin, Sole: true,
 		}),
 		shards:   shard.NewMap(),
 		versions: map[versionKey]uint64{},
-		switches: map[string]switching{}, orderedAt: map[string]time.Time{},
-		budgets: map[string]*retry.Window{},
-		entries: 1, storesDown: map[string]bool{},
-		room: waitroom.New(), waiters: map[string]*waiter{},
+		switches: map[string]weightSwitch{}, orderedAt: map[string]time.Time{},
+		retryBudgets: map[string]*retry.Window{},
+		entryCount:   1, kvStoresDown: map[string]bool{},
+		waitQueue: waitroom.New(), waiters: map[string]*waiter{},
 		suspects: newSuspects(),
 	}
 }
@@ -123,17 +123,17 @@
 func (s *state) nameVersion(now time.Time, named weights.Named, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Name(now, named) {
+	if s.weights.Name(now, named) {
 		klog.InfoS("New weights named", "model", named.Model, "version", named.Version, "source", source)
 	}
 }
 
-// learnWeights takes in another entry's history of named versions.
-func (s *state) learnWeights(now time.Time, steps map[string][]weights.Step) {
+// mergeWeightHistory takes in another entry's history of named versions.
+func (s *state) mergeWeightHistory(now time.Time, steps map[string][]weights.Step) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for model, of := range steps {
-		s.book.Learn(now, model, of)
+		s.weights.Learn(now, model, of)
 	}
 }
 
@@ -143,11 +143,11 @@
 	defer s.mu.Unlock()
 	gone, listed := s.list.Tick(now)
 	for _, b := range gone {
-		s.leftLocked(now, b, "missing after outage, or of a later lifetime than its entry tells")
+		s.forgetIncarnationLocked(now, b, "missing after outage, or of a later lifetime than its entry tells")
 	}
 	for _, b := range listed {
 		klog.InfoS("Entry of an earlier lifetime stands; taken", "server", b.ID, "address", b.Address)
-		s.listedLocked(b)
+		s.initListedLocked(b)
 		s.membersStale = true
 	}
 	s.refreshMembersLocked(now)
@@ -162,29 +162,29 @@
 		}
 	}
 	s.members.Tick(now)
-	s.own.Expire(now)
+	s.shardRouter.Expire(now)
 }
 
 // routers are all that believe something of the servers.
-func (s *state) routers() [2]*routing.Direct { return [2]*routing.Direct{s.router, s.own} }
+func (s *state) routers() [2]*routing.Direct { return [2]*routing.Direct{s.router, s.shardRouter} }
 
-// emptiedLocked takes in that a server holds no cached part any more.
-func (s *state) emptiedLocked(server string) {
+// cacheClearedLocked takes in that a server holds no cached part any more.
+func (s *state) cacheClearedLocked(server string) {
 	for _, router := range s.routers() {
 		router.Emptied(server)
 	}
 }
 
-// sawVersionLocked takes in a version that a server has. A lifetime's version
+// observeVersionLocked takes in a version that a server has. A lifetime's version
 // only rises, so the highest word is the newest, whatever its way.
-func (s *state) sawVersionLocked(server, model string, version uint64, source string) {
+func (s *state) observeVersionLocked(server, model string, version uint64, source string) {
 	key := versionKey{server, model}
 	if version <= s.versions[key] {
 		return
 	}
 	klog.V(1).InfoS("Weights of a server", "server", server, "model", model, "version", version, "before", s.versions[key], "source", source)
 	if s.versions[key] != 0 {
-		s.emptiedLocked(server)
+		s.cacheClearedLocked(server)
 	}
 	s.versions[key] = version
 	if sw, ok := s.switches[server]; ok && version >= sw.version {
@@ -196,21 +196,21 @@
 func (s *state) announceSwitch(server string, version uint64, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.switches[server] = switching{version: version, until: until}
+	s.switches[server] = weightSwitch{version: version, until: until}
 }
 
-// heardOrder takes in that another entry orders a server.
-func (s *state) heardOrder(now time.Time, server string) {
+// recordOrder takes in that another entry orders a server.
+func (s *state) recordOrder(now time.Time, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.orderedAt[fleet.InstanceOf(server)] = now
 }
 
-// heardHolder takes in that another entry changes weights.
-func (s *state) heardHolder(now time.Time) {
+// recordHolderActivity takes in that another entry changes weights.
+func (s *state) recordHolderActivity(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.holderHeard = now
+	s.holderSeenAt = now
 }
 
 // withdrawSwitch takes in that nothing came of it.
@@ -220,26 +220,26 @@
 	delete(s.switches, server)
 }
 
-// otherWeights takes in that a server has not the weights that it was believed
+// inferNextVersion takes in that a server has not the weights that it was believed
 // to have, but did not say which. A lifetime's version only rises, so where one
 // newer version is named it has that one; it may be asked again at once. False:
 // it can't be told.
-func (s *state) otherWeights(server, model string, believed uint64) bool {
+func (s *state) inferNextVersion(server, model string, believed uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Newest(model) != believed+1 {
+	if s.weights.Newest(model) != believed+1 {
 		return false
 	}
-	s.sawVersionLocked(server, model, believed+1, "refusal")
+	s.observeVersionLocked(server, model, believed+1, "refusal")
 	return true
 }
 
-// sawVersion takes in a version from an answer, a report or another entry.
-func (s *state) sawVersion(server, model string, version uint64, source string) {
+// observeVersion takes in a version from an answer, a report or another entry.
+func (s *state) observeVersion(server, model string, version uint64, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.list.Get(server) != nil {
-		s.sawVersionLocked(server, model, version, source)
+		s.observeVersionLocked(server, model, version, source)
 	}
 }
 
@@ -287,49 +287,49 @@
 		one.KVTokens = service.Engine.KVCapacityTokens
 	}
 	one.Version = s.versions[versionKey{b.ID, model}]
-	one.VersionAge = s.book.Age(now, model, one.Version)
+	one.VersionAge = s.weights.Age(now, model, one.Version)
 	return one
 }
 
-// storesLocked lists the stores of kept cache for a decision. The list is read
+// kvStoresLocked lists the stores of kept cache for a decision. The list is read
 // only, made anew with each configuration and for each kind of engine.
-func (s *state) storesLocked(table *routetable.Table, engine *routetable.Engine) []routing.KeptStore {
-	if s.storesOf == engine {
-		return s.stores
+func (s *state) kvStoresLocked(table *routetable.Table, engine *routetable.Engine) []routing.KeptStore {
+	if s.kvStoresEngine == engine {
+		return s.kvStores
 	}
-	s.storesOf, s.stores = engine, nil
+	s.kvStoresEngine, s.kvStores = engine, nil
 	for _, store := range table.Stores {
-		if s.storesDown[store.Address] {
+		if s.kvStoresDown[store.Address] {
 			continue
 		}
 		perSecond := 0.0
 		if engine.TokenBytes > 0 {
 			perSecond = store.LinkBytes / float64(engine.TokenBytes)
 		}
-		s.stores = append(s.stores, routing.NewKeptStore(store.Address, store.DataCentre, perSecond))
+		s.kvStores = append(s.kvStores, routing.NewKeptStore(store.Address, store.DataCentre, perSecond))
 	}
-	return s.stores
+	return s.kvStores
 }
 
-// arrived counts a caller's request for a service; it earns part of a second send.
-func (s *state) arrived(now time.Time, service string) {
+// recordArrival counts a caller's request for a service; it earns part of a second send.
+func (s *state) recordArrival(now time.Time, service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budgetLocked(service).Request(now)
+	s.retryBudgetLocked(service).Request(now)
 }
 
-// mayResend takes a second send from the service's budget.
-func (s *state) mayResend(now time.Time, service string, deadline time.Time) bool {
+// takeRetry takes a second send from the service's budget.
+func (s *state) takeRetry(now time.Time, service string, deadline time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budgetLocked(service).Allow(now, deadline, minUsefulTime)
+	return s.retryBudgetLocked(service).Allow(now, deadline, minUsefulTime)
 }
 
-func (s *state) budgetLocked(service string) *retry.Window {
-	b, ok := s.budgets[service]
+func (s *state) retryBudgetLocked(service string) *retry.Window {
+	b, ok := s.retryBudgets[service]
 	if !ok {
 		b = retry.NewWindow(s.retryLimits())
-		s.budgets[service] = b
+		s.retryBudgets[service] = b
 	}
 	return b
 }
@@ -338,28 +338,28 @@
 func (s *state) retryLimits() retry.Limits {
 	return retry.Limits{
 		Span:  s.settings.RetryWindow,
-		Ratio: s.settings.RetryRatio * budgetShare,
-		Slack: s.settings.RetrySlack * budgetShare / float64(max(s.entries, 1)),
+		Ratio: s.settings.RetryRatio * retryBudgetShare,
+		Slack: s.settings.RetrySlack * retryBudgetShare / float64(max(s.entryCount, 1)),
 	}
 }
 
-// setEntries tells how many entries share the budgets.
-func (s *state) setEntries(n int) {
+// setEntryCount tells how many entries share the budgets.
+func (s *state) setEntryCount(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n == s.entries {
+	if n == s.entryCount {
 		return
 	}
-	klog.InfoS("Entries that share the retry budget", "count", n, "before", s.entries)
-	s.entries = n
+	klog.InfoS("Entries that share the retry budget", "count", n, "before", s.entryCount)
+	s.entryCount = n
 	s.router.SetEntries(n)
-	for _, b := range s.budgets {
+	for _, b := range s.retryBudgets {
 		b.SetLimits(s.retryLimits())
 	}
 }
 
-// told takes in what an answer says of its server.
-func (s *state) told(now time.Time, server, model string, answer *call.Answer) {
+// observeAnswer takes in what an answer says of its server.
+func (s *state) observeAnswer(now time.Time, server, model string, answer *call.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.list.Get(server) == nil {
@@ -369,7 +369,7 @@
 		s.router.Told(now, server, answer.Load)
 	}
 	if model != "" && answer.Version > 0 {
-		s.sawVersionLocked(server, model, answer.Version, "answer")
+		s.observeVersionLocked(server, model, answer.Version, "answer")
 	}
 }
 
--- a/internal/gateway/stores.go
+++ b/internal/gateway/stores.go
@@ -12,46 +12,46 @@
 )
 
 const (
-	// storePause between two questions to a store, for each entry that asks: all
+	// kvStorePollPause between two questions to a store, for each entry that asks: all
 	// of them together ask it no more often than some twenty times a second. While a
 	// store is down a fetch from it holds an engine up for some hundred ms.
-	storePause        = 500 * time.Millisecond
-	storePausePerPeer = 50 * time.Millisecond
-	// storeCallTime bounds a question.
-	storeCallTime = 400 * time.Millisecond
+	kvStorePollPause        = 500 * time.Millisecond
+	kvStorePollPausePerPeer = 50 * time.Millisecond
+	// kvStoreCallTimeout bounds a question.
+	kvStoreCallTimeout = 400 * time.Millisecond
 )
 
-// storeWatch is what an entry knows of one store of kept cache.
-type storeWatch struct {
+// kvStoreWatch is what an entry knows of one store of kept cache.
+type kvStoreWatch struct {
 	epoch, next uint64
 	down        bool
 }
 
-// watchStores follows what the stores of kept cache take in and drop, and
+// watchKVStores follows what the stores of kept cache take in and drop, and
 // whether they are there.
-func (g *Gateway) watchStores(ctx context.Context) {
+func (g *Gateway) watchKVStores(ctx context.Context) {
 	if g.ports.KeptStores == nil {
 		return
 	}
-	watches := map[string]*storeWatch{}
+	watches := map[string]*kvStoreWatch{}
 	for ctx.Err() == nil {
 		if table := g.state.table.Load(); table != nil && g.decides() {
 			for _, store := range table.Stores {
 				w := watches[store.Address]
 				if w == nil {
-					w = &storeWatch{}
+					w = &kvStoreWatch{}
 					watches[store.Address] = w
 				}
-				g.askStore(ctx, store.Address, w)
+				g.pollKVStore(ctx, store.Address, w)
 			}
 		}
-		sleep(ctx, max(storePause, storePausePerPeer*time.Duration(g.deciders())))
+		sleep(ctx, max(kvStorePollPause, kvStorePollPausePerPeer*time.Duration(g.deciders())))
 	}
 }
 
-// askStore takes in what one store says, or that it says nothing.
-func (g *Gateway) askStore(ctx context.Context, address string, w *storeWatch) {
-	callCtx, cancel := context.WithTimeout(ctx, storeCallTime)
+// pollKVStore takes in what one store says, or that it says nothing.
+func (g *Gateway) pollKVStore(ctx context.Context, address string, w *kvStoreWatch) {
+	callCtx, cancel := context.WithTimeout(ctx, kvStoreCallTimeout)
 	defer cancel()
 	changes, err := g.ports.KeptStores.Changes(callCtx, address, w.next)
 	switch {
@@ -62,44 +62,44 @@
 		if !w.down {
 			w.down = true
 			klog.InfoS("Store of kept cache lost", "store", address, "epoch", w.epoch, "err", err)
-			g.state.storeDown(address, true)
+			g.state.setKVStoreDown(address, true)
 		}
 		return
 	}
 	if w.down {
 		klog.InfoS("Store of kept cache regained", "store", address, "epoch", changes.Epoch)
-		g.state.storeDown(address, false)
+		g.state.setKVStoreDown(address, false)
 	}
 	if w.epoch != 0 && w.epoch != changes.Epoch {
 		klog.InfoS("Store of kept cache started again, empty", "store", address, "epoch", changes.Epoch, "before", w.epoch)
-		g.state.storesEmptied()
+		g.state.kvStoresCleared()
 	}
-	*w = storeWatch{epoch: changes.Epoch, next: changes.Next}
-	g.state.storeChanged(address, changes.Parts)
+	*w = kvStoreWatch{epoch: changes.Epoch, next: changes.Next}
+	g.state.kvStoreChanged(address, changes.Parts)
 }
 
-// storeDown takes a store out of decisions, or back into them, empty.
-func (s *state) storeDown(address string, down bool) {
+// setKVStoreDown takes a store out of decisions, or back into them, empty.
+func (s *state) setKVStoreDown(address string, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storesDown[address] = down
-	s.storesOf = nil
-	s.storesEmptiedLocked()
+	s.kvStoresDown[address] = down
+	s.kvStoresEngine = nil
+	s.kvStoresClearedLocked()
 }
 
-func (s *state) storesEmptied() {
+func (s *state) kvStoresCleared() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storesEmptiedLocked()
+	s.kvStoresClearedLocked()
 }
 
-func (s *state) storesEmptiedLocked() {
+func (s *state) kvStoresClearedLocked() {
 	for _, router := range s.routers() {
 		router.StoresEmptied()
 	}
 }
 
-func (s *state) storeChanged(address string, parts []call.PartChange) {
+func (s *state) kvStoreChanged(address string, parts []call.PartChange) {
 	if len(parts) == 0 {
 		return
 	}
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -122,12 +122,12 @@
 		most = largeFleetStrikes
 	}
 	strikes, cleared := g.state.suspects.takeUntold(most)
-	targets := g.datagrams.addressesOf(g.peers.all())
+	targets := g.datagrams.addressesOf(g.peers.addresses())
 	if len(targets) == 0 {
 		return
 	}
 	for _, word := range strikeWords(strikes, cleared) {
-		g.datagrams.tellAll(targets, word)
+		g.datagrams.trySendAll(targets, word)
 	}
 }
 
@@ -211,7 +211,7 @@
 }
 
 func (g *Gateway) commitSuspects(ctx context.Context, txn platform.Txn) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := g.ports.Table.Commit(ctx, txn)
 	return err
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -114,9 +114,9 @@
 	assert.Len(t, words, 5)
 	told := 0
 	for _, word := range words {
-		assert.Less(t, len(mustEncode(t, word)), maxDatagram)
+		assert.Less(t, len(mustEncode(t, word)), maxDatagramBytes)
 		told += len(word.GetStrikes().GetStrikes()) + len(word.GetStrikes().GetCleared())
-		g.datagrams.take(word, nil)
+		g.datagrams.handle(word, nil)
 	}
 	assert.Equal(t, 90, told)
 	assert.Len(t, g.state.suspects.list(), 45)
--- a/internal/gateway/switches.go
+++ b/internal/gateway/switches.go
@@ -17,16 +17,16 @@
 // whoever may hold the lease next must not order one that was ordered just now.
 
 const (
-	// switchesPerWord keeps a datagram below maxDatagram.
-	switchesPerWord = 30
-	// beatPause is the least time between two words to all that the holder is at
+	// switchesPerDatagram keeps a datagram below maxDatagram.
+	switchesPerDatagram = 30
+	// heartbeatInterval is the least time between two words to all that the holder is at
 	// work: without any for newsLife, others contend for the lease.
-	beatPause = newsLife / 4
+	heartbeatInterval = holderTimeout / 4
 )
 
-// switchNews tells other entries of a server that is about to take new
+// switchUpdate tells other entries of a server that is about to take new
 // weights, takes them, or has them.
-type switchNews struct {
+type switchUpdate struct {
 	Server  string `json:"server"`
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
@@ -38,36 +38,36 @@
 	Withdrawn bool `json:"withdrawn,omitempty"`
 }
 
-// spreadSwitches tells the other entries of servers that change weights. A few
+// sendSwitchUpdates tells the other entries of servers that change weights. A few
 // entries are all told by calls. Of many the next holders are, and the owners of
 // shards by datagrams, each word twice, as one may be lost; the others learn a
 // server's weights with its offer. Told by calls to 102 others, an entry of 0.144
 // cores gave 30 orders a second at best.
-func (g *Gateway) spreadSwitches(ctx context.Context, news []switchNews) {
+func (g *Gateway) sendSwitchUpdates(ctx context.Context, news []switchUpdate) {
 	if len(news) == 0 {
 		return
 	}
 	g.applySwitches(news, false)
 	if !g.sharded() {
-		g.peers.tell(ctx, g.peers.all(), news)
+		g.peers.postSwitches(ctx, g.peers.addresses(), news)
 		return
 	}
-	g.peers.tell(ctx, g.peers.nextHolders(), news)
-	words := switchWords(news)
+	g.peers.postSwitches(ctx, g.peers.nextHolders(), news)
+	words := switchDatagrams(news)
 	owners := g.ownerAddresses()
-	g.tellTwice(ctx, owners, words)
+	g.sendTwice(ctx, owners, words)
 }
 
-// tellTwice sends words to all targets, and once more a little later.
-func (g *Gateway) tellTwice(ctx context.Context, targets []*net.UDPAddr, words []*jayv1.Datagram) {
+// sendTwice sends words to all targets, and once more a little later.
+func (g *Gateway) sendTwice(ctx context.Context, targets []*net.UDPAddr, words []*jayv1.Datagram) {
 	send := func() {
 		for _, word := range words {
-			g.datagrams.tellAll(targets, word)
+			g.datagrams.trySendAll(targets, word)
 		}
 	}
 	send()
 	g.spawn(func() {
-		sleep(ctx, rolloutTick)
+		sleep(ctx, rolloutInterval)
 		send()
 	})
 }
@@ -83,16 +83,16 @@
 	return g.datagrams.addressesOf(addresses)
 }
 
-// beat shows all others that the holder is at work.
-func (g *Gateway) beat() {
-	g.datagrams.tellAll(g.datagrams.addressesOf(g.peers.all()), &jayv1.Datagram{Body: &jayv1.Datagram_Switches{Switches: &jayv1.SwitchNews{}}})
+// sendHeartbeat shows all others that the holder is at work.
+func (g *Gateway) sendHeartbeat() {
+	g.datagrams.trySendAll(g.datagrams.addressesOf(g.peers.addresses()), &jayv1.Datagram{Body: &jayv1.Datagram_Switches{Switches: &jayv1.SwitchNews{}}})
 }
 
-// switchWords packs news into datagrams.
-func switchWords(news []switchNews) []*jayv1.Datagram {
+// switchDatagrams packs news into datagrams.
+func switchDatagrams(news []switchUpdate) []*jayv1.Datagram {
 	var words []*jayv1.Datagram
 	for len(news) > 0 {
-		n := min(len(news), switchesPerWord)
+		n := min(len(news), switchesPerDatagram)
 		word := &jayv1.SwitchNews{}
 		for _, one := range news[:n] {
 			word.Switches = append(word.Switches, &jayv1.Switch{
@@ -106,21 +106,21 @@
 	return words
 }
 
-// takeSwitchWords takes in news that came by datagram.
-func (g *Gateway) takeSwitchWords(word *jayv1.SwitchNews) {
-	g.state.heardHolder(time.Now())
-	g.applySwitches(g.state.switchesOf(word), true)
+// receiveSwitches takes in news that came by datagram.
+func (g *Gateway) receiveSwitches(word *jayv1.SwitchNews) {
+	g.state.recordHolderActivity(time.Now())
+	g.applySwitches(g.state.switchUpdatesOf(word), true)
 }
 
-// switchesOf are the news on servers that are listed.
-func (s *state) switchesOf(word *jayv1.SwitchNews) []switchNews {
+// switchUpdatesOf are the news on servers that are listed.
+func (s *state) switchUpdatesOf(word *jayv1.SwitchNews) []switchUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	byHash := s.list.ByHash(nameHash)
-	var news []switchNews
+	var news []switchUpdate
 	for _, one := range word.GetSwitches() {
 		if b := byHash[one.GetServer()]; b != nil {
-			news = append(news, switchNews{
+			news = append(news, switchUpdate{
 				Server: b.ID, Model: one.GetModel(), Version: one.GetVersion(), ForMS: int64(one.GetForMs()),
 				Ordered: one.GetOrdered(), Withdrawn: one.GetWithdrawn(),
 			})
@@ -129,8 +129,8 @@
 	return news
 }
 
-// tell sends news to other entries, without waiting for them.
-func (p *peers) tell(ctx context.Context, addresses []string, news []switchNews) {
+// postSwitches sends news to other entries, without waiting for them.
+func (p *peers) postSwitches(ctx context.Context, addresses []string, news []switchUpdate) {
 	for _, address := range addresses {
 		go func() {
 			if err := p.call(ctx, http.MethodPost, address, "/v1/switches", news, nil); err != nil {
@@ -140,8 +140,8 @@
 	}
 }
 
-func (g *Gateway) takeSwitches(c echo.Context) error {
-	var news []switchNews
+func (g *Gateway) handleSwitches(c echo.Context) error {
+	var news []switchUpdate
 	if err := c.Bind(&news); err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
@@ -149,14 +149,14 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (g *Gateway) applySwitches(news []switchNews, ofOther bool) {
+func (g *Gateway) applySwitches(news []switchUpdate, ofOther bool) {
 	now := time.Now()
 	for _, n := range news {
 		if n.Ordered && ofOther {
-			g.state.heardOrder(now, n.Server)
+			g.state.recordOrder(now, n.Server)
 		}
 		if n.ForMS > 0 && ofOther {
-			g.state.heardHolder(now)
+			g.state.recordHolderActivity(now)
 		}
 		klog.V(1).InfoS("Switch told", "server", n.Server, "version", n.Version, "forMS", n.ForMS, "withdrawn", n.Withdrawn)
 		switch {
@@ -165,7 +165,7 @@
 		case n.ForMS > 0:
 			g.state.announceSwitch(n.Server, n.Version, now.Add(time.Duration(n.ForMS)*time.Millisecond))
 		default:
-			g.state.sawVersion(n.Server, n.Model, n.Version, "entry")
+			g.state.observeVersion(n.Server, n.Model, n.Version, "entry")
 		}
 	}
 }
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -97,11 +97,11 @@
 		s.mu.Unlock()
 		return j.place(false)
 	}
-	after, ok := s.room.Enter(now, request)
+	after, ok := s.waitQueue.Enter(now, request)
 	if ok {
 		s.waiters[j.head.ID] = w
 	}
-	waiting := s.room.Len()
+	waiting := s.waitQueue.Len()
 	s.mu.Unlock()
 	if !ok {
 		klog.InfoS("Turned away", "request", j.head.ID, "waiting", waiting, "comeBackMS", after.Milliseconds())
@@ -141,7 +141,7 @@
 	s := j.gateway.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.room.Leave(j.head.ID) {
+	if s.waitQueue.Leave(j.head.ID) {
 		delete(s.waiters, j.head.ID)
 		if w.offer != nil {
 			go j.gateway.placing.giveBack(w.offer, nil)
@@ -161,7 +161,7 @@
 	s := g.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	away := s.room.Serve(now, func(id string, anyway bool) bool {
+	away := s.waitQueue.Serve(now, func(id string, anyway bool) bool {
 		w := s.waiters[id]
 		// A process that stops has no time to wait.
 		choice, err := w.placeLocked(now, anyway || g.stopping.Load())
