--- a/internal/gateway/datagrams.go
+++ b/internal/gateway/datagrams.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	// maxDatagramBytes fits a packet of the usual network.
+	// maxDatagramBytes fits into a packet of the usual MTU of 1500 bytes.
 	maxDatagramBytes = 1400
-	// datagramOverheadBytes of a datagram's own headers.
+	// datagramOverheadBytes is the size of the IP and UDP headers.
 	datagramOverheadBytes = 28
 )
 
-// errNoDatagramPort tells that the port for words between entries is not open.
-var errNoDatagramPort = eris.New("no port for datagrams")
+// errNoDatagramPort is returned if this entry's port is not open or the peer's address is
+// not an IP address.
+var errNoDatagramPort = eris.New("no datagram port, or no IP address of the peer")
 
-// datagrams carries words between entries that are worth nothing once late.
-// All entries use one port.
+// datagrams carries messages between entries that are worthless once late. All entries use
+// the same port number.
 type datagrams struct {
 	gateway *Gateway
-	// conn is nil without a port.
+	// conn is nil if the port is not open.
 	conn *net.UDPConn
 }
 
-// startDatagrams opens the port; without one entries tell each other nothing.
+// startDatagrams opens the port. Without it entries exchange no datagrams.
 func (g *Gateway) startDatagrams(ctx context.Context) {
 	d := &datagrams{gateway: g}
 	g.datagrams = d
@@ -39,22 +40,23 @@
 	}
 	address, err := net.ResolveUDPAddr("udp4", g.settings.HintAddress)
 	if err != nil {
-		klog.ErrorS(err, "No datagrams", "address", g.settings.HintAddress)
+		klog.ErrorS(err, "Invalid datagram address; no datagrams are exchanged", "address", g.settings.HintAddress)
 		return
 	}
 	if d.conn, err = net.ListenUDP("udp4", address); err != nil {
-		klog.ErrorS(err, "No datagrams", "address", g.settings.HintAddress)
+		klog.ErrorS(err, "Datagram port not opened; no datagrams are exchanged", "address", g.settings.HintAddress)
 		d.conn = nil
 		return
 	}
 	g.spawn(d.receive)
 	g.spawn(func() {
 		<-ctx.Done()
-		_ = d.conn.Close() // It ends receive.
+		_ = d.conn.Close() // Makes receive return.
 	})
 }
 
-// addressOf an entry that is called at a control address; nil when it is none.
+// addressOf returns the datagram address of the entry with a control address, or nil if
+// that is not an IP address or the port is not open.
 func (d *datagrams) addressOf(control string) *net.UDPAddr {
 	host, _, err := net.SplitHostPort(control)
 	if err != nil || d.conn == nil {
@@ -67,7 +69,8 @@
 	return &net.UDPAddr{IP: ip, Port: d.conn.LocalAddr().(*net.UDPAddr).Port}
 }
 
-// addressesOf entries that are called at control addresses; others are left out.
+// addressesOf returns the datagram addresses of entries with control addresses, without
+// those for which there is none.
 func (d *datagrams) addressesOf(controls []string) []*net.UDPAddr {
 	var addresses []*net.UDPAddr
 	for _, control := range controls {
@@ -78,50 +81,50 @@
 	return addresses
 }
 
-// encode makes the bytes of a word.
-func (d *datagrams) encode(word *jayv1.Datagram) ([]byte, error) {
+// encode returns the encoded message.
+func (d *datagrams) encode(message *jayv1.Datagram) ([]byte, error) {
 	if d.conn == nil {
 		return nil, errNoDatagramPort
 	}
-	text, err := proto.Marshal(word)
+	data, err := proto.Marshal(message)
 	if err != nil {
 		return nil, eris.Wrap(err, "encode datagram")
 	}
-	if len(text) > maxDatagramBytes {
-		return nil, eris.Errorf("datagram of %d bytes is too long", len(text))
+	if len(data) > maxDatagramBytes {
+		return nil, eris.Errorf("datagram too long: %d bytes", len(data))
 	}
-	return text, nil
+	return data, nil
 }
 
-// send tells one entry.
-func (d *datagrams) send(to *net.UDPAddr, word *jayv1.Datagram) error {
-	text, err := d.encode(word)
+// send sends a message to one entry.
+func (d *datagrams) send(to *net.UDPAddr, message *jayv1.Datagram) error {
+	data, err := d.encode(message)
 	if err != nil {
 		return err
 	}
 	if to == nil {
 		return errNoDatagramPort
 	}
-	_, err = d.conn.WriteToUDP(text, to)
+	_, err = d.conn.WriteToUDP(data, to)
 	return err
 }
 
-// trySend is send for words of which a lost one costs little: failures are counted.
-func (d *datagrams) trySend(to *net.UDPAddr, word *jayv1.Datagram) {
-	if err := d.send(to, word); err != nil {
+// trySend is send for messages whose loss is acceptable. Failures are counted.
+func (d *datagrams) trySend(to *net.UDPAddr, message *jayv1.Datagram) {
+	if err := d.send(to, message); err != nil {
 		d.gateway.metrics.Count("datagrams", "not_sent", 1)
 	}
 }
 
-// trySendAll is tell for several entries.
-func (d *datagrams) trySendAll(targets []*net.UDPAddr, word *jayv1.Datagram) {
-	text, err := d.encode(word)
+// trySendAll is trySend to several entries.
+func (d *datagrams) trySendAll(targets []*net.UDPAddr, message *jayv1.Datagram) {
+	data, err := d.encode(message)
 	if err != nil {
 		d.gateway.metrics.Count("datagrams", "not_sent", int64(len(targets)))
 		return
 	}
 	for _, target := range targets {
-		if _, err := d.conn.WriteToUDP(text, target); err != nil {
+		if _, err := d.conn.WriteToUDP(data, target); err != nil {
 			d.gateway.metrics.Count("datagrams", "not_sent", 1)
 		}
 	}
@@ -132,21 +135,21 @@
 	for {
 		n, from, err := d.conn.ReadFromUDP(buffer)
 		if err != nil {
-			klog.V(1).InfoS("Datagrams end", "err", err)
+			klog.V(1).InfoS("Datagram receiver stopped", "err", err)
 			return
 		}
-		word := &jayv1.Datagram{}
-		if err := proto.Unmarshal(buffer[:n], word); err != nil {
+		message := &jayv1.Datagram{}
+		if err := proto.Unmarshal(buffer[:n], message); err != nil {
 			d.gateway.metrics.Count("datagrams", "malformed", 1)
 			continue
 		}
-		d.handle(word, from)
+		d.handle(message, from)
 	}
 }
 
-func (d *datagrams) handle(word *jayv1.Datagram, from *net.UDPAddr) {
+func (d *datagrams) handle(message *jayv1.Datagram, from *net.UDPAddr) {
 	g := d.gateway
-	switch body := word.GetBody().(type) {
+	switch body := message.GetBody().(type) {
 	case *jayv1.Datagram_Hints:
 		g.hints.receive(body.Hints)
 	case *jayv1.Datagram_Ask:
--- a/internal/gateway/datagrams_test.go
+++ b/internal/gateway/datagrams_test.go
@@ -9,10 +9,10 @@
 	"github.com/jayproxy/jayproxy/internal/metrics"
 )
 
-// Whatever comes to the port, the process goes on: a word may be of another
-// version of the program, or of nobody that it knows.
+// No datagram may crash the process, also if it comes from another version of the program
+// or an unknown sender.
 func FuzzDatagram(f *testing.F) {
-	for _, word := range []*jayv1.Datagram{
+	for _, message := range []*jayv1.Datagram{
 		{Body: &jayv1.Datagram_Ask{Ask: newAsk(1, "aa")}},
 		{Body: &jayv1.Datagram_Progress{Progress: &jayv1.PlacementProgress{Key: 1, First: true, Elsewhere: &jayv1.Held{Address: "10.0.0.1:1"}}}},
 		{Body: &jayv1.Datagram_Offer{Offer: &jayv1.PlacementOffer{Key: 1, Outcome: jayv1.PlacementOffer_OUTCOME_SERVER}}},
@@ -23,20 +23,20 @@
 		}}},
 		{},
 	} {
-		text, err := proto.Marshal(word)
+		data, err := proto.Marshal(message)
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(text)
+		f.Add(data)
 	}
-	f.Fuzz(func(_ *testing.T, text []byte) {
-		word := &jayv1.Datagram{}
-		if proto.Unmarshal(text, word) != nil {
+	f.Fuzz(func(_ *testing.T, data []byte) {
+		message := &jayv1.Datagram{}
+		if proto.Unmarshal(data, message) != nil {
 			return
 		}
 		g := &Gateway{settings: Settings{Node: "gw1"}, state: newOwner("gw1"), metrics: metrics.New(8), peers: newPeers(Settings{Node: "gw1"})}
 		g.placing, g.hints, g.datagrams = newPlacing(g), &hints{gateway: g}, &datagrams{gateway: g}
-		g.datagrams.handle(word, nil)
-		g.datagrams.handle(word, nil)
+		g.datagrams.handle(message, nil)
+		g.datagrams.handle(message, nil)
 	})
 }
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -13,67 +13,71 @@
 )
 
 const (
-	// longPollWait is how long a call for changes of the operator's table waits.
+	// longPollWait is how long a read blocks at the store until the table changes.
 	longPollWait = 20 * time.Second
-	// backendPauseShare of the bound on leaving servers is between two reads of
-	// the list of backend servers. It changes with every heartbeat, so a call
-	// that waits for changes would return at once.
+	// backendPauseShare is the pause between two reads of the list of backend servers, as
+	// a share of Settings.DrainBound. The list changes with every heartbeat, so a blocking
+	// read would return at once.
 	backendPauseShare = 0.35
-	// callTimeout bounds a call beyond what it waits on purpose.
+	// callTimeout bounds a call to the store, in addition to the time that the call blocks
+	// for changes.
 	callTimeout = 1200 * time.Millisecond
-	// relayPause between two reads from another entry, and relayMargin for processes
-	// that wait for their processor: with the pause between two reads of the list
-	// they bound how long ago the store may have been heard from.
+	// relayPause is the pause between two reads from a relay, relayMargin an allowance for
+	// processes that wait for CPU time. With the pause between two reads of the list they
+	// determine the maximum age of data from a relay.
 	relayPause  = 350 * time.Millisecond
 	relayMargin = 300 * time.Millisecond
-	// entriesPause between two reads of the entries' rows. When all entries start,
-	// each row that is written ends every call that waits for changes: 103 entries
-	// made more than a thousand calls in their first second.
+	// entriesPause is the pause between two reads of the entries' rows. When all entries
+	// start at once, every row written ends all blocking reads, which would cause a burst
+	// of calls to the store.
 	entriesPause = 500 * time.Millisecond
-	// ownRowTimeout is how long after its start an entry waits to see its own row, and
-	// so whom to read from, before it asks the store for changes by itself.
+	// ownRowTimeout is how long after its start an entry waits to see its own row, which
+	// determines its relays, before it reads from the store directly.
 	ownRowTimeout = 2 * time.Second
-	// retryPause after a failed call. Only the list of servers is asked for that
-	// often, the other tables each sideFailedPause: they come with it.
+	// retryPause follows a failed read. Only the list of servers is retried that often.
+	// The other tables use otherTablesRetryPause, as they recover together with the list.
 	retryPause            = 250 * time.Millisecond
 	otherTablesRetryPause = time.Second
-	// staleRelayPausePerPeer and agedPauseAtMost bound how often an entry asks the store
-	// itself whose relays are there but have not heard from the store: an outage
-	// shows to them first. With each of 103 entries asking by itself all the while,
-	// eight seconds without the store took 7,000 calls.
+	// staleRelayPausePerPeer and maxStaleRelayPause limit how often an entry reads from
+	// the store itself while its relays answer with stale data. Relays detect an outage
+	// first; without the limit all entries would call the unreachable store at the full
+	// rate.
 	staleRelayPausePerPeer = 100 * time.Millisecond
 	maxStaleRelayPause     = 3 * time.Second
-	// minOutage without a good read of the list that counts as an outage.
+	// minOutage is the time without a successful read of the list that counts as an
+	// outage.
 	minOutage = 1500 * time.Millisecond
 	// sourceStore names the store in logs.
 	sourceStore = "store"
 )
 
-// feed follows one table of the store, and other entries while the store
-// turns this one away.
+// feed keeps a copy of one table of the platform's store up to date. It reads from other
+// entries while this entry cannot reach the store.
 type feed struct {
 	table string
+	// wait is how long a read from the store blocks for changes, pause follows each read.
 	wait  time.Duration
 	pause time.Duration
-	// relayPause between two reads from another entry.
+	// relayPause is the pause between two reads from a relay.
 	relayPause time.Duration
 	apply      func(now time.Time, rows []mirror.Row, source string)
 
 	mu   sync.Mutex
 	copy mirror.Copy
 
-	// lastAnswer is when the store last answered, in Unix nanoseconds.
+	// lastAnswer is when the store last answered this entry or its relay, in Unix
+	// nanoseconds.
 	lastAnswer atomic.Int64
 	failing    atomic.Bool
-	// interrupt ends a call that waits; interrupted: it did, and the next call
-	// does not wait.
+	// interrupt cancels the current blocking read. interrupted is set when that was done;
+	// the next read then does not block.
 	interrupt   atomic.Pointer[context.CancelFunc]
 	interrupted atomic.Bool
 }
 
-// pollTimeout is how long the next call may wait for a change. After a failure it
-// asks without waiting: with an answer only at the next change, or at the end
-// of the wait, the store counted as lost for 20 s after it was back.
+// pollTimeout returns how long the next read blocks for changes. After a failure it does
+// not block: a blocking read returns only at the next change or at its timeout, so a
+// recovered store would count as lost for up to longPollWait.
 func (f *feed) pollTimeout() time.Duration {
 	if f.interrupted.Swap(false) || f.failing.Load() {
 		return 0
@@ -81,7 +85,7 @@
 	return f.wait
 }
 
-// interruptPoll ends a call that waits.
+// interruptPoll cancels the current blocking read.
 func (f *feed) interruptPoll() {
 	if interrupt := f.interrupt.Load(); f.wait > 0 && interrupt != nil {
 		f.interrupted.Store(true)
@@ -101,39 +105,38 @@
 	return f.copy.Since(after)
 }
 
-// age is how long ago the store was last heard from.
+// age returns the time since the store last answered.
 func (f *feed) age(now time.Time) time.Duration {
 	return now.Sub(time.Unix(0, f.lastAnswer.Load()))
 }
 
-// tableAge is how old a table may be. A call that waits for changes hears from the
-// store with every change only, and hangs for as long when this entry is cut off:
-// what shows that is the list of servers, which is read all the while. Without it
-// an entry that was cut off gave an old configuration as fresh, to all that read
-// from it.
+// tableAge returns the maximum age of a table. A blocking read gets an answer only when
+// its table changes, and hangs while this entry is cut off from the store. The list of
+// servers is read at short intervals, so its age shows whether the store is reachable.
+// Without that check an entry that is cut off would relay an old configuration as current.
 func (g *Gateway) tableAge(now time.Time, f *feed) time.Duration {
 	age := f.age(now)
-	for _, gauge := range g.feeds {
-		if gauge.table == g.ports.Decoder.BackendTable && f.wait > 0 {
-			age = min(age, gauge.age(now))
+	for _, other := range g.feeds {
+		if other.table == g.ports.Decoder.BackendTable && f.wait > 0 {
+			age = min(age, other.age(now))
 		}
 	}
 	return age
 }
 
-// maxRelayAge is how long ago the store may have been heard from by what a relay
-// gives that has so many entries between itself and the store. The less, the sooner
-// another one is asked: a configuration must be in force within its bound.
-func (g *Gateway) maxRelayAge(between int) time.Duration {
-	return g.backendPause() + time.Duration(between)*relayPause + relayMargin
+// maxRelayAge returns the maximum age of data accepted from relays that have the given
+// number of entries between themselves and the store. It is short so that another source
+// is tried soon: a configuration must be in force within its bound.
+func (g *Gateway) maxRelayAge(hops int) time.Duration {
+	return g.backendPause() + time.Duration(hops)*relayPause + relayMargin
 }
 
-// backendPause is between two reads of the list by one that asks the store.
+// backendPause returns the pause between two reads of the list from the store.
 func (g *Gateway) backendPause() time.Duration {
 	return time.Duration(float64(g.settings.DrainBound) * backendPauseShare)
 }
 
-// applyBatch applies a batch, in order with any other.
+// applyBatch applies a batch to the copy and to this entry's view, one batch at a time.
 func (f *feed) applyBatch(batch mirror.Batch, source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,18 +144,18 @@
 	f.apply(time.Now(), changed, source)
 }
 
-// startBackgroundTasks starts all that runs beside the requests.
+// startBackgroundTasks starts the feeds and all other tasks that run beside the requests.
 func (g *Gateway) startBackgroundTasks(ctx context.Context) {
 	operators := &feed{table: g.ports.Decoder.OperatorTable, wait: longPollWait, relayPause: relayPause, apply: g.applyOperator}
 	backends := &feed{copy: mirror.NewCopy(g.ports.Decoder.SameBackend), table: g.ports.Decoder.BackendTable, pause: g.backendPause(), relayPause: relayPause, apply: g.applyBackends}
 	entries := &feed{table: g.ports.Decoder.EntryTable, wait: longPollWait, pause: entriesPause, relayPause: relayPause, apply: g.applyEntries}
 	suspected := &feed{table: g.ports.Decoder.SuspectTable, wait: longPollWait, pause: entriesPause, relayPause: suspectRelayPause, apply: g.applySuspects}
 	g.feeds = []*feed{operators, backends, entries, suspected}
-	placed := time.Now().Add(ownRowTimeout)
-	g.spawn(func() { g.runFeed(ctx, operators, placed) })
-	g.spawn(func() { g.runFeed(ctx, backends, placed) })
+	ownRowDeadline := time.Now().Add(ownRowTimeout)
+	g.spawn(func() { g.runFeed(ctx, operators, ownRowDeadline) })
+	g.spawn(func() { g.runFeed(ctx, backends, ownRowDeadline) })
 	g.spawn(func() { g.runFeed(ctx, entries, time.Time{}) })
-	g.spawn(func() { g.runFeed(ctx, suspected, placed) })
+	g.spawn(func() { g.runFeed(ctx, suspected, ownRowDeadline) })
 	g.spawn(func() { g.spreadSuspects(ctx) })
 	g.spawn(func() { g.readFromPeersDuringOutage(ctx, backends) })
 	g.spawn(func() { g.register(ctx) })
@@ -183,12 +186,12 @@
 	g.state.suspects.tick(now, holder)
 }
 
-// runFeed keeps a feed's copy. Between its first read and placed it waits until the
-// entry knows its place among the others.
-func (g *Gateway) runFeed(ctx context.Context, f *feed, placed time.Time) {
-	var askedAt time.Time
+// runFeed keeps a feed's copy up to date. After its first read it waits until this entry
+// has seen its own row, at most until ownRowDeadline.
+func (g *Gateway) runFeed(ctx context.Context, f *feed, ownRowDeadline time.Time) {
+	var storeReadAt time.Time
 	for ctx.Err() == nil {
-		for f.version() > 0 && !g.peers.ownRowSeen() && time.Now().Before(placed) && ctx.Err() == nil {
+		for f.version() > 0 && !g.peers.ownRowSeen() && time.Now().Before(ownRowDeadline) && ctx.Err() == nil {
 			sleep(ctx, drainStep)
 		}
 		from := g.readThroughRelay(ctx, f)
@@ -196,12 +199,12 @@
 			sleep(ctx, f.relayPause)
 			continue
 		}
-		if from == relayStale && time.Since(askedAt) < g.staleRelayPause() {
+		if from == relayStale && time.Since(storeReadAt) < g.staleRelayPause() {
 			g.feedFailed(f, errStaleRelays)
 			sleep(ctx, retryPause)
 			continue
 		}
-		askedAt = time.Now()
+		storeReadAt = time.Now()
 		err := g.readFromStore(ctx, f)
 		if f.interrupted.Load() {
 			continue
@@ -215,7 +218,8 @@
 	}
 }
 
-// staleRelayPause is how long this entry leaves the store alone whose relays are there.
+// staleRelayPause returns the least pause between two reads from the store while the
+// relays' data is stale.
 func (g *Gateway) staleRelayPause() time.Duration {
 	return min(time.Duration(g.peers.count())*staleRelayPausePerPeer, maxStaleRelayPause)
 }
@@ -227,32 +231,32 @@
 	return otherTablesRetryPause
 }
 
-// relayOutcome is what came of reading through relays.
+// relayOutcome is the result of a read through relays.
 type relayOutcome int
 
 const (
-	// relayUnavailable: this entry asks the store itself, or no relay answers.
+	// relayUnavailable: this entry reads from the store itself, or no relay answered.
 	relayUnavailable relayOutcome = iota
-	// relayFresh: a relay gave what it has, and that is fresh.
+	// relayFresh: a relay returned recent data.
 	relayFresh
-	// relayStale: a relay answered that has not heard from the store of late.
+	// relayStale: a relay answered, but its data is too old.
 	relayStale
 )
 
-// errStaleRelays tells that the relays have not heard from the store.
-var errStaleRelays = errors.New("the relays have not heard from the store")
+// errStaleRelays is the error of a read through relays that have no recent data.
+var errStaleRelays = errors.New("no relay has recent data from the store")
 
-// readThroughRelay reads a table from an entry that is nearer to the store. With
-// every entry asking by itself the store's calls grow with the fleet.
+// readThroughRelay reads a table from an entry that is closer to the store. If every entry
+// read from the store, the number of calls would grow with the fleet.
 func (g *Gateway) readThroughRelay(ctx context.Context, f *feed) relayOutcome {
 	outcome := relayUnavailable
-	relays, between := g.peers.relays(time.Now())
+	relays, hops := g.peers.relays(time.Now())
 	for _, relay := range relays {
 		batch, err := g.peers.table(ctx, relay, f.table, f.version())
 		if err != nil && ctx.Err() == nil {
 			g.peers.markUnresponsive(time.Now(), relay)
 		}
-		if err != nil || batch.AgeMS > g.maxRelayAge(between).Milliseconds() || batch.Version == 0 {
+		if err != nil || batch.AgeMS > g.maxRelayAge(hops).Milliseconds() || batch.Version == 0 {
 			g.metrics.Count("relay_failed", f.table, 1)
 			if err == nil && batch.Version > 0 {
 				outcome = relayStale
@@ -278,8 +282,8 @@
 	}
 }
 
-// readFromStore asks the store for changes, or for the whole table where its
-// history does not reach back.
+// readFromStore reads changes from the store, or the complete table if the store's history
+// does not reach back far enough.
 func (g *Gateway) readFromStore(ctx context.Context, f *feed) error {
 	wait := f.pollTimeout()
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
@@ -309,9 +313,10 @@
 	}
 }
 
-// feedSucceeded notes that the store answered, so long ago. After an outage entries of the list
-// may have expired though their servers are alive, and a call that waits on
-// another connection may wait for an answer that was lost.
+// feedSucceeded records that the store answered the given time ago. After an outage,
+// registrations of servers that are alive may have expired, so the list keeps them for its
+// grace period. Other feeds may still block on connections whose answers were lost, so
+// their reads are interrupted.
 func (g *Gateway) feedSucceeded(f *feed, age time.Duration) {
 	now := time.Now().Add(-age)
 	last := f.lastAnswer.Swap(now.UnixNano())
@@ -335,17 +340,18 @@
 	}
 }
 
-// readFromPeersDuringOutage asks other entries while the store turns this one away: it serves
-// them perhaps, and the operator's changes count for all.
-func (g *Gateway) readFromPeersDuringOutage(ctx context.Context, gauge *feed) {
+// readFromPeersDuringOutage reads all tables from other entries while this one cannot read
+// the list from the store. The store may still answer others, and the operator's changes
+// apply to all entries.
+func (g *Gateway) readFromPeersDuringOutage(ctx context.Context, backends *feed) {
 	g.every(ctx, retryPause, func(time.Time) {
-		if !gauge.failing.Load() {
+		if !backends.failing.Load() {
 			return
 		}
 		for _, f := range g.feeds {
 			batch, peer, err := g.peers.pull(ctx, f.table, f.version())
 			if err != nil {
-				klog.V(1).InfoS("No other entry gave the table", "table", f.table, "err", err)
+				klog.V(1).InfoS("Table could not be read from any other entry", "table", f.table, "err", err)
 				continue
 			}
 			if batch.Version > 0 {
@@ -363,7 +369,7 @@
 		if g.ports.Decoder.IsConfig(row.Key) {
 			table, err := g.ports.Decoder.Config(row.Value)
 			if err != nil {
-				klog.ErrorS(err, "Configuration not understood; the last good one stays", "row", row.Key, "rowVersion", row.Version)
+				klog.ErrorS(err, "Configuration not understood; keeping the last valid one", "row", row.Key, "rowVersion", row.Version)
 				continue
 			}
 			g.state.adoptTable(table, source)
@@ -371,7 +377,7 @@
 		}
 		named, ok, err := g.ports.Decoder.Named(row.Key, row.Value)
 		if err != nil {
-			klog.ErrorS(err, "Named weights not understood", "row", row.Key, "rowVersion", row.Version)
+			klog.ErrorS(err, "Row of named weights not understood", "row", row.Key, "rowVersion", row.Version)
 			continue
 		}
 		if ok {
@@ -389,7 +395,7 @@
 		}
 		b, err := g.ports.Decoder.Backend(row.Key, row.Value)
 		if err != nil {
-			klog.ErrorS(err, "Backend server not understood; its last good entry stays", "row", row.Key, "rowVersion", row.Version, "source", source)
+			klog.ErrorS(err, "Backend server registration not understood; keeping the last valid one", "row", row.Key, "rowVersion", row.Version, "source", source)
 			continue
 		}
 		changes = append(changes, backendChange{backend: b})
--- a/internal/gateway/feeds_test.go
+++ b/internal/gateway/feeds_test.go
@@ -17,10 +17,10 @@
 	"github.com/jayproxy/jayproxy/internal/mirror"
 )
 
-// unavailableStore answers no call, and counts them.
+// unavailableStore fails every call and counts the calls.
 type unavailableStore struct{ calls atomic.Int64 }
 
-var errStoreUnavailable = errors.New("store lost")
+var errStoreUnavailable = errors.New("store unavailable")
 
 func (s *unavailableStore) Whole(context.Context, string) (mirror.Batch, error) {
 	s.calls.Add(1)
@@ -32,8 +32,8 @@
 	return mirror.Batch{}, errStoreUnavailable
 }
 
-// newRelayedEntry is the last of many entries, whose relays answer with a table that
-// is so old.
+// newRelayedEntry returns the last of the given number of entries. Its relays answer with
+// a table of the given age.
 func newRelayedEntry(t *testing.T, entries int, age time.Duration) (*Gateway, *unavailableStore) {
 	t.Helper()
 	relay := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -60,15 +60,14 @@
 	g.runFeed(ctx, f, time.Time{})
 }
 
-// The store was lost for eight seconds. Each of a hundred entries saw that its
-// relays had heard nothing of late, and asked the store by itself, four times a
-// second for each table: 9,550 calls on a day that takes 900 otherwise.
+// Guards against every entry calling an unreachable store at the full rate while all
+// relays have stale data.
 func TestEntriesLimitStoreReadsWhileRelaysAreStale(t *testing.T) {
 	g, store := newRelayedEntry(t, 100, time.Minute)
 	g.runFor(t, 1200*time.Millisecond)
 	assert.LessOrEqual(t, store.calls.Load(), int64(2))
-	assert.Positive(t, store.calls.Load(), "it may be the relays that are turned away")
-	assert.True(t, g.feeds[0].failing.Load(), "others are asked for their tables meanwhile")
+	assert.Positive(t, store.calls.Load(), "the store may be unreachable for the relays only")
+	assert.True(t, g.feeds[0].failing.Load(), "a failing feed makes the entry read from other entries")
 }
 
 func TestFreshRelayReplacesStoreReads(t *testing.T) {
@@ -76,12 +75,11 @@
 	g.runFor(t, 600*time.Millisecond)
 	assert.Zero(t, store.calls.Load())
 	assert.False(t, g.feeds[0].failing.Load())
-	assert.Greater(t, g.feeds[0].age(time.Now()), 90*time.Millisecond, "as old as the relay's")
+	assert.Greater(t, g.feeds[0].age(time.Now()), 90*time.Millisecond, "the age of the relay's data is included")
 }
 
-// An entry that reads for the others was cut off from the store while it waited for
-// changes. It gave its old configuration as fresh for as long as that call hung, and
-// a key that had been taken away went on to work at all that read from it.
+// Guards against an entry that is cut off from the store, and hangs in a blocking read,
+// relaying an old configuration as current.
 func TestTableAgeFollowsListDuringBlockingRead(t *testing.T) {
 	g, _ := newRelayedEntry(t, 100, 0)
 	now := time.Now()
@@ -90,7 +88,7 @@
 	waiting := &feed{table: "op", wait: longPollWait}
 	waiting.lastAnswer.Store(now.Add(-10 * time.Second).UnixNano())
 	g.feeds = []*feed{waiting, list}
-	assert.InDelta(t, 3000, g.tableAge(now, waiting).Milliseconds(), 1, "the list shows that the store is away")
+	assert.InDelta(t, 3000, g.tableAge(now, waiting).Milliseconds(), 1, "the old list shows that the store is unreachable")
 	list.lastAnswer.Store(now.Add(-100 * time.Millisecond).UnixNano())
-	assert.Less(t, g.tableAge(now, waiting), time.Second, "it waits, and the store is there")
+	assert.Less(t, g.tableAge(now, waiting), time.Second, "the recent list shows that the store is reachable")
 }
--- a/internal/gateway/hints.go
+++ b/internal/gateway/hints.go
@@ -15,48 +15,50 @@
 )
 
 const (
-	// hintInterval collects hints for one datagram. It bounds how long another
-	// entry does not know that a prefix is being read.
+	// hintInterval is how long hints are collected for one datagram. Until it is sent,
+	// other entries do not know that a prefix is being computed.
 	hintInterval = 20 * time.Millisecond
-	// loadHintInterval is the least time between two words on our unread prompts.
+	// loadHintInterval is the least time between two hints on prompts that wait for
+	// prefill.
 	loadHintInterval = 100 * time.Millisecond
-	// memoryHintInterval is the least time between two words on the memory that our
-	// requests take: they take it for seconds.
+	// memoryHintInterval is the least time between two hints on the engine memory used by
+	// this entry's requests, which use it for seconds.
 	memoryHintInterval = 500 * time.Millisecond
-	// hintBytesPerSecondPerPeer a second is what all hints to one other entry may take,
-	// hintBytesAtMost what those to all of them may. Four entries that told 2 KB/s
-	// in all earned 0.776 of a day with new weights, with 4 KB/s 0.796, with 8 KB/s 0.791.
+	// hintBytesPerSecondPerPeer limits the hints to one other entry, maxHintBytesPerSecond
+	// those to all of them.
 	hintBytesPerSecondPerPeer = 1300
 	maxHintBytesPerSecond     = 32 << 10
-	// hintBurst is for how long unused bytes are saved up.
+	// hintBurst is the time for which unused bytes are accumulated.
 	hintBurst = time.Second
-	// prefixBudgetShare, a share of the saved bytes, is kept for prefixes: what waits where
-	// is guessed from our own requests when it is not told.
+	// prefixBudgetShare is the share of the accumulated bytes that hints on load must leave
+	// to prefixes. Without a hint, an entry estimates the load from its own requests.
 	prefixBudgetShare = 0.5
-	// maxUnshardedEntries entries tell each other all: with more, what one may send
-	// leaves less than hintBytesPerPeer for each of the others.
+	// maxUnshardedEntries is the number of entries up to which all entries send hints to
+	// each other. With more, maxHintBytesPerSecond would leave less than
+	// hintBytesPerSecondPerPeer for each peer.
 	maxUnshardedEntries = maxHintBytesPerSecond/hintBytesPerSecondPerPeer + 1
 )
 
-// hints tells other entries where prefixes are read and what waits where.
-// Datagrams, not streams: a hint is worth nothing once it is late, and a lost
-// one costs a prompt that is read again.
+// hints sends other entries where prefixes are computed, and the load and memory use of
+// servers. It uses datagrams: a hint is worthless once it is late, and a lost one costs a
+// repeated prefill.
 type hints struct {
 	gateway *Gateway
-	self    uint32
+	// self identifies this entry in hints.
+	self uint32
 
 	mu      sync.Mutex
 	targets []*net.UDPAddr
-	// budget of bytes, filled over time.
+	// budget is the number of bytes that may be sent, refilled over time.
 	budget       float64
 	refilledAt   time.Time
 	loadsSentAt  time.Time
 	memorySentAt time.Time
-	// postponed are prefixes that the budget did not allow to tell yet.
+	// postponed holds the prefixes that the budget did not allow to be sent yet.
 	postponed *jayv1.Hints
 }
 
-// startHints begins to tell, where the port for datagrams is open.
+// startHints starts sending hints if the datagram port is open.
 func (g *Gateway) startHints(ctx context.Context) {
 	g.hints = &hints{gateway: g, self: uint32(xxh3.HashString(g.settings.Node)), refilledAt: time.Now()} //nolint:gosec // the low half of a hash
 	if g.datagrams.conn != nil {
@@ -64,7 +66,7 @@
 	}
 }
 
-// setTargets tells where the other entries are.
+// setTargets sets the control addresses of the other entries.
 func (h *hints) setTargets(addresses []string) {
 	targets := h.gateway.datagrams.addressesOf(addresses)
 	h.mu.Lock()
@@ -95,11 +97,11 @@
 	h.sendAll(now, message, targets, prefixBudgetShare*full)
 }
 
-// buildMessage is what there is to tell; nil when nothing.
+// buildMessage returns the hints to send, or nil if there are none.
 func (h *hints) buildMessage(loadsDue, memoryDue bool) *jayv1.Hints {
 	s := h.gateway.state
 	s.mu.Lock()
-	news, placed, saved := s.router.News(), s.router.Placed(), s.router.Saved()
+	prefixes, placed, saved := s.router.News(), s.router.Placed(), s.router.Saved()
 	var loads []routing.LoadHint
 	if loadsDue {
 		loads = s.router.Loads()
@@ -113,13 +115,13 @@
 	message := h.postponed
 	h.postponed = nil
 	h.mu.Unlock()
-	if message == nil && len(news) == 0 && len(loads) == 0 && len(memory) == 0 && len(placed) == 0 && len(saved) == 0 {
+	if message == nil && len(prefixes) == 0 && len(loads) == 0 && len(memory) == 0 && len(placed) == 0 && len(saved) == 0 {
 		return nil
 	}
 	if message == nil {
 		message = &jayv1.Hints{Entry: h.self}
 	}
-	for _, n := range news {
+	for _, n := range prefixes {
 		message.Prefix = append(message.Prefix, n.Prefix)
 		message.PrefixServer = append(message.PrefixServer, nameHash(n.Server))
 		message.PrefixReadyMs = append(message.PrefixReadyMs, uint32(n.ReadyIn.Milliseconds())) //nolint:gosec // below a minute
@@ -142,15 +144,15 @@
 	return message
 }
 
-// kilo is the unit in which memory is told.
+// kilo is the number of tokens in a kilotoken, the unit of token counts in hints.
 const kilo = 1000
 
-func kilotokens(tokens int) uint32 { return uint32((tokens + kilo/2) / kilo) } //nolint:gosec // an engine's memory
+func kilotokens(tokens int) uint32 { return uint32((tokens + kilo/2) / kilo) } //nolint:gosec // bounded by an engine's memory
 
 func nameHash(name string) uint32 { return uint32(xxh3.HashString(name)) } //nolint:gosec // the low half of a hash
 
-// sendAll sends the message to every entry, as far as the budget reaches:
-// without loads first, then not at all.
+// sendAll sends the message to all targets if the budget allows. Loads are left out if the
+// message would use the reserve. If the rest still exceeds the budget, it is postponed.
 func (h *hints) sendAll(now time.Time, message *jayv1.Hints, targets []*net.UDPAddr, reserve float64) {
 	size := (proto.Size(message) + datagramOverheadBytes) * len(targets)
 	h.mu.Lock()
@@ -173,8 +175,8 @@
 		h.postpone(message)
 		return
 	}
-	word := &jayv1.Datagram{Body: &jayv1.Datagram_Hints{Hints: message}}
-	h.gateway.datagrams.trySendAll(targets, word)
+	datagram := &jayv1.Datagram{Body: &jayv1.Datagram_Hints{Hints: message}}
+	h.gateway.datagrams.trySendAll(targets, datagram)
 	h.gateway.metrics.Count("hints", "sent", int64(len(targets)))
 }
 
@@ -182,7 +184,7 @@
 	return len(message.GetPrefix())+len(message.GetLoadServer())+len(message.GetMemoryServer())+len(message.GetPlacedServer())+len(message.GetSaved()) > 0
 }
 
-// postpone keeps prefixes until the budget allows to tell them.
+// postpone keeps the prefixes of a message until the budget allows them to be sent.
 func (h *hints) postpone(message *jayv1.Hints) {
 	h.gateway.metrics.Count("hints", "postponed", int64(len(message.GetPrefix())))
 	h.mu.Lock()
@@ -228,7 +230,7 @@
 	s.router.HearLoads(now, message.GetEntry(), loads)
 }
 
-// sameLengths tells whether the lists that belong together are of one length.
+// sameLengths reports whether lists that belong together have the same length.
 func sameLengths(message *jayv1.Hints) bool {
 	placed := len(message.GetPlacedServer())
 	return len(message.GetLoadMs()) == len(message.GetLoadServer()) && len(message.GetMemoryKilotokens()) == len(message.GetMemoryServer()) &&
--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -13,24 +13,24 @@
 	"github.com/jayproxy/jayproxy/internal/upstream"
 )
 
-// What an entry believes of the lifetimes of backend servers: which are listed,
-// which are proven over, and what that makes void.
+// Incarnations of backend servers: which ones are listed, which ones have ended, and which
+// state that invalidates.
 
-// putBackend takes in an entry of the list of backend servers.
+// putBackend applies one registration of a backend server.
 func (s *state) putBackend(now time.Time, b *fleet.Backend) {
 	s.changeBackends(now, []backendChange{{backend: b}})
 }
 
-// backendChange is one entry of the list that changed, or the name of a server
-// whose entry vanished.
+// backendChange is a registration that was added or changed, or the name of a server whose
+// registration was removed.
 type backendChange struct {
 	backend *fleet.Backend
 	removed string
 }
 
-// changeBackends takes in changes of the list. The members are worked out once for
-// all: after each of 3,000 entries that an entry reads at its start it took seven
-// seconds of a core, in which it served nobody.
+// changeBackends applies changes of the list. It updates the members once for all changes:
+// an update for each of thousands of servers would take seconds of CPU time at the start,
+// while the entry serves no requests.
 func (s *state) changeBackends(now time.Time, changes []backendChange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +64,8 @@
 	}
 }
 
-// initListedLocked completes an entry that the list has taken.
+// initListedLocked sets the hash of a registration that the list has accepted, and records
+// its weight versions.
 func (s *state) initListedLocked(b *fleet.Backend) {
 	b.Hash = routing.ServerHash(b.ID)
 	for model, version := range b.Versions {
@@ -72,8 +73,8 @@
 	}
 }
 
-// forgetIncarnationLocked forgets a lifetime that is over, and all that was believed of it.
-// What other holders ordered counts for the server under whatever lifetime.
+// forgetIncarnationLocked removes all state of an incarnation that has ended, except load
+// orders of other holders: they apply to the server under any incarnation.
 func (s *state) forgetIncarnationLocked(now time.Time, b *fleet.Backend, source string) {
 	klog.InfoS("Backend server gone", "server", b.ID, "source", source)
 	if b.Draining {
@@ -95,8 +96,8 @@
 	s.membersStale = true
 }
 
-// reportIsCurrent tells whether a report is about the lifetime that was asked. One
-// that was born later shows that the server started again.
+// reportIsCurrent reports whether a report comes from the incarnation that was asked. A
+// report with a later start time shows that the server has restarted.
 func (s *state) reportIsCurrent(now time.Time, id string, report *call.Report) bool {
 	s.mu.Lock()
 	b := s.list.Get(id)
@@ -112,15 +113,15 @@
 	return false
 }
 
-// recordRestart takes in that a server says of itself that it was born later than
-// the lifetime that is listed: the list shows it with its next heartbeat.
+// recordRestart lists a server as the later incarnation that it reported. Its own
+// registration follows with its next heartbeat.
 func (s *state) recordRestart(now time.Time, listed *fleet.Backend, report *call.Report) {
 	next := *listed
 	next.Born, next.Versions = report.Born, report.Versions
 	s.putBackend(now, &next)
 }
 
-// incarnationEnded takes in the proof that a lifetime of a backend server is over.
+// incarnationEnded records proof that an incarnation of a backend server has ended.
 func (s *state) incarnationEnded(now time.Time, id, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,8 +137,8 @@
 	s.cacheClearedLocked(id)
 }
 
-// reportFailed takes in that a server did not tell its state. Servers that were
-// gone held places among those that load at once until the list showed it.
+// reportFailed records that a server did not report its state. A server that is gone must
+// not count among those that are loading weights until the list shows its end.
 func (s *state) reportFailed(now time.Time, id string, err error) {
 	if errors.Is(err, call.ErrOtherInstance) {
 		s.incarnationEnded(now, id, "report")
@@ -148,7 +149,7 @@
 	}
 }
 
-// refreshMembersLocked tells membership who is listed, where that changed.
+// refreshMembersLocked passes the listed servers to members if the list has changed.
 func (s *state) refreshMembersLocked(now time.Time) {
 	if !s.membersStale {
 		return
@@ -161,7 +162,7 @@
 	s.members.SetServers(now, servers)
 }
 
-// sendFailed takes in that a request could not be sent, or got no answer.
+// sendFailed records that a request could not be sent, or got no answer.
 func (s *state) sendFailed(now time.Time, server string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,8 +173,8 @@
 	s.members.Failed(now, server)
 }
 
-// notListeningLocked takes in that nothing listens at a server's address. At one
-// that is leaving that is the planned end.
+// notListeningLocked records that nothing listens at a server's address. For a draining
+// server that is the planned end, not a crash.
 func (s *state) notListeningLocked(now time.Time, server string) {
 	s.members.NotListening(now, server)
 	if b := s.list.Get(server); b != nil && !b.Draining {
--- a/internal/gateway/lifetimes_test.go
+++ b/internal/gateway/lifetimes_test.go
@@ -10,9 +10,8 @@
 	"github.com/jayproxy/jayproxy/internal/fleet"
 )
 
-// An entry of a fleet with 3,000 backend servers started, and served nobody for
-// half a minute: with each entry of the list it worked the members out anew, and
-// its VM has a third of a core. A router that restarts serves at once.
+// Guards against an entry that serves no requests for seconds after its start, because it
+// updates the members once for each of thousands of servers.
 func TestChangeBackendsHandlesLongList(t *testing.T) {
 	s := newRestartSite()
 	var changes []backendChange
@@ -25,7 +24,7 @@
 	begun := time.Now()
 	s.changeBackends(begun, changes)
 	assert.Less(t, time.Since(begun), time.Second)
-	assert.True(t, s.members.Usable("e7@1"), "membership knows them")
+	assert.True(t, s.members.Usable("e7@1"), "the members were updated")
 	s.changeBackends(begun, []backendChange{{removed: "e7"}})
 	assert.Nil(t, s.list.Get("e7@1"))
 }
--- a/internal/gateway/owning.go
+++ b/internal/gateway/owning.go
@@ -15,17 +15,17 @@
 	"github.com/jayproxy/jayproxy/internal/shard"
 )
 
-// What an entry does as the owner of shards: it chooses among their servers for
-// all entries, and hears from them how that went.
+// An entry that owns shards places requests of all entries on the servers of these shards,
+// and receives reports on their progress.
 
-// setOwners takes in the entries that may own shards.
+// setOwners sets the entries that may own shards.
 func (s *state) setOwners(entries []shard.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.shards.SetEntries(entries)
 }
 
-// divisionLocked of a service's servers among their owners.
+// divisionLocked returns the assignment of a service's servers to owners.
 func (s *state) divisionLocked(now time.Time, service string) *shard.Division {
 	return s.shards.Division(now, service, s.list.Generation(), func() []uint64 {
 		servers := s.list.Of(service)
@@ -37,7 +37,7 @@
 	})
 }
 
-// owners of all shards of services that new weights may come to.
+// owners returns the owners of all shards of services that run models.
 func (s *state) owners(now time.Time) []shard.Entry {
 	table := s.table.Load()
 	if table == nil {
@@ -59,19 +59,19 @@
 	return owners
 }
 
-// offer chooses a server of our shards for another entry's request, or ours, and
-// counts the request there.
+// offer chooses a server in this entry's shards for a request of any entry, and counts the
+// request there.
 func (s *state) offer(now time.Time, ask *jayv1.PlacementAsk) *jayv1.PlacementOffer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	none := &jayv1.PlacementOffer{Key: ask.GetKey(), Outcome: jayv1.PlacementOffer_OUTCOME_NO_SERVER}
+	noOffer := &jayv1.PlacementOffer{Key: ask.GetKey(), Outcome: jayv1.PlacementOffer_OUTCOME_NO_SERVER}
 	table := s.table.Load()
 	if table == nil || len(ask.GetPart()) != len(ask.GetPartTokens()) {
-		return none
+		return noOffer
 	}
 	service := table.Services[ask.GetService()]
 	if service == nil {
-		return none
+		return noOffer
 	}
 	division := s.divisionLocked(now, service.Name)
 	s.shardRouter.SetSavers(len(division.Owners))
@@ -83,16 +83,16 @@
 	choice, err := s.shardRouter.Choose(now, &request, servers, s.idsByHashLocked(ask.GetTried()))
 	switch {
 	case errors.Is(err, routing.ErrNoRoom):
-		none.Outcome = jayv1.PlacementOffer_OUTCOME_NO_ROOM
-		return none
+		noOffer.Outcome = jayv1.PlacementOffer_OUTCOME_NO_ROOM
+		return noOffer
 	case err != nil:
-		return none
+		return noOffer
 	}
 	klog.V(1).InfoS("Offered", "key", request.ID, "server", choice.Server.ID, "servers", len(servers), "totalMS", int(choice.Terms.Total()))
 	return newOffer(ask.GetKey(), &choice)
 }
 
-// routingRequestLocked is the request of a question as the router sees it.
+// routingRequestLocked converts an ask to a request for the router.
 func (s *state) routingRequestLocked(now time.Time, table *routetable.Table, service *routetable.Service, ask *jayv1.PlacementAsk) routing.DirectRequest {
 	request := routing.DirectRequest{
 		ID: placementID(ask.GetKey()), DataCentre: ask.GetDataCentre(), MayWait: ask.GetMayWait(),
@@ -113,7 +113,8 @@
 	return request
 }
 
-// holdingLocked names the server of a word on a prefix's holder.
+// holdingLocked converts a message that a server holds a prefix, and looks up the server's
+// ID by its address.
 func (s *state) holdingLocked(service string, held *jayv1.Held) routing.Holding {
 	holding := routing.Holding{
 		Server: held.GetAddress(), Address: held.GetAddress(), Version: held.GetVersion(),
@@ -136,37 +137,36 @@
 
 const percent = 100
 
-// placementID names a request that was asked for under a key.
+// placementID returns the request ID that a router uses for the key of an ask.
 func placementID(key uint64) string { return strconv.FormatUint(key, 36) }
 
-// idsByHashLocked are the listed servers of some hashes.
+// idsByHashLocked returns the IDs of the listed servers with the given name hashes.
 func (s *state) idsByHashLocked(hashes []uint32) []string {
-	var names []string
+	var ids []string
 	byHash := s.list.ByHash(nameHash)
 	for _, hash := range hashes {
 		if b := byHash[hash]; b != nil {
-			names = append(names, b.ID)
+			ids = append(ids, b.ID)
 		}
 	}
-	return names
+	return ids
 }
 
 func newOffer(key uint64, choice *routing.DirectChoice) *jayv1.PlacementOffer {
 	return &jayv1.PlacementOffer{
 		Key: key, Outcome: jayv1.PlacementOffer_OUTCOME_SERVER,
 		Server: nameHash(choice.Server.ID), Version: choice.Server.Version,
-		FetchFrom: choice.FetchFrom, SaveTo: choice.SaveTo, Source: uint32(choice.Source), //nolint:gosec // few
+		FetchFrom: choice.FetchFrom, SaveTo: choice.SaveTo, Source: uint32(choice.Source), //nolint:gosec // a small enumeration
 		QueueMs: clampMS(choice.Terms.QueueMS), MemoryMs: clampMS(choice.Terms.MemoryMS),
 		ReadMs: clampMS(choice.Terms.ReadMS), TotalMs: clampMS(choice.Terms.Total()),
 	}
 }
 
-// clampMS bounds a time that goes into a datagram.
+// clampMS limits a time in milliseconds to the range from 0 to one hour.
 func clampMS(ms float64) uint32 { return uint32(min(max(ms, 0), float64(time.Hour/time.Millisecond))) }
 
-// applyProgress takes in how an offered request goes on. Evidence on its server comes
-// from all entries, so that a server which is gone is known with the first
-// request that finds it so.
+// applyProgress records how an offered request went on. Reports on a server come from all
+// entries, so the first request that finds a server gone is enough to exclude it.
 func (s *state) applyProgress(now time.Time, p *jayv1.PlacementProgress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,8 +179,8 @@
 		s.shardRouter.FirstToken(now, request)
 	}
 	if p.GetHasLoad() {
-		// What is in it beyond the requests that we placed came from entries that
-		// could not ask us.
+		// Load beyond the requests placed here comes from entries that could not ask this
+		// owner.
 		s.shardRouter.Told(now, server, call.Load{Running: int(p.GetRunning()), Waiting: int(p.GetWaiting())})
 	}
 	if held := p.GetElsewhere(); held != nil {
@@ -193,8 +193,8 @@
 	}
 }
 
-// pauseServerLocked leaves a server that refused alone for a while: most likely it takes
-// the next weights.
+// pauseServerLocked keeps requests from a server that refused one: most likely it is about
+// to load the next weights.
 func (s *state) pauseServerLocked(now time.Time, server string) {
 	next := uint64(0)
 	for key, version := range s.versions {
@@ -205,16 +205,16 @@
 	s.switches[server] = weightSwitch{version: next, until: now.Add(refusedRest)}
 }
 
-// evidence is what an entry saw of the server that a request was sent to.
+// evidence is what an entry observed of the server that a request was sent to.
 type evidence struct {
 	failed, notListening, otherIncarnation, refused bool
-	// version of the model that the server has, where it differs from what was
-	// believed; 0: nothing was seen.
+	// model and version are the weights that the server has, if they differ from the
+	// assumed ones. version is 0 if none were reported.
 	model   string
 	version uint64
 }
 
-// endedProgress is the word to the owner that the request ended.
+// endedProgress builds the message to the owner that the request ended.
 func (e *evidence) endedProgress(ran bool) *jayv1.PlacementProgress {
 	return &jayv1.PlacementProgress{
 		Ended: true, Ran: ran, Failed: e.failed, NotListening: e.notListening, OtherLifetime: e.otherIncarnation,
@@ -222,7 +222,7 @@
 	}
 }
 
-// applyEvidenceLocked takes in what an entry saw of a server.
+// applyEvidenceLocked records what an entry observed of a server.
 func (s *state) applyEvidenceLocked(now time.Time, server string, p *jayv1.PlacementProgress) {
 	if p.GetVersion() > 0 {
 		s.observeVersionLocked(server, p.GetModel(), p.GetVersion(), "entry")
--- a/internal/gateway/owning_test.go
+++ b/internal/gateway/owning_test.go
@@ -20,7 +20,7 @@
 
 var ownerTestStart = time.Unix(1000, 0)
 
-// newOwner is an entry that owns its part of 32 engines beside three others.
+// newOwner returns an entry that owns a part of 32 engines together with three others.
 func newOwner(node string) *state {
 	s := newState(Settings{Node: node, DataCentre: "a", LeaseTime: 3 * time.Second, VersionBound: 10 * time.Second}, func(string) {})
 	engines := &routetable.Service{Name: "engines", Engine: &routetable.Engine{Slots: 8, KVCapacityTokens: 100000}}
@@ -55,8 +55,8 @@
 	return b.ID
 }
 
-// Two entries asked for the same prefix at the same moment. Each chose by itself
-// before, and the prefix was read at two engines.
+// Guards against the prefill of one prefix on two engines when two entries ask for it at
+// the same moment.
 func TestOwnerPlacesSamePrefixOnSameServer(t *testing.T) {
 	s := newOwner("gw1")
 	first, second := s.offer(ownerTestStart, newAsk(1, "aa")), s.offer(ownerTestStart, newAsk(2, "aa"))
@@ -64,8 +64,7 @@
 	assert.Equal(t, first.GetServer(), second.GetServer())
 }
 
-// The owner's servers are its own part of the list, and those that were tried
-// are left out.
+// An owner must offer every server of its own shards, and none that were tried already.
 func TestOwnerOffersOnlyItsServers(t *testing.T) {
 	s := newOwner("gw1")
 	own := map[string]bool{}
@@ -90,11 +89,10 @@
 			count++
 		}
 	}
-	assert.Len(t, tried, count, "each is offered before there is none")
+	assert.Len(t, tried, count, "every owned server is offered once")
 }
 
-// An engine crashed. Each of a hundred entries found that out by itself, with
-// requests of its own, until the list showed it some seconds later.
+// Guards against every entry having to find a crashed engine with a request of its own.
 func TestOwnerAppliesEvidenceFromOtherEntries(t *testing.T) {
 	s := newOwner("gw1")
 	offer := s.offer(ownerTestStart, newAsk(1, "aa"))
@@ -102,20 +100,20 @@
 	assert.NotEqual(t, offer.GetServer(), s.offer(ownerTestStart, newAsk(2, "aa")).GetServer())
 }
 
-// A word that a request ended was lost, or its entry died. The owner must not
-// count the request at the server for ever.
+// Guards against a request being counted for good when the message of its end is lost, or
+// its entry crashed.
 func TestOwnerForgetsRequestWithoutEndReport(t *testing.T) {
 	s := newOwner("gw1")
 	server := serverByHash(s, s.offer(ownerTestStart, newAsk(1, "aa")).GetServer())
 	require.Equal(t, 1, s.shardRouter.Running(server))
 	s.tick(ownerTestStart.Add(9 * time.Second))
-	assert.Equal(t, 1, s.shardRouter.Running(server), "it may still run")
+	assert.Equal(t, 1, s.shardRouter.Running(server), "the request may still be running")
 	s.tick(ownerTestStart.Add(11 * time.Second))
 	assert.Zero(t, s.shardRouter.Running(server))
 }
 
-// A request went to another owner's engine, as the first owner's were busy. The
-// next one with its prefix is to fetch it there rather than read it once more.
+// After a request went to another owner's engine, the next one with the same prefix must
+// fetch the prefix from there instead of repeating its prefill.
 func TestOwnerOffersFetchFromOtherOwnersServer(t *testing.T) {
 	s := newOwner("gw1")
 	first := s.offer(ownerTestStart, newAsk(1, "aa"))
@@ -131,7 +129,7 @@
 	assert.Less(t, next.GetReadMs(), first.GetReadMs())
 }
 
-// datagramPair are two entries with open ports.
+// datagramPair returns two entries with open datagram ports.
 func datagramPair(t *testing.T) (one, other *Gateway) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -149,8 +147,8 @@
 	return one, open("gw2", net.JoinHostPort("127.0.0.2", port))
 }
 
-// A question goes to another process and back; a word on it later reaches the
-// same request there.
+// An ask, its offer and the report of the request's end must reach the right process and
+// request.
 func TestAskAndOfferByDatagram(t *testing.T) {
 	one, other := datagramPair(t)
 	owner := shard.Entry{Name: "gw2", Address: "127.0.0.2:1"}
@@ -167,8 +165,8 @@
 	assert.Eventually(t, func() bool { return running() == 0 }, time.Second, time.Millisecond)
 }
 
-// An owner answered when the entry that asked had gone on alone. The owner must
-// hear that its offer is not used: it would count a request that never comes.
+// Guards against counting a request that never arrives: an offer received after the
+// timeout must be returned to its owner.
 func TestLateOfferIsReturned(t *testing.T) {
 	one, other := datagramPair(t)
 	offer := other.state.offer(time.Now(), newAsk(9, "aa"))
@@ -182,30 +180,30 @@
 	}, time.Second, time.Millisecond)
 }
 
-// A request asks an owner that is gone. It must wait for some milliseconds only,
-// and the owner is passed over from then on.
+// An owner that does not answer must cost a request no more than the timeout, and must be
+// excluded afterwards.
 func TestUnresponsiveOwnerIsExcluded(t *testing.T) {
 	one, _ := datagramPair(t)
-	gone := shard.Entry{Name: "gw3", Address: "127.0.0.9:1"}
+	unresponsive := shard.Entry{Name: "gw3", Address: "127.0.0.9:1"}
 	begun := time.Now()
-	assert.Nil(t, one.placing.ask(context.Background(), gone, newAsk(1, "aa")))
+	assert.Nil(t, one.placing.ask(context.Background(), unresponsive, newAsk(1, "aa")))
 	assert.Less(t, time.Since(begun), 10*askTime)
 	time.Sleep(askTime)
-	assert.Nil(t, one.placing.ask(context.Background(), gone, newAsk(2, "aa")))
+	assert.Nil(t, one.placing.ask(context.Background(), unresponsive, newAsk(2, "aa")))
 	one.state.mu.Lock()
 	defer one.state.mu.Unlock()
 	for _, owner := range one.state.divisionLocked(time.Now(), "engines").Owners {
-		assert.NotEqual(t, gone.Name, owner.Name)
+		assert.NotEqual(t, unresponsive.Name, owner.Name)
 	}
 }
 
-// A rollout's news came to the owners by datagram, one of which was lost.
+// Switch updates must survive encoding into datagrams, and be split over several of them.
 func TestSwitchUpdatesByDatagram(t *testing.T) {
 	s := newOwner("gw1")
 	b := s.list.Of("engines")[3]
-	news := []switchUpdate{{Server: b.ID, Model: "m", Version: 2, ForMS: 1500, Ordered: true}}
-	words := switchDatagrams(news)
-	require.Len(t, words, 1)
-	assert.Equal(t, news, s.switchUpdatesOf(words[0].GetSwitches()))
+	updates := []switchUpdate{{Server: b.ID, Model: "m", Version: 2, ForMS: 1500, Ordered: true}}
+	datagrams := switchDatagrams(updates)
+	require.Len(t, datagrams, 1)
+	assert.Equal(t, updates, s.switchUpdatesOf(datagrams[0].GetSwitches()))
 	assert.Len(t, switchDatagrams(make([]switchUpdate, 2*switchesPerDatagram+1)), 3)
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -23,14 +23,15 @@
 )
 
 const (
-	// entryPrefix of the rows in which entries write their addresses.
+	// entryPrefix is the key prefix of the rows in which entries write their addresses.
 	entryPrefix = "entries/"
 	// peerTimeout bounds a call to another entry.
 	peerTimeout = 700 * time.Millisecond
-	// maxPullAttempts of one pull.
+	// maxPullAttempts bounds the entries tried by one pull.
 	maxPullAttempts      = 2
 	maxPeerResponseBytes = 8 << 20
-	// weightHistoryAttempts to learn the ages of weights, weightPause apart.
+	// weightHistoryAttempts bounds the attempts to get the ages of weights from another
+	// entry, weightHistoryPause precedes each.
 	weightHistoryAttempts = 10
 	weightHistoryPause    = 150 * time.Millisecond
 	registerRetryPause    = time.Second
@@ -40,21 +41,23 @@
 type entryRow struct {
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
-	// Cores that the entry's VM gives it.
+	// Cores is the number of CPU cores that the VM gives the entry.
 	Cores float64 `json:"cores,omitempty"`
 }
 
-// peers are the other entries, by their own rows and the seeds.
+// peers are the other entries, known from their rows and from the configured seeds.
 type peers struct {
+	// self is this entry's control address.
 	self string
 	http *http.Client
 
 	mu    sync.Mutex
 	seeds []string
 	rows  map[string]entryRow
-	// node and dataCentre of this entry.
+	// node and dataCentre are those of this entry.
 	node, dataCentre string
-	// skipUntil is until when an entry that did not answer is passed over.
+	// skipUntil is the time until which an entry that did not answer is not used as a
+	// relay, by address.
 	skipUntil map[string]time.Time
 }
 
@@ -72,7 +75,7 @@
 	}
 }
 
-// addresses addresses of other entries, each once.
+// addresses returns the control addresses of all other entries, each once.
 func (p *peers) addresses() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,32 +102,32 @@
 	p.seeds = seeds
 }
 
-// count of entries by their rows, this one included.
+// count returns the number of entries with a row, at least 1.
 func (p *peers) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(1, len(p.rows))
 }
 
-// unresponsiveSkipTime is how long an entry that did not answer as a relay is passed over.
-// The row of an entry that is lost for good stays; asked first each time, it
-// would hold up every read of the list by a time-out.
+// unresponsiveSkipTime is how long an entry that did not answer is not used as a relay.
+// The row of an entry that crashed remains; trying it first each time would delay every
+// read of the list by a timeout.
 const unresponsiveSkipTime = 5 * time.Second
 
-// markUnresponsive passes an entry over for a while.
+// markUnresponsive excludes an entry from the relays for unresponsiveSkipTime.
 func (p *peers) markUnresponsive(now time.Time, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.skipUntil[address] = now.Add(unresponsiveSkipTime)
 }
 
-// tableResponse is a batch with how long ago the store itself told it.
+// tableResponse is a batch with the time since the store last answered its source.
 type tableResponse struct {
 	mirror.Batch
 	AgeMS int64 `json:"age_ms"`
 }
 
-// table asks one entry for what changed in a table.
+// table reads the changes of a table from one entry.
 func (p *peers) table(ctx context.Context, address, table string, after uint64) (tableResponse, error) {
 	var batch tableResponse
 	path := "/v1/tables/" + url.PathEscape(table) + "?after=" + strconv.FormatUint(after, 10)
@@ -132,11 +135,12 @@
 	return batch, err
 }
 
-// pull asks other entries, in random order, for what changed in a table.
+// pull reads the changes of a table from other entries, in random order. It returns the
+// address of the one that answered.
 func (p *peers) pull(ctx context.Context, table string, after uint64) (mirror.Batch, string, error) {
 	all := p.addresses()
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	err := eris.New("no other entry is known")
+	err := eris.New("no other entry known: no rows and no seeds")
 	for i, address := range all {
 		if i == maxPullAttempts {
 			break
@@ -154,11 +158,11 @@
 	defer cancel()
 	var reader io.Reader
 	if body != nil {
-		text, err := json.Marshal(body)
+		data, err := json.Marshal(body)
 		if err != nil {
 			return err
 		}
-		reader = bytes.NewReader(text)
+		reader = bytes.NewReader(data)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, reader)
 	if err != nil {
@@ -179,7 +183,7 @@
 	return json.NewDecoder(io.LimitReader(response.Body, maxPeerResponseBytes)).Decode(into)
 }
 
-// controlRoutes are what entries ask each other.
+// controlRoutes returns the handler for calls by other entries and by operators.
 func (g *Gateway) controlRoutes() http.Handler {
 	e := echo.New()
 	e.GET("/v1/tables/:table", g.handleTable)
@@ -212,8 +216,8 @@
 	return c.JSON(http.StatusOK, steps)
 }
 
-// fetchWeightHistory asks another entry how long ago versions were named, once after
-// the start.
+// fetchWeightHistory gets from another entry when versions were named, once after the
+// start.
 func (g *Gateway) fetchWeightHistory(ctx context.Context) {
 	for try := 0; try < weightHistoryAttempts && ctx.Err() == nil; try++ {
 		sleep(ctx, weightHistoryPause)
@@ -226,14 +230,14 @@
 				continue
 			}
 			g.state.mergeWeightHistory(time.Now(), steps)
-			klog.InfoS("Ages of weights learned", "entry", address, "models", len(steps))
+			klog.InfoS("Ages of weights received", "entry", address, "models", len(steps))
 			return
 		}
 	}
-	klog.InfoS("No other entry told the ages of weights")
+	klog.InfoS("Ages of weights not received from any other entry")
 }
 
-// register writes this entry's address, until the store has taken it.
+// register writes this entry's row, and retries until the store has accepted it.
 func (g *Gateway) register(ctx context.Context) {
 	value, err := json.Marshal(entryRow{Address: g.settings.ControlAddress, DataCentre: g.settings.DataCentre, Cores: g.settings.Cores})
 	if err != nil {
@@ -259,7 +263,7 @@
 	defer cancel()
 	txn := platform.Txn{Deletes: []string{entryPrefix + g.settings.Node}}
 	if _, err := g.ports.Table.Commit(ctx, txn); err != nil {
-		klog.InfoS("Entry's row not removed; it counts until another removes it", "err", err)
+		klog.InfoS("Entry's row not removed; the entry is counted until the row is removed", "err", err)
 	}
 }
 
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -18,31 +18,31 @@
 	return p
 }
 
-// Each data centre's first entries asked the store, which has a price for each
-// call: with five data centres ten did, and all of them while they started. In a
-// small fleet they do, as one more step would not keep its bounds.
+// The number of entries that read from the store must not grow with the fleet, as each
+// call has a cost. In a small fleet the first entries of each data centre read from it
+// directly, since a second hop would exceed the bound on the age of data.
 func TestFewEntriesReadFromStore(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for entries, want := range map[int]int{40: storeReaders, 20: 2 * relaysPerDataCentre} {
-		asking, steps := 0, map[int]int{}
+		readers, byHops := 0, map[int]int{}
 		for i := range entries {
 			p := newTestPeers(fmt.Sprint("gw", i), entries)
 			p.dataCentre = p.rows[p.node].DataCentre
-			relays, between := p.relays(now)
+			relays, hops := p.relays(now)
 			if len(relays) == 0 {
-				asking++
+				readers++
 				continue
 			}
-			steps[between]++
+			byHops[hops]++
 		}
-		assert.Equal(t, want, asking, "%d entries", entries)
-		assert.Equal(t, entries, asking+steps[0]+steps[1], "everybody reads from somebody")
-		assert.Equal(t, entries > maxUnshardedEntries, steps[1] > 0)
+		assert.Equal(t, want, readers, "%d entries", entries)
+		assert.Equal(t, entries, readers+byHops[0]+byHops[1], "every entry reads from the store or from a relay")
+		assert.Equal(t, entries > maxUnshardedEntries, byHops[1] > 0)
 	}
 }
 
-// What the others read from the strongest entries takes a weak one from its
-// callers: one of 0.144 cores served the list to twenty others.
+// Relays must be the entries with the most CPU cores, since serving the list to others
+// takes CPU time from a weak entry's callers.
 func TestRelaysAreStrongestEntries(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := newTestPeers("gw9", 40)
@@ -52,7 +52,7 @@
 		row.Cores = 0.8
 		p.rows[strong] = row
 	}
-	assert.ElementsMatch(t, []string{p.rows["gw3"].Address, p.rows["gw5"].Address}, relaysOf(p, now), "those of its data centre")
+	assert.ElementsMatch(t, []string{p.rows["gw3"].Address, p.rows["gw5"].Address}, relaysOf(p, now), "the entries with the most cores in its data centre")
 	p.node = "gw6"
 	assert.Nil(t, relaysOf(p, now))
 }
@@ -61,8 +61,8 @@
 	assert.Nil(t, relaysOf(newTestPeers("new", 20), time.Unix(1000, 0)))
 }
 
-// The list of servers is read a second late, each time. An entry was lost for
-// good, its row stayed, and the others of its data centre went on to ask it first.
+// Guards against a delay at every read of the list, when the relay that is asked first has
+// crashed and its row remains.
 func TestUnresponsiveRelayIsSkipped(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for i := 0; i < 20; i += 2 {
@@ -73,12 +73,12 @@
 		}
 		p.markUnresponsive(now, relays[0])
 		assert.NotContains(t, relaysOf(p, now), relays[0])
-		assert.Equal(t, relays, relaysOf(p, now.Add(unresponsiveSkipTime)), "asked again later")
+		assert.Equal(t, relays, relaysOf(p, now.Add(unresponsiveSkipTime)), "used again after unresponsiveSkipTime")
 	}
 }
 
-// Every entry of a large fleet looked at the lease while new weights went round
-// as they should, which takes longer there than the age at which others help.
+// Guards against all entries of a large fleet contending for the lease while its holder
+// rolls out new weights, which may take longer than contendAfter.
 func TestOthersContendOnlyWithoutActiveHolder(t *testing.T) {
 	settings := Settings{Node: "gw9", DataCentre: "a"}
 	g := &Gateway{settings: settings, state: newState(settings, func(string) {}), peers: newTestPeers("gw9", 20)}
@@ -86,11 +86,11 @@
 	g.state.nameVersion(now.Add(-time.Minute), weights.Named{Model: "m", Version: 1}, "test")
 	g.state.nameVersion(now.Add(-2*contendAfter), weights.Named{Model: "m", Version: 2}, "test")
 	g.state.versions[versionKey{"s1", "m"}] = 1
-	assert.True(t, g.contends(), "nobody was heard")
+	assert.True(t, g.contends(), "no other holder was seen")
 	g.state.recordHolderActivity(now)
-	assert.False(t, g.contends(), "another is at work")
+	assert.False(t, g.contends(), "another holder is active")
 	g.state.recordHolderActivity(now.Add(-2 * holderTimeout))
-	assert.True(t, g.contends(), "it has gone silent")
+	assert.True(t, g.contends(), "the other holder is no longer active")
 }
 
 func relaysOf(p *peers, now time.Time) []string {
--- a/internal/gateway/ranks.go
+++ b/internal/gateway/ranks.go
@@ -10,27 +10,27 @@
 	"github.com/jayproxy/jayproxy/internal/shard"
 )
 
-// Who does what for others, by the rows of all entries: entries with the same rows
-// find the same ones, so that nothing is agreed on or kept.
+// The roles of entries follow from the rows of all entries. Entries that see the same rows
+// derive the same roles, so nothing needs to be agreed on or stored.
 
 const (
-	// storeReaders of all entries ask the store itself: each of its calls has a
-	// price. One of them may be cut off and another stop at the same time.
+	// storeReaders is the number of entries that read from the store in a large fleet; each
+	// call has a cost. One of them may be cut off while another one stops.
 	storeReaders = 3
-	// relaysPerDataCentre entries read from those for the others there: a word to a
-	// data centre crosses to it that often.
+	// relaysPerDataCentre is the number of entries in each data centre that the others
+	// there read from. It is also how often each change is sent to a data centre.
 	relaysPerDataCentre = 2
 )
 
-// rankedEntry is a place among the entries.
+// rankedEntry is an entry with the values that determine its rank.
 type rankedEntry struct {
 	node, address string
 	cores         float64
 	hash          uint64
 }
 
-// compare puts the strongest VMs first: what the first of them do for all others
-// takes a weak one from its callers.
+// compare ranks entries with more CPU cores first, as work for other entries takes CPU
+// time from a weak VM's callers.
 func (r rankedEntry) compare(other rankedEntry) int {
 	if order := cmp.Compare(other.cores, r.cores); order != 0 {
 		return order
@@ -38,13 +38,14 @@
 	return cmp.Compare(r.hash, other.hash)
 }
 
-// ranking are this entry, where its row was seen, and those others that keep says.
-func (p *peers) ranking(keep func(entryRow) bool) []rankedEntry {
+// ranking returns this entry, if its row was seen, and the other entries that include
+// accepts, in order of rank.
+func (p *peers) ranking(include func(entryRow) bool) []rankedEntry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var all []rankedEntry
 	for node, entry := range p.rows {
-		if node == p.node || keep(entry) {
+		if node == p.node || include(entry) {
 			all = append(all, rankedEntry{node: node, address: entry.Address, cores: entry.Cores, hash: xxh3.HashString(node)})
 		}
 	}
@@ -52,10 +53,10 @@
 	return all
 }
 
-// rank of this entry among those that keep says, and the addresses of those before
-// it; -1 when its own row was not seen.
-func (p *peers) rank(keep func(entryRow) bool) (rank int, before []string) {
-	for i, entry := range p.ranking(keep) {
+// rank returns this entry's rank among the entries that include accepts, and the addresses
+// of those before it. The rank is -1 if this entry's own row was not seen.
+func (p *peers) rank(include func(entryRow) bool) (rank int, before []string) {
+	for i, entry := range p.ranking(include) {
 		if entry.node == p.node {
 			return i, before
 		}
@@ -64,24 +65,24 @@
 	return -1, nil
 }
 
-// everyEntry keeps all of them.
+// everyEntry accepts all entries.
 func everyEntry(entryRow) bool { return true }
 
-// relays are the entries that this one reads the store's tables from, and how many
-// there are between those and the store; none when it asks the store itself. In
-// large fleets the first few ask the store, the first of each data centre ask those,
-// and the others ask the first of theirs. In small ones the first of each data
-// centre ask the store: that is few calls, and a bound of two seconds is kept with
-// no second step between.
-func (p *peers) relays(now time.Time) (relays []string, between int) {
+// relays returns the entries from which this one reads the store's tables, and the number
+// of entries between those and the store. It returns none if this entry reads from the store
+// itself. In large fleets the first few entries read from the store, the first of each
+// data centre read from these, and the others from the first of their data centre. In
+// small fleets the first of each data centre read from the store: that takes few calls,
+// and a second hop would exceed the bound of two seconds on the age of the data.
+func (p *peers) relays(now time.Time) (relays []string, hops int) {
 	answers := func(e entryRow) bool { return !now.Before(p.skipUntil[e.Address]) }
 	rank, before := p.rank(func(e entryRow) bool { return e.DataCentre == p.dataCentre && answers(e) })
 	large := p.count() > maxUnshardedEntries
 	if rank >= relaysPerDataCentre {
 		if large {
-			between = 1
+			hops = 1
 		}
-		return before[:relaysPerDataCentre], between
+		return before[:relaysPerDataCentre], hops
 	}
 	rank, before = p.rank(answers)
 	if large && rank >= storeReaders {
@@ -90,7 +91,7 @@
 	return nil, 0
 }
 
-// ownRowSeen tells whether this entry's own row was seen.
+// ownRowSeen reports whether this entry's own row was seen.
 func (p *peers) ownRowSeen() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,8 +99,8 @@
 	return ok
 }
 
-// nextHolders are the addresses of the entries that try for the lease of orders
-// first, this one left out.
+// nextHolders returns the addresses of the entries that contend first for the rollout
+// lease, without this one.
 func (p *peers) nextHolders() []string {
 	first := p.ranking(everyEntry)
 	var addresses []string
@@ -111,7 +112,7 @@
 	return addresses
 }
 
-// shardEntries are all entries, as those that may own shards.
+// shardEntries returns all entries as candidates for owning shards.
 func (p *peers) shardEntries() []shard.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,10 +123,10 @@
 	return entries
 }
 
-// strongCount counts the entries that do work for others.
+// strongCount returns the number of entries that do work for others, at least 1.
 func (p *peers) strongCount() int { return max(1, len(shard.Strong(p.shardEntries()))) }
 
-// isStrong tells whether this entry is one of them.
+// isStrong reports whether this entry does work for others.
 func (p *peers) isStrong() bool {
 	return slices.ContainsFunc(shard.Strong(p.shardEntries()), func(e shard.Entry) bool { return e.Name == p.node })
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -16,38 +16,41 @@
 )
 
 const (
-	// rolloutLease names the lease of the entry that gives orders.
+	// rolloutLease is the name of the lease that entitles an entry to send load orders.
 	rolloutLease = "rollout"
-	// rolloutInterval between two looks at what is to be done.
+	// rolloutInterval is the time between two checks for work.
 	rolloutInterval = 50 * time.Millisecond
-	// announceDuration is how long an announced server is left alone without
-	// further word: a holder that dies must not keep it idle.
+	// announceDuration is how long an announced server gets no requests if no further
+	// update follows: a holder that crashes must not keep it idle.
 	announceDuration = 1500 * time.Millisecond
-	// orderDuration is the same for a server that was ordered.
+	// orderDuration is the same for a server that was sent a load order.
 	orderDuration = 2500 * time.Millisecond
-	// ordinaryContenders for the lease in ordinary times.
+	// ordinaryContenders is the number of entries that always contend for the lease.
 	ordinaryContenders = 2
-	// contendAfter is the age of replaced weights from which any entry contends.
+	// contendAfter is the age of replaced weights from which any entry contends for the
+	// lease.
 	contendAfter = 4 * time.Second
-	// holderTimeout is how long the last news of a holder shows that there is one. It
-	// announces and orders servers several times a second while there is work.
+	// holderTimeout is the time without an update after which the holder counts as
+	// inactive. While there is work, it sends several updates a second.
 	holderTimeout = 2 * time.Second
 	// engineCallTimeout bounds a report or an order.
 	engineCallTimeout = 800 * time.Millisecond
-	// leaseMarginShare of the lease's time the holder stops to act before its end.
+	// leaseMarginShare is how long before the end of its lease the holder stops acting,
+	// leaseRenewShare how often the lease is renewed and watched, as shares of
+	// Settings.LeaseTime.
 	leaseMarginShare = 0.25
 	leaseRenewShare  = 0.3
 )
 
-// rollouts gives orders while this entry holds the lease.
+// rollouts sends load orders while this entry holds the lease.
 type rollouts struct {
 	gateway *Gateway
 	mu      sync.Mutex
 	plans   map[string]*rollout.Plan
 	fence   uint64
-	// heartbeatAt is when the others were last shown that the holder works.
+	// heartbeatAt is when the last heartbeat was sent to the other entries.
 	heartbeatAt time.Time
-	// startedAt is when this process began to hear what other holders order, heldAt
+	// startedAt is when this process began to receive the orders of other holders, heldAt
 	// when it took the lease.
 	startedAt, heldAt time.Time
 }
@@ -63,11 +66,10 @@
 	g.spawn(func() { g.every(ctx, rolloutInterval, func(now time.Time) { r.tick(ctx, now) }) })
 }
 
-// contends tells whether this entry tries for the lease. The first few of the
-// fleet do; the others only when weights that were replaced some time ago still
-// serve and nobody was heard to change that. With the age alone every entry of
-// a large fleet looked at the lease while new weights went round as they should:
-// 732 of 1,090 calls to the store on a quiet day.
+// contends reports whether this entry contends for the lease. The first few entries always
+// do. The others do only if weights that were replaced some time ago are still in use and
+// no holder is active: a rollout in a large fleet may take longer than contendAfter, and
+// should not make all entries read the lease.
 func (g *Gateway) contends() bool {
 	rank, _ := g.peers.rank(everyEntry)
 	if rank >= 0 && rank < ordinaryContenders {
@@ -85,10 +87,11 @@
 	}
 }
 
-// mayAct tells whether this entry gives orders now. One that started less than
-// a lease ago may not have heard what an earlier holder ordered, and a server
-// must not see two holders by turns: it waits, unless it is the first holder
-// of all. One that is told of no orders waits from when it took the lease. One that heard leaves just those servers alone (state.orderedAt).
+// mayAct reports whether this entry may send orders now. Unless it is the first holder of
+// all, it must have received the orders of earlier holders for the duration of a lease, so
+// that no server gets orders from two holders in turn. An entry that is not sent the
+// orders of others waits that long after taking the lease. Servers that another holder has
+// ordered recently are skipped (state.orderedAt).
 func (r *rollouts) mayAct(now time.Time) bool {
 	fence, held := r.gateway.keeper.Held()
 	r.mu.Lock()
@@ -108,8 +111,8 @@
 	return !r.gateway.keeper.Inherited() || now.Sub(since) >= r.gateway.settings.LeaseTime
 }
 
-// receivesOrders tells whether this entry is told of the orders of other holders: in
-// large fleets the owners of shards are, and those that contend first.
+// receivesOrders reports whether this entry is sent the orders of other holders. In large
+// fleets only the owners of shards and the first contenders are.
 func (g *Gateway) receivesOrders(now time.Time) bool {
 	if !g.sharded() {
 		return true
@@ -130,27 +133,27 @@
 	actions := plan.Tick(now, model.wanted, model.servers)
 	fence := r.fence
 	r.mu.Unlock()
-	var news []switchUpdate
+	var updates []switchUpdate
 	for _, action := range actions {
-		klog.InfoS("Rollout", "model", model.name, "action", action.Kind.String(), "server", action.Server, "version", action.Version, "orders", action.Orders)
+		klog.InfoS("Rollout action", "model", model.name, "action", action.Kind.String(), "server", action.Server, "version", action.Version, "orders", action.Orders)
 		switch action.Kind {
 		case rollout.Announce:
-			news = append(news, switchUpdate{Server: action.Server, Model: model.name, Version: action.Version, ForMS: announceDuration.Milliseconds()})
+			updates = append(updates, switchUpdate{Server: action.Server, Model: model.name, Version: action.Version, ForMS: announceDuration.Milliseconds()})
 		case rollout.Order:
-			news = append(news, switchUpdate{Server: action.Server, Model: model.name, Version: action.Version, ForMS: orderDuration.Milliseconds(), Ordered: true})
+			updates = append(updates, switchUpdate{Server: action.Server, Model: model.name, Version: action.Version, ForMS: orderDuration.Milliseconds(), Ordered: true})
 			go r.order(ctx, plan, model.name, action, fence)
 		case rollout.Look:
 			go r.queryReport(ctx, plan, model.name, action)
 		case rollout.Withdraw:
-			news = append(news, switchUpdate{Server: action.Server, Model: model.name, Withdrawn: true})
+			updates = append(updates, switchUpdate{Server: action.Server, Model: model.name, Withdrawn: true})
 		}
 	}
-	r.gateway.sendSwitchUpdates(ctx, news)
+	r.gateway.sendSwitchUpdates(ctx, updates)
 	r.heartbeat(now, model)
 }
 
-// heartbeat shows the other entries of a large fleet that this one is at work while
-// a server is left that has older weights. They hear of no single server.
+// heartbeat shows the other entries of a large fleet that this holder is active, while any
+// server has older weights. Most of them receive no updates on single servers.
 func (r *rollouts) heartbeat(now time.Time, model rollingModel) {
 	working := slices.ContainsFunc(model.servers, func(s rollout.Server) bool { return s.Version < model.wanted })
 	if !working || !r.gateway.sharded() || now.Sub(r.heartbeatAt) < heartbeatInterval {
@@ -160,20 +163,20 @@
 	r.gateway.sendHeartbeat()
 }
 
-// order gives one order, if the lease is still held.
+// order sends one load order if the lease is still held.
 func (r *rollouts) order(ctx context.Context, plan *rollout.Plan, model string, action rollout.Action, fence uint64) {
 	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	current, held := r.gateway.keeper.Held()
 	if !held || current != fence {
-		klog.InfoS("Order not given: the lease is gone", "server", action.Server, "fence", fence)
+		klog.InfoS("Order not sent: lease no longer held", "server", action.Server, "fence", fence)
 		return
 	}
 	outcome, err := r.gateway.ports.Engines.Order(ctx, call.LoadOrder{
 		Instance: fleet.InstanceOf(action.Server), Address: action.Address, Model: model, Version: action.Version,
 		Mode: call.LoadKeeps, Holder: r.gateway.settings.Node, Fence: fence, Expected: action.Orders,
 	})
-	klog.InfoS("Order given", "server", action.Server, "version", action.Version, "fence", fence, "outcome", outcome.String(), "err", err)
+	klog.InfoS("Order sent", "server", action.Server, "version", action.Version, "fence", fence, "outcome", outcome.String(), "err", err)
 	r.gateway.metrics.Count("orders", outcome.String(), 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -211,7 +214,8 @@
 	}
 }
 
-// rollingModel is a model whose servers do not all have the newest weights.
+// rollingModel is a model with the newest version of its weights and the servers that may
+// be ordered to load it.
 type rollingModel struct {
 	name    string
 	wanted  uint64
@@ -247,15 +251,15 @@
 	return s.versions[versionKey{server, model}]
 }
 
-// needsHolder tells whether old weights serve and nobody changes that.
+// needsHolder reports whether replaced weights are still in use and no holder is active.
 func (s *state) needsHolder(now time.Time) bool {
 	s.mu.Lock()
-	quiet := now.Sub(s.holderSeenAt) > holderTimeout
+	inactive := now.Sub(s.holderSeenAt) > holderTimeout
 	s.mu.Unlock()
-	return quiet && s.oldestAge(now) > contendAfter
+	return inactive && s.oldestAge(now) > contendAfter
 }
 
-// oldestAge is how long ago the oldest weights that still serve were replaced.
+// oldestAge returns the time since the oldest weights still in use were replaced.
 func (s *state) oldestAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -13,9 +13,8 @@
 	"github.com/jayproxy/jayproxy/internal/shard"
 )
 
-// An entry that is told of no orders took the lease when the others had gone
-// silent, and ordered engines that the holder before had ordered a moment ago:
-// each engine saw two holders by turns.
+// Guards against a new holder sending orders to engines that the previous holder has just
+// ordered, because it was not sent these orders.
 func TestReceivesOrders(t *testing.T) {
 	now := time.Now()
 	for node, want := range map[string]bool{"gw39": true, "gw37": true, "owner": true, "gw3": false} {
@@ -33,7 +32,7 @@
 		s.setOwners([]shard.Entry{{Name: "owner", Cores: 1}})
 		assert.Equal(t, want, g.receivesOrders(now), node)
 		g.peers.rows = map[string]entryRow{}
-		assert.True(t, g.receivesOrders(now), "a small fleet tells all")
+		assert.True(t, g.receivesOrders(now), "in a small fleet every entry is sent the orders")
 		cancel()
 	}
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// listGrace is how long an entry of the list may be missing after an outage
-	// of the store: servers that are alive write themselves back within 2 s.
+	// listGrace is how long a registration may be missing from the list of backend servers
+	// after a store outage. Servers that are alive register again within 2 s.
 	listGrace = 2500 * time.Millisecond
-	// versionMargin before the bound from which older weights get no request:
-	// the request is still on its way then.
+	// versionMargin is subtracted from Settings.VersionBound: a request sent shortly
+	// before the bound would reach the server after it.
 	versionMargin = 1500 * time.Millisecond
-	// retryBudgetShare of the allowed second sends that all entries use together:
-	// entries that restart have forgotten what they sent.
+	// retryBudgetShare is the share of the permitted retries that all entries together
+	// use. The rest is kept for entries that restart and lose their counts.
 	retryBudgetShare = 0.7
 )
 
-// state is what an entry believes. Its parts are pure; the lock is held for
-// short steps only, never over I/O.
+// state is this entry's view of the fleet. Its parts do no I/O. mu is held for short
+// computations only, never during I/O.
 type state struct {
 	settings Settings
 	table    atomic.Pointer[routetable.Table]
@@ -40,44 +40,49 @@
 	list    *fleet.List
 	weights *weights.Book
 	members *membership.Members
-	// router places our own requests where no other entry is asked, and counts all
-	// of them; own places those of all entries in the shards that are ours.
+	// router places this entry's requests when no owner is asked, and counts all requests
+	// that this entry sends. shardRouter places requests of all entries on servers in the
+	// shards that this entry owns.
 	router      *routing.Direct
 	shardRouter *routing.Direct
 	shards      *shard.Map
-	versions    map[versionKey]uint64
-	switches    map[string]weightSwitch
-	// orderedAt is when another entry last ordered a server, by the server's own
-	// name: what it did in an earlier lifetime counts too.
+	// versions holds the reported weight versions, switches the changes of weights by
+	// server ID.
+	versions map[versionKey]uint64
+	switches map[string]weightSwitch
+	// orderedAt is when another entry last sent a load order to a server, by instance
+	// name: an order to an earlier incarnation counts too.
 	orderedAt map[string]time.Time
-	// holderSeenAt is when another entry last announced or ordered a server.
+	// holderSeenAt is when another entry was last seen rolling out weights.
 	holderSeenAt time.Time
 	retryBudgets map[string]*retry.Window
 	entryCount   int
-	// waitQueue holds the requests that wait for memory, waiters who asked.
+	// waitQueue holds the requests that wait for engine memory, waiters their jobs by
+	// request ID.
 	waitQueue *waitroom.Room
 	waiters   map[string]*waiter
-	// kvStores of kept cache as the engines storesOf see them.
+	// kvStores are the KV cache stores as seen from engines of type kvStoresEngine.
 	kvStores       []routing.KeptStore
 	kvStoresEngine *routetable.Engine
-	// kvStoresDown holds the addresses of stores that do not answer.
+	// kvStoresDown holds the addresses of the KV cache stores that do not answer.
 	kvStoresDown map[string]bool
-	// scratch of candidatesLocked.
+	// scratch is the buffer behind the results of candidatesLocked and candidatesAtLocked.
 	scratch []routing.DirectServer
-	// membersStale: the list changed since membership was last told.
+	// membersStale is set when the list has changed since members was last updated.
 	membersStale bool
-	// listReady: the list was read at least once.
+	// listReady is set once the list has been read.
 	listReady bool
-	// suspects are requests under which servers crashed.
+	// suspects are the requests under which servers crashed.
 	suspects *suspects
-	// closeIdle closes the kept connections to an address.
+	// closeIdle closes the idle connections to an address.
 	closeIdle func(address string)
 }
 
-// versionKey is a model at one lifetime of a backend server.
+// versionKey identifies a model on one incarnation of a backend server.
 type versionKey struct{ server, model string }
 
-// weightSwitch is a server that is about to take new weights, or does so.
+// weightSwitch is an announced or running change of a server to new weights. It lapses at
+// until.
 type weightSwitch struct {
 	version uint64
 	until   time.Time
@@ -105,7 +110,7 @@
 	}
 }
 
-// adoptTable swaps the configuration for a newer one; it never goes back.
+// adoptTable puts a newer configuration in force. Versions that are not newer are ignored.
 func (s *state) adoptTable(table *routetable.Table, source string) {
 	for {
 		old := s.table.Load()
@@ -119,7 +124,7 @@
 	}
 }
 
-// nameVersion takes in that an operator named new weights.
+// nameVersion records that an operator named a version as the one to serve.
 func (s *state) nameVersion(now time.Time, named weights.Named, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,25 +133,25 @@
 	}
 }
 
-// mergeWeightHistory takes in another entry's history of named versions.
+// mergeWeightHistory adds another entry's record of when versions were named.
 func (s *state) mergeWeightHistory(now time.Time, steps map[string][]weights.Step) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for model, of := range steps {
-		s.weights.Learn(now, model, of)
+	for model, history := range steps {
+		s.weights.Learn(now, model, history)
 	}
 }
 
-// tick lets what is too old lapse.
+// tick removes expired state and applies the resulting changes of the list.
 func (s *state) tick(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	gone, listed := s.list.Tick(now)
 	for _, b := range gone {
-		s.forgetIncarnationLocked(now, b, "missing after outage, or of a later lifetime than its entry tells")
+		s.forgetIncarnationLocked(now, b, "not registered again after a store outage, or replaced by a registration of an earlier incarnation")
 	}
 	for _, b := range listed {
-		klog.InfoS("Entry of an earlier lifetime stands; taken", "server", b.ID, "address", b.Address)
+		klog.InfoS("Registration of an earlier incarnation persists; accepted", "server", b.ID, "address", b.Address)
 		s.initListedLocked(b)
 		s.membersStale = true
 	}
@@ -165,24 +170,24 @@
 	s.shardRouter.Expire(now)
 }
 
-// routers are all that believe something of the servers.
+// routers returns all routers that keep state of the servers.
 func (s *state) routers() [2]*routing.Direct { return [2]*routing.Direct{s.router, s.shardRouter} }
 
-// cacheClearedLocked takes in that a server holds no cached part any more.
+// cacheClearedLocked records that a server's prefix cache is empty.
 func (s *state) cacheClearedLocked(server string) {
 	for _, router := range s.routers() {
 		router.Emptied(server)
 	}
 }
 
-// observeVersionLocked takes in a version that a server has. A lifetime's version
-// only rises, so the highest word is the newest, whatever its way.
+// observeVersionLocked records the weight version of a server. The version of an
+// incarnation only rises, so the highest one reported is the newest, whatever its source.
 func (s *state) observeVersionLocked(server, model string, version uint64, source string) {
 	key := versionKey{server, model}
 	if version <= s.versions[key] {
 		return
 	}
-	klog.V(1).InfoS("Weights of a server", "server", server, "model", model, "version", version, "before", s.versions[key], "source", source)
+	klog.V(1).InfoS("New weight version of a server", "server", server, "model", model, "version", version, "before", s.versions[key], "source", source)
 	if s.versions[key] != 0 {
 		s.cacheClearedLocked(server)
 	}
@@ -192,49 +197,50 @@
 	}
 }
 
-// announceSwitch takes in that a server is about to take new weights.
+// announceSwitch records that a server is about to load new weights.
 func (s *state) announceSwitch(server string, version uint64, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.switches[server] = weightSwitch{version: version, until: until}
 }
 
-// recordOrder takes in that another entry orders a server.
+// recordOrder records that another entry sent a load order to a server.
 func (s *state) recordOrder(now time.Time, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.orderedAt[fleet.InstanceOf(server)] = now
 }
 
-// recordHolderActivity takes in that another entry changes weights.
+// recordHolderActivity records that another entry is rolling out weights.
 func (s *state) recordHolderActivity(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.holderSeenAt = now
 }
 
-// withdrawSwitch takes in that nothing came of it.
+// withdrawSwitch records that an announced change of weights will not take place.
 func (s *state) withdrawSwitch(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.switches, server)
 }
 
-// inferNextVersion takes in that a server has not the weights that it was believed
-// to have, but did not say which. A lifetime's version only rises, so where one
-// newer version is named it has that one; it may be asked again at once. False:
-// it can't be told.
-func (s *state) inferNextVersion(server, model string, believed uint64) bool {
+// inferNextVersion handles a refusal by a server that does not have the assumed weights
+// and does not report which ones it has. The version of an incarnation only rises, so if a
+// single newer version is named, the server must have that one, and the request may be
+// sent to it again at once. It returns false if the version cannot be inferred.
+func (s *state) inferNextVersion(server, model string, assumed uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.weights.Newest(model) != believed+1 {
+	if s.weights.Newest(model) != assumed+1 {
 		return false
 	}
-	s.observeVersionLocked(server, model, believed+1, "refusal")
+	s.observeVersionLocked(server, model, assumed+1, "refusal")
 	return true
 }
 
-// observeVersion takes in a version from an answer, a report or another entry.
+// observeVersion records a weight version from an answer, a report or another entry.
+// Servers that are not listed are ignored.
 func (s *state) observeVersion(server, model string, version uint64, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,8 +249,8 @@
 	}
 }
 
-// candidatesLocked lists the backend servers of a service for a decision. The
-// list is good until the next call.
+// candidatesLocked returns the servers of a service that a request may be sent to. The
+// slice is valid until the next call of candidatesLocked or candidatesAtLocked.
 func (s *state) candidatesLocked(now time.Time, service *routetable.Service, model string) []routing.DirectServer {
 	servers := s.scratch[:0]
 	for _, b := range s.list.Of(service.Name) {
@@ -256,10 +262,11 @@
 	return servers
 }
 
-// candidatesAtLocked lists those at some places in the list of the service.
-func (s *state) candidatesAtLocked(now time.Time, service *routetable.Service, model string, places []int) []routing.DirectServer {
+// candidatesAtLocked is candidatesLocked for the servers at the given indexes in the
+// service's list.
+func (s *state) candidatesAtLocked(now time.Time, service *routetable.Service, model string, indexes []int) []routing.DirectServer {
 	all, servers := s.list.Of(service.Name), s.scratch[:0]
-	for _, i := range places {
+	for _, i := range indexes {
 		if s.mayServe(now, all[i]) {
 			servers = append(servers, s.serverLocked(now, service, model, all[i]))
 		}
@@ -268,31 +275,31 @@
 	return servers
 }
 
-// mayServe tells whether a listed server may get requests at all.
+// mayServe reports whether a listed server may receive requests at all.
 func (s *state) mayServe(now time.Time, b *fleet.Backend) bool {
 	return !b.Draining && !s.list.Ended(now, b.ID)
 }
 
-// serverLocked is a listed server as a decision sees it.
+// serverLocked describes a listed server to the router.
 func (s *state) serverLocked(now time.Time, service *routetable.Service, model string, b *fleet.Backend) routing.DirectServer {
 	_, changing := s.switches[b.ID]
-	one := routing.DirectServer{
+	server := routing.DirectServer{
 		ID: b.ID, Instance: b.Instance, Hash: b.Hash, Address: b.Address, DataCentre: b.DataCentre, Slots: b.Slots, Switching: changing,
 		Usable: s.members.Usable(b.ID), Weight: s.members.Weight(b.ID),
 	}
 	if model == "" {
-		return one
+		return server
 	}
 	if service.Engine != nil {
-		one.KVTokens = service.Engine.KVCapacityTokens
+		server.KVTokens = service.Engine.KVCapacityTokens
 	}
-	one.Version = s.versions[versionKey{b.ID, model}]
-	one.VersionAge = s.weights.Age(now, model, one.Version)
-	return one
+	server.Version = s.versions[versionKey{b.ID, model}]
+	server.VersionAge = s.weights.Age(now, model, server.Version)
+	return server
 }
 
-// kvStoresLocked lists the stores of kept cache for a decision. The list is read
-// only, made anew with each configuration and for each kind of engine.
+// kvStoresLocked returns the KV cache stores that an engine can use. The slice must not be
+// changed; it is rebuilt for each configuration and engine type.
 func (s *state) kvStoresLocked(table *routetable.Table, engine *routetable.Engine) []routing.KeptStore {
 	if s.kvStoresEngine == engine {
 		return s.kvStores
@@ -311,14 +318,15 @@
 	return s.kvStores
 }
 
-// recordArrival counts a caller's request for a service; it earns part of a second send.
+// recordArrival counts a caller's request for a service, which adds to its retry budget.
 func (s *state) recordArrival(now time.Time, service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retryBudgetLocked(service).Request(now)
 }
 
-// takeRetry takes a second send from the service's budget.
+// takeRetry takes one retry from the service's budget. It returns false if the budget is
+// used up or too little time is left before the deadline.
 func (s *state) takeRetry(now time.Time, service string, deadline time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -334,7 +342,7 @@
 	return b
 }
 
-// retryLimits are this entry's share of the allowed second sends.
+// retryLimits returns this entry's share of the permitted retries.
 func (s *state) retryLimits() retry.Limits {
 	return retry.Limits{
 		Span:  s.settings.RetryWindow,
@@ -343,14 +351,14 @@
 	}
 }
 
-// setEntryCount tells how many entries share the budgets.
+// setEntryCount sets the number of entries that share the retry budgets.
 func (s *state) setEntryCount(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n == s.entryCount {
 		return
 	}
-	klog.InfoS("Entries that share the retry budget", "count", n, "before", s.entryCount)
+	klog.InfoS("Number of entries that share the retry budget changed", "count", n, "before", s.entryCount)
 	s.entryCount = n
 	s.router.SetEntries(n)
 	for _, b := range s.retryBudgets {
@@ -358,7 +366,8 @@
 	}
 }
 
-// observeAnswer takes in what an answer says of its server.
+// observeAnswer records the load and the weight version that an answer reports of its
+// server.
 func (s *state) observeAnswer(now time.Time, server, model string, answer *call.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/stores.go
+++ b/internal/gateway/stores.go
@@ -12,23 +12,25 @@
 )
 
 const (
-	// kvStorePollPause between two questions to a store, for each entry that asks: all
-	// of them together ask it no more often than some twenty times a second. While a
-	// store is down a fetch from it holds an engine up for some hundred ms.
+	// kvStorePollPause is the least pause between two polls of the KV cache stores by one
+	// entry. kvStorePollPausePerPeer limits the rate of all polling entries together to
+	// about twenty a second. Polls must be frequent, as a fetch from a store that is down
+	// delays an engine by some hundred milliseconds.
 	kvStorePollPause        = 500 * time.Millisecond
 	kvStorePollPausePerPeer = 50 * time.Millisecond
-	// kvStoreCallTimeout bounds a question.
+	// kvStoreCallTimeout bounds a poll.
 	kvStoreCallTimeout = 400 * time.Millisecond
 )
 
-// kvStoreWatch is what an entry knows of one store of kept cache.
+// kvStoreWatch is the state of polling one KV cache store.
 type kvStoreWatch struct {
+	// epoch identifies one run of the store, next is the position to poll from.
 	epoch, next uint64
 	down        bool
 }
 
-// watchKVStores follows what the stores of kept cache take in and drop, and
-// whether they are there.
+// watchKVStores polls the KV cache stores for what they add and drop, and detects whether
+// they answer.
 func (g *Gateway) watchKVStores(ctx context.Context) {
 	if g.ports.KeptStores == nil {
 		return
@@ -49,7 +51,8 @@
 	}
 }
 
-// pollKVStore takes in what one store says, or that it says nothing.
+// pollKVStore applies the changes reported by one store, or records that it did not
+// answer.
 func (g *Gateway) pollKVStore(ctx context.Context, address string, w *kvStoreWatch) {
 	callCtx, cancel := context.WithTimeout(ctx, kvStoreCallTimeout)
 	defer cancel()
@@ -78,7 +81,8 @@
 	g.state.kvStoreChanged(address, changes.Parts)
 }
 
-// setKVStoreDown takes a store out of decisions, or back into them, empty.
+// setKVStoreDown excludes a store from placement or includes it again, and clears the
+// recorded contents of all stores.
 func (s *state) setKVStoreDown(address string, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/switches.go
+++ b/internal/gateway/switches.go
@@ -12,57 +12,56 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// News of servers that change weights, from the holder of the lease to those
-// that must know: the owners of shards send such a server nothing meanwhile, and
-// whoever may hold the lease next must not order one that was ordered just now.
+// The holder of the lease sends updates on servers that change weights. Owners of shards
+// send no requests to such a server meanwhile, and the next holder must not order a server
+// again that was ordered a moment ago.
 
 const (
-	// switchesPerDatagram keeps a datagram below maxDatagram.
+	// switchesPerDatagram keeps a datagram below maxDatagramBytes.
 	switchesPerDatagram = 30
-	// heartbeatInterval is the least time between two words to all that the holder is at
-	// work: without any for newsLife, others contend for the lease.
+	// heartbeatInterval is the least time between two heartbeats of the holder. After
+	// holderTimeout without one, other entries contend for the lease.
 	heartbeatInterval = holderTimeout / 4
 )
 
-// switchUpdate tells other entries of a server that is about to take new
-// weights, takes them, or has them.
+// switchUpdate informs other entries that a server is about to load new weights, loads
+// them, or has them.
 type switchUpdate struct {
 	Server  string `json:"server"`
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
-	// ForMS is how long the server is to be left alone; 0: it has the version.
+	// ForMS is how long the server should get no requests; 0: it has the version.
 	ForMS int64 `json:"for_ms"`
-	// Ordered: the holder of the lease gives the order just now.
+	// Ordered: the holder of the lease is sending the load order.
 	Ordered bool `json:"ordered,omitempty"`
-	// Withdrawn: nothing came of it.
+	// Withdrawn: the announced change will not take place.
 	Withdrawn bool `json:"withdrawn,omitempty"`
 }
 
-// sendSwitchUpdates tells the other entries of servers that change weights. A few
-// entries are all told by calls. Of many the next holders are, and the owners of
-// shards by datagrams, each word twice, as one may be lost; the others learn a
-// server's weights with its offer. Told by calls to 102 others, an entry of 0.144
-// cores gave 30 orders a second at best.
-func (g *Gateway) sendSwitchUpdates(ctx context.Context, news []switchUpdate) {
-	if len(news) == 0 {
+// sendSwitchUpdates sends updates to the other entries. In a small fleet all of them get
+// HTTP calls. In a large one the next holders do, as calls to all entries would slow down
+// the orders. Owners of shards get datagrams, each twice in case one is lost. The others
+// learn a server's weights from offers.
+func (g *Gateway) sendSwitchUpdates(ctx context.Context, updates []switchUpdate) {
+	if len(updates) == 0 {
 		return
 	}
-	g.applySwitches(news, false)
+	g.applySwitches(updates, false)
 	if !g.sharded() {
-		g.peers.postSwitches(ctx, g.peers.addresses(), news)
+		g.peers.postSwitches(ctx, g.peers.addresses(), updates)
 		return
 	}
-	g.peers.postSwitches(ctx, g.peers.nextHolders(), news)
-	words := switchDatagrams(news)
+	g.peers.postSwitches(ctx, g.peers.nextHolders(), updates)
+	datagrams := switchDatagrams(updates)
 	owners := g.ownerAddresses()
-	g.sendTwice(ctx, owners, words)
+	g.sendTwice(ctx, owners, datagrams)
 }
 
-// sendTwice sends words to all targets, and once more a little later.
-func (g *Gateway) sendTwice(ctx context.Context, targets []*net.UDPAddr, words []*jayv1.Datagram) {
+// sendTwice sends datagrams to all targets, and once more after rolloutInterval.
+func (g *Gateway) sendTwice(ctx context.Context, targets []*net.UDPAddr, datagrams []*jayv1.Datagram) {
 	send := func() {
-		for _, word := range words {
-			g.datagrams.trySendAll(targets, word)
+		for _, datagram := range datagrams {
+			g.datagrams.trySendAll(targets, datagram)
 		}
 	}
 	send()
@@ -72,7 +71,8 @@
 	})
 }
 
-// ownerAddresses are where the owners of all shards are told, this one left out.
+// ownerAddresses returns the datagram addresses of the owners of all shards, without this
+// entry.
 func (g *Gateway) ownerAddresses() []*net.UDPAddr {
 	var addresses []string
 	for _, owner := range g.state.owners(time.Now()) {
@@ -83,89 +83,89 @@
 	return g.datagrams.addressesOf(addresses)
 }
 
-// sendHeartbeat shows all others that the holder is at work.
+// sendHeartbeat shows all other entries that this holder is active.
 func (g *Gateway) sendHeartbeat() {
 	g.datagrams.trySendAll(g.datagrams.addressesOf(g.peers.addresses()), &jayv1.Datagram{Body: &jayv1.Datagram_Switches{Switches: &jayv1.SwitchNews{}}})
 }
 
-// switchDatagrams packs news into datagrams.
-func switchDatagrams(news []switchUpdate) []*jayv1.Datagram {
-	var words []*jayv1.Datagram
-	for len(news) > 0 {
-		n := min(len(news), switchesPerDatagram)
-		word := &jayv1.SwitchNews{}
-		for _, one := range news[:n] {
-			word.Switches = append(word.Switches, &jayv1.Switch{
-				Server: nameHash(one.Server), Model: one.Model, Version: one.Version, ForMs: uint32(one.ForMS), //nolint:gosec // seconds
+// switchDatagrams packs updates into datagrams.
+func switchDatagrams(updates []switchUpdate) []*jayv1.Datagram {
+	var datagrams []*jayv1.Datagram
+	for len(updates) > 0 {
+		n := min(len(updates), switchesPerDatagram)
+		message := &jayv1.SwitchNews{}
+		for _, one := range updates[:n] {
+			message.Switches = append(message.Switches, &jayv1.Switch{
+				Server: nameHash(one.Server), Model: one.Model, Version: one.Version, ForMs: uint32(one.ForMS), //nolint:gosec // a few seconds
 				Ordered: one.Ordered, Withdrawn: one.Withdrawn,
 			})
 		}
-		words = append(words, &jayv1.Datagram{Body: &jayv1.Datagram_Switches{Switches: word}})
-		news = news[n:]
+		datagrams = append(datagrams, &jayv1.Datagram{Body: &jayv1.Datagram_Switches{Switches: message}})
+		updates = updates[n:]
 	}
-	return words
+	return datagrams
 }
 
-// receiveSwitches takes in news that came by datagram.
-func (g *Gateway) receiveSwitches(word *jayv1.SwitchNews) {
+// receiveSwitches applies updates received by datagram.
+func (g *Gateway) receiveSwitches(message *jayv1.SwitchNews) {
 	g.state.recordHolderActivity(time.Now())
-	g.applySwitches(g.state.switchUpdatesOf(word), true)
+	g.applySwitches(g.state.switchUpdatesOf(message), true)
 }
 
-// switchUpdatesOf are the news on servers that are listed.
-func (s *state) switchUpdatesOf(word *jayv1.SwitchNews) []switchUpdate {
+// switchUpdatesOf decodes the updates on servers that are listed.
+func (s *state) switchUpdatesOf(message *jayv1.SwitchNews) []switchUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	byHash := s.list.ByHash(nameHash)
-	var news []switchUpdate
-	for _, one := range word.GetSwitches() {
+	var updates []switchUpdate
+	for _, one := range message.GetSwitches() {
 		if b := byHash[one.GetServer()]; b != nil {
-			news = append(news, switchUpdate{
+			updates = append(updates, switchUpdate{
 				Server: b.ID, Model: one.GetModel(), Version: one.GetVersion(), ForMS: int64(one.GetForMs()),
 				Ordered: one.GetOrdered(), Withdrawn: one.GetWithdrawn(),
 			})
 		}
 	}
-	return news
+	return updates
 }
 
-// postSwitches sends news to other entries, without waiting for them.
-func (p *peers) postSwitches(ctx context.Context, addresses []string, news []switchUpdate) {
+// postSwitches sends updates to other entries by HTTP, without waiting for their answers.
+func (p *peers) postSwitches(ctx context.Context, addresses []string, updates []switchUpdate) {
 	for _, address := range addresses {
 		go func() {
-			if err := p.call(ctx, http.MethodPost, address, "/v1/switches", news, nil); err != nil {
-				klog.V(1).InfoS("News not told", "entry", address, "err", err)
+			if err := p.call(ctx, http.MethodPost, address, "/v1/switches", updates, nil); err != nil {
+				klog.V(1).InfoS("Switch updates not sent", "entry", address, "err", err)
 			}
 		}()
 	}
 }
 
 func (g *Gateway) handleSwitches(c echo.Context) error {
-	var news []switchUpdate
-	if err := c.Bind(&news); err != nil {
+	var updates []switchUpdate
+	if err := c.Bind(&updates); err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	g.applySwitches(news, true)
+	g.applySwitches(updates, true)
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (g *Gateway) applySwitches(news []switchUpdate, ofOther bool) {
+func (g *Gateway) applySwitches(updates []switchUpdate, fromOther bool) {
 	now := time.Now()
-	for _, n := range news {
-		if n.Ordered && ofOther {
-			g.state.recordOrder(now, n.Server)
+	for _, update := range updates {
+		if update.Ordered && fromOther {
+			g.state.recordOrder(now, update.Server)
 		}
-		if n.ForMS > 0 && ofOther {
+		if update.ForMS > 0 && fromOther {
 			g.state.recordHolderActivity(now)
 		}
-		klog.V(1).InfoS("Switch told", "server", n.Server, "version", n.Version, "forMS", n.ForMS, "withdrawn", n.Withdrawn)
+		klog.V(1).InfoS("Switch update applied", "server", update.Server, "version", update.Version, "forMS", update.ForMS, "withdrawn", update.Withdrawn)
 		switch {
-		case n.Withdrawn:
-			g.state.withdrawSwitch(n.Server)
-		case n.ForMS > 0:
-			g.state.announceSwitch(n.Server, n.Version, now.Add(time.Duration(n.ForMS)*time.Millisecond))
+		case update.Withdrawn:
+			g.state.withdrawSwitch(update.Server)
+		case update.ForMS > 0:
+			g.state.announceSwitch(update.Server, update.Version, now.Add(time.Duration(update.ForMS)*time.Millisecond))
 		default:
-			g.state.observeVersion(n.Server, n.Model, n.Version, "entry")
+			g.state.observeVersion(update.Server, update.Model, update.Version, "entry")
 		}
 	}
 }
