--- a/internal/gateway/lifetimes_test.go
+++ b/internal/gateway/lifetimes_test.go
@@ -21,10 +21,10 @@
 			Versions: map[string]uint64{"m": 1},
 		}})
 	}
-	begun := time.Now()
-	s.changeBackends(begun, changes)
-	assert.Less(t, time.Since(begun), time.Second)
+	start := time.Now()
+	s.changeBackends(start, changes)
+	assert.Less(t, time.Since(start), time.Second)
 	assert.True(t, s.members.Usable("e7@1"), "the members were updated")
-	s.changeBackends(begun, []backendChange{{removed: "e7"}})
+	s.changeBackends(start, []backendChange{{removed: "e7"}})
 	assert.Nil(t, s.list.Get("e7@1"))
 }
--- a/internal/gateway/owning_test.go
+++ b/internal/gateway/owning_test.go
@@ -185,9 +185,9 @@
 func TestUnresponsiveOwnerIsExcluded(t *testing.T) {
 	one, _ := datagramPair(t)
 	unresponsive := shard.Entry{Name: "gw3", Address: "127.0.0.9:1"}
-	begun := time.Now()
+	start := time.Now()
 	assert.Nil(t, one.placing.ask(context.Background(), unresponsive, newAsk(1, "aa")))
-	assert.Less(t, time.Since(begun), 10*askTime)
+	assert.Less(t, time.Since(start), 10*askTime)
 	time.Sleep(askTime)
 	assert.Nil(t, one.placing.ask(context.Background(), unresponsive, newAsk(2, "aa")))
 	one.state.mu.Lock()
