--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -69,10 +69,10 @@
 	switch {
 	case answer.Instance != "" && answer.Instance != server.Instance:
 		j.gateway.pool.CloseIdle(server.Address)
-		j.gateway.state.lifetimeOver(now, server.ID, "response from instance "+answer.Instance)
-		j.evidence.otherLifetime = true
+		j.gateway.state.incarnationEnded(now, server.ID, "response from instance "+answer.Instance)
+		j.evidence.otherIncarnation = true
 	case answer.Version > server.Version,
-		answer.Status == http.StatusMisdirectedRequest && j.gateway.state.otherWeights(server.ID, j.modelName(), server.Version):
+		answer.Status == http.StatusMisdirectedRequest && j.gateway.state.inferNextVersion(server.ID, j.modelName(), server.Version):
 		// Only this entry's view of the weights was outdated, so the server may be
 		// asked again. While the others take new weights it may be the only one left.
 		j.tried = j.tried[:len(j.tried)-1]
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -127,7 +127,7 @@
 // request. Refused sends count against the retry budget.
 func (j *job) mayResendRefused(reason string) bool {
 	now := time.Now()
-	if j.ctx.Err() == nil && j.sends < maxSends && j.gateway.state.mayResend(now, j.service.Name, j.deadline) {
+	if j.ctx.Err() == nil && j.sends < maxSends && j.gateway.state.takeRetry(now, j.service.Name, j.deadline) {
 		return true
 	}
 	j.giveUp(reason + ", no further send")
@@ -140,7 +140,7 @@
 // mayRepeat decides whether to send a request again that may have run.
 func (j *job) mayRepeat() bool {
 	allowed := j.route.Repeatable() && j.indeterminateSends < j.route.MaxAttempts && j.ctx.Err() == nil && j.crashesAllowRepeat()
-	if allowed && j.sends < maxSends && j.gateway.state.mayResend(time.Now(), j.service.Name, j.deadline) {
+	if allowed && j.sends < maxSends && j.gateway.state.takeRetry(time.Now(), j.service.Name, j.deadline) {
 		return true
 	}
 	j.giveUp("outcome unknown, not repeated")
@@ -232,7 +232,7 @@
 		return request
 	}
 	request.Tokens, request.OutputTokens = j.head.InputTokens, j.head.OutputTokens
-	request.Prefix, request.Stores = j.head.Shared(), s.storesLocked(j.table, j.service.Engine)
+	request.Prefix, request.Stores = j.head.Shared(), s.kvStoresLocked(j.table, j.service.Engine)
 	request.MemoryShare = routing.MemoryShare(j.table.RoutePriorityRank(j.route))
 	if j.workspace != nil && j.workspace.Isolated {
 		request.Wall = j.workspace.Name
@@ -254,7 +254,7 @@
 	if j.service.MaxConns <= 0 {
 		return false
 	}
-	share := max(minConnections, int(connectionShare*float64(j.service.MaxConns)/float64(j.gateway.state.entries)))
+	share := max(minConnections, int(connectionShare*float64(j.service.MaxConns)/float64(j.gateway.state.entryCount)))
 	return j.gateway.pool.Busy(server.Address) >= share
 }
 
@@ -302,7 +302,7 @@
 	defer response.Close()
 	answer := g.ports.Dialect.Answer(response.Status, response.Header)
 	response.KeepFor(keepAliveFor(answer.KeepAlive))
-	g.state.told(time.Now(), server.ID, j.modelName(), &answer)
+	g.state.observeAnswer(time.Now(), server.ID, j.modelName(), &answer)
 	outcome := j.handleResponse(choice, response, &answer)
 	j.sendFinished(choice, outcome)
 	return outcome
@@ -370,7 +370,7 @@
 // sendFinished reports how the send ended to this entry's router and to the
 // owner of the server's shard.
 func (j *job) sendFinished(choice *routing.DirectChoice, outcome sendOutcome) {
-	j.notifyOwner(j.evidence.end(outcome == delivered))
+	j.notifyOwner(j.evidence.endedProgress(outcome == delivered))
 	j.offer, j.evidence = nil, evidence{}
 	j.mayHaveStarted = j.mayHaveStarted || (outcome != notSent && outcome != notRun)
 	s := j.gateway.state
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -13,76 +13,80 @@
 )
 
 const (
-	// operatorWait is how long a call for changes of the operator's table waits.
-	operatorWait = 20 * time.Second
-	// backendPauseShare of the bound on leaving servers is between two reads of
-	// the list of backend servers. It changes with every heartbeat, so a call
-	// that waits for changes would return at once.
+	// longPollWait is how long a read blocks at the store until the table changes.
+	longPollWait = 20 * time.Second
+	// backendPauseShare is the pause between two reads of the list of backend servers, as
+	// a share of Settings.DrainBound. The list changes with every heartbeat, so a blocking
+	// read would return at once.
 	backendPauseShare = 0.35
-	// callTime bounds a call beyond what it waits on purpose.
-	callTime = 1200 * time.Millisecond
-	// relayPause between two reads from another entry, and relayMargin for processes
-	// that wait for their processor: with the pause between two reads of the list
-	// they bound how long ago the store may have been heard from.
+	// callTimeout bounds a call to the store, in addition to the time that the call blocks
+	// for changes.
+	callTimeout = 1200 * time.Millisecond
+	// relayPause is the pause between two reads from a relay, relayMargin an allowance for
+	// processes that wait for CPU time. With the pause between two reads of the list they
+	// determine the maximum age of data from a relay.
 	relayPause  = 350 * time.Millisecond
 	relayMargin = 300 * time.Millisecond
-	// entriesPause between two reads of the entries' rows. When all entries start,
-	// each row that is written ends every call that waits for changes: 103 entries
-	// made more than a thousand calls in their first second.
+	// entriesPause is the pause between two reads of the entries' rows. When all entries
+	// start at once, every row written ends all blocking reads, which would cause a burst
+	// of calls to the store.
 	entriesPause = 500 * time.Millisecond
-	// placeWait is how long after its start an entry waits to see its own row, and
-	// so whom to read from, before it asks the store for changes by itself.
-	placeWait = 2 * time.Second
-	// failedPause after a failed call. Only the list of servers is asked for that
-	// often, the other tables each sideFailedPause: they come with it.
-	failedPause     = 250 * time.Millisecond
-	sideFailedPause = time.Second
-	// agedPausePerPeer and agedPauseAtMost bound how often an entry asks the store
-	// itself whose relays are there but have not heard from the store: an outage
-	// shows to them first. With each of 103 entries asking by itself all the while,
-	// eight seconds without the store took 7,000 calls.
-	agedPausePerPeer = 100 * time.Millisecond
-	agedPauseAtMost  = 3 * time.Second
-	// outageTime without a good read of the list that counts as an outage.
-	outageTime = 1500 * time.Millisecond
+	// ownRowTimeout is how long after its start an entry waits to see its own row, which
+	// determines its relays, before it reads from the store directly.
+	ownRowTimeout = 2 * time.Second
+	// retryPause follows a failed read. Only the list of servers is retried that often.
+	// The other tables use otherTablesRetryPause, as they recover together with the list.
+	retryPause            = 250 * time.Millisecond
+	otherTablesRetryPause = time.Second
+	// staleRelayPausePerPeer and maxStaleRelayPause limit how often an entry reads from
+	// the store itself while its relays answer with stale data. Relays detect an outage
+	// first; without the limit all entries would call the unreachable store at the full
+	// rate.
+	staleRelayPausePerPeer = 100 * time.Millisecond
+	maxStaleRelayPause     = 3 * time.Second
+	// minOutage is the time without a successful read of the list that counts as an
+	// outage.
+	minOutage = 1500 * time.Millisecond
 	// sourceStore names the store in logs.
 	sourceStore = "store"
 )
 
-// feed follows one table of the store, and other entries while the store
-// turns this one away.
+// feed keeps a copy of one table of the platform's store up to date. It reads from other
+// entries while this entry cannot reach the store.
 type feed struct {
 	table string
+	// wait is how long a read from the store blocks for changes, pause follows each read.
 	wait  time.Duration
 	pause time.Duration
-	// relayPause between two reads from another entry.
+	// relayPause is the pause between two reads from a relay.
 	relayPause time.Duration
 	apply      func(now time.Time, rows []mirror.Row, source string)
 
 	mu   sync.Mutex
 	copy mirror.Copy
 
-	// lastGood is when the store last answered, in Unix nanoseconds.
-	lastGood atomic.Int64
-	failing  atomic.Bool
-	// interrupt ends a call that waits; interrupted: it did, and the next call
-	// does not wait.
+	// lastAnswer is when the store last answered this entry or its relay, in Unix
+	// nanoseconds.
+	lastAnswer atomic.Int64
+	failing    atomic.Bool
+	// interrupt cancels the current blocking read. interrupted is set when that was done;
+	// the next read then does not block.
 	interrupt   atomic.Pointer[context.CancelFunc]
 	interrupted atomic.Bool
 }
 
-// patience is how long the next call may wait for a change. After a failure it
-// asks without waiting: with an answer only at the next change, or at the end
-// of the wait, the store counted as lost for 20 s after it was back.
-func (f *feed) patience() time.Duration {
+// pollTimeout returns how long the next read blocks for changes. After a failure it does
+// not block: a blocking read returns only at the next change or at its timeout, so a
+// recovered store would count as lost for up to longPollWait.
+func (f *feed) pollTimeout() time.Duration {
 	if f.interrupted.Swap(false) || f.failing.Load() {
 		return 0
 	}
 	return f.wait
 }
 
-// stopWaiting ends a call that waits.
-func (f *feed) stopWaiting() {
+// interruptPoll cancels the current blocking read.
+func (f *feed) interruptPoll() {
 	if interrupt := f.interrupt.Load(); f.wait > 0 && interrupt != nil {
 		f.interrupted.Store(true)
 		(*interrupt)()
@@ -101,64 +105,63 @@
 	return f.copy.Since(after)
 }
 
-// age is how long ago the store was last heard from.
+// age returns the time since the store last answered.
 func (f *feed) age(now time.Time) time.Duration {
-	return now.Sub(time.Unix(0, f.lastGood.Load()))
+	return now.Sub(time.Unix(0, f.lastAnswer.Load()))
 }
 
-// tableAge is how old a table may be. A call that waits for changes hears from the
-// store with every change only, and hangs for as long when this entry is cut off:
-// what shows that is the list of servers, which is read all the while. Without it
-// an entry that was cut off gave an old configuration as fresh, to all that read
-// from it.
+// tableAge returns the maximum age of a table. A blocking read gets an answer only when
+// its table changes, and hangs while this entry is cut off from the store. The list of
+// servers is read at short intervals, so its age shows whether the store is reachable.
+// Without that check an entry that is cut off would relay an old configuration as current.
 func (g *Gateway) tableAge(now time.Time, f *feed) time.Duration {
 	age := f.age(now)
-	for _, gauge := range g.feeds {
-		if gauge.table == g.ports.Decoder.BackendTable && f.wait > 0 {
-			age = min(age, gauge.age(now))
+	for _, other := range g.feeds {
+		if other.table == g.ports.Decoder.BackendTable && f.wait > 0 {
+			age = min(age, other.age(now))
 		}
 	}
 	return age
 }
 
-// relayFresh is how long ago the store may have been heard from by what a relay
-// gives that has so many entries between itself and the store. The less, the sooner
-// another one is asked: a configuration must be in force within its bound.
-func (g *Gateway) relayFresh(between int) time.Duration {
-	return g.backendPause() + time.Duration(between)*relayPause + relayMargin
+// maxRelayAge returns the maximum age of data accepted from relays that have the given
+// number of entries between themselves and the store. It is short so that another source
+// is tried soon: a configuration must be in force within its bound.
+func (g *Gateway) maxRelayAge(hops int) time.Duration {
+	return g.backendPause() + time.Duration(hops)*relayPause + relayMargin
 }
 
-// backendPause is between two reads of the list by one that asks the store.
+// backendPause returns the pause between two reads of the list from the store.
 func (g *Gateway) backendPause() time.Duration {
 	return time.Duration(float64(g.settings.DrainBound) * backendPauseShare)
 }
 
-// take applies a batch, in order with any other.
-func (f *feed) take(batch mirror.Batch, source string) {
+// applyBatch applies a batch to the copy and to this entry's view, one batch at a time.
+func (f *feed) applyBatch(batch mirror.Batch, source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	changed := f.copy.Apply(batch)
 	f.apply(time.Now(), changed, source)
 }
 
-// follow starts all that runs beside the requests.
-func (g *Gateway) follow(ctx context.Context) {
-	operators := &feed{table: g.ports.Decoder.OperatorTable, wait: operatorWait, relayPause: relayPause, apply: g.applyOperator}
+// startBackgroundTasks starts the feeds and all other tasks that run beside the requests.
+func (g *Gateway) startBackgroundTasks(ctx context.Context) {
+	operators := &feed{table: g.ports.Decoder.OperatorTable, wait: longPollWait, relayPause: relayPause, apply: g.applyOperator}
 	backends := &feed{copy: mirror.NewCopy(g.ports.Decoder.SameBackend), table: g.ports.Decoder.BackendTable, pause: g.backendPause(), relayPause: relayPause, apply: g.applyBackends}
-	entries := &feed{table: g.ports.Decoder.EntryTable, wait: operatorWait, pause: entriesPause, relayPause: relayPause, apply: g.applyEntries}
-	suspected := &feed{table: g.ports.Decoder.SuspectTable, wait: operatorWait, pause: entriesPause, relayPause: suspectRelayInterval, apply: g.applySuspects}
+	entries := &feed{table: g.ports.Decoder.EntryTable, wait: longPollWait, pause: entriesPause, relayPause: relayPause, apply: g.applyEntries}
+	suspected := &feed{table: g.ports.Decoder.SuspectTable, wait: longPollWait, pause: entriesPause, relayPause: suspectRelayInterval, apply: g.applySuspects}
 	g.feeds = []*feed{operators, backends, entries, suspected}
-	placed := time.Now().Add(placeWait)
-	g.spawn(func() { g.run(ctx, operators, placed) })
-	g.spawn(func() { g.run(ctx, backends, placed) })
-	g.spawn(func() { g.run(ctx, entries, time.Time{}) })
-	g.spawn(func() { g.run(ctx, suspected, placed) })
+	ownRowDeadline := time.Now().Add(ownRowTimeout)
+	g.spawn(func() { g.runFeed(ctx, operators, ownRowDeadline) })
+	g.spawn(func() { g.runFeed(ctx, backends, ownRowDeadline) })
+	g.spawn(func() { g.runFeed(ctx, entries, time.Time{}) })
+	g.spawn(func() { g.runFeed(ctx, suspected, ownRowDeadline) })
 	g.spawn(func() { g.publishSuspects(ctx) })
-	g.spawn(func() { g.fallBack(ctx, backends) })
+	g.spawn(func() { g.readFromPeersDuringOutage(ctx, backends) })
 	g.spawn(func() { g.register(ctx) })
-	g.spawn(func() { g.learnWeights(ctx) })
+	g.spawn(func() { g.fetchWeightHistory(ctx) })
 	g.spawn(func() { g.every(ctx, waitQueueInterval, g.serveWaitQueue) })
-	g.spawn(func() { g.watchStores(ctx) })
+	g.spawn(func() { g.watchKVStores(ctx) })
 	g.startRollouts(ctx)
 	g.spawn(func() { g.every(ctx, stateTickInterval, g.tick) })
 }
@@ -183,26 +186,26 @@
 	g.state.suspects.tick(now, holder)
 }
 
-// run keeps a feed's copy. Between its first read and placed it waits until the
-// entry knows its place among the others.
-func (g *Gateway) run(ctx context.Context, f *feed, placed time.Time) {
-	var askedAt time.Time
+// runFeed keeps a feed's copy up to date. After its first read it waits until this entry
+// has seen its own row, at most until ownRowDeadline.
+func (g *Gateway) runFeed(ctx context.Context, f *feed, ownRowDeadline time.Time) {
+	var storeReadAt time.Time
 	for ctx.Err() == nil {
-		for f.version() > 0 && !g.peers.placed() && time.Now().Before(placed) && ctx.Err() == nil {
+		for f.version() > 0 && !g.peers.ownRowSeen() && time.Now().Before(ownRowDeadline) && ctx.Err() == nil {
 			sleep(ctx, drainPollInterval)
 		}
-		from := g.throughRelay(ctx, f)
-		if from == relayGave {
+		from := g.readThroughRelay(ctx, f)
+		if from == relayFresh {
 			sleep(ctx, f.relayPause)
 			continue
 		}
-		if from == relayAged && time.Since(askedAt) < g.agedPause() {
-			g.feedFailed(f, errAged)
-			sleep(ctx, failedPause)
+		if from == relayStale && time.Since(storeReadAt) < g.staleRelayPause() {
+			g.feedFailed(f, errStaleRelays)
+			sleep(ctx, retryPause)
 			continue
 		}
-		askedAt = time.Now()
-		err := g.readOnce(ctx, f)
+		storeReadAt = time.Now()
+		err := g.readFromStore(ctx, f)
 		if f.interrupted.Load() {
 			continue
 		}
@@ -215,53 +218,54 @@
 	}
 }
 
-// agedPause is how long this entry leaves the store alone whose relays are there.
-func (g *Gateway) agedPause() time.Duration {
-	return min(time.Duration(g.peers.count())*agedPausePerPeer, agedPauseAtMost)
+// staleRelayPause returns the least pause between two reads from the store while the
+// relays' data is stale.
+func (g *Gateway) staleRelayPause() time.Duration {
+	return min(time.Duration(g.peers.count())*staleRelayPausePerPeer, maxStaleRelayPause)
 }
 
 func (g *Gateway) pauseAfterFailure(f *feed) time.Duration {
 	if f.table == g.ports.Decoder.BackendTable {
-		return failedPause
+		return retryPause
 	}
-	return sideFailedPause
+	return otherTablesRetryPause
 }
 
-// relayed is what came of reading through relays.
-type relayed int
+// relayOutcome is the result of a read through relays.
+type relayOutcome int
 
 const (
-	// relayNone: this entry asks the store itself, or no relay answers.
-	relayNone relayed = iota
-	// relayGave: a relay gave what it has, and that is fresh.
-	relayGave
-	// relayAged: a relay answered that has not heard from the store of late.
-	relayAged
+	// relayUnavailable: this entry reads from the store itself, or no relay answered.
+	relayUnavailable relayOutcome = iota
+	// relayFresh: a relay returned recent data.
+	relayFresh
+	// relayStale: a relay answered, but its data is too old.
+	relayStale
 )
 
-// errAged tells that the relays have not heard from the store.
-var errAged = errors.New("the relays have not heard from the store")
+// errStaleRelays is the error of a read through relays that have no recent data.
+var errStaleRelays = errors.New("no relay has recent data from the store")
 
-// throughRelay reads a table from an entry that is nearer to the store. With
-// every entry asking by itself the store's calls grow with the fleet.
-func (g *Gateway) throughRelay(ctx context.Context, f *feed) relayed {
-	outcome := relayNone
-	relays, between := g.peers.relays(time.Now())
+// readThroughRelay reads a table from an entry that is closer to the store. If every entry
+// read from the store, the number of calls would grow with the fleet.
+func (g *Gateway) readThroughRelay(ctx context.Context, f *feed) relayOutcome {
+	outcome := relayUnavailable
+	relays, hops := g.peers.relays(time.Now())
 	for _, relay := range relays {
 		batch, err := g.peers.table(ctx, relay, f.table, f.version())
 		if err != nil && ctx.Err() == nil {
-			g.peers.didNotAnswer(time.Now(), relay)
+			g.peers.markUnresponsive(time.Now(), relay)
 		}
-		if err != nil || batch.AgeMS > g.relayFresh(between).Milliseconds() || batch.Version == 0 {
+		if err != nil || batch.AgeMS > g.maxRelayAge(hops).Milliseconds() || batch.Version == 0 {
 			g.metrics.Count("relay_failed", f.table, 1)
 			if err == nil && batch.Version > 0 {
-				outcome = relayAged
+				outcome = relayStale
 			}
 			continue
 		}
-		g.feedWorks(f, time.Duration(batch.AgeMS)*time.Millisecond)
-		f.take(batch.Batch, relay)
-		return relayGave
+		g.feedSucceeded(f, time.Duration(batch.AgeMS)*time.Millisecond)
+		f.applyBatch(batch.Batch, relay)
+		return relayFresh
 	}
 	return outcome
 }
@@ -278,11 +282,11 @@
 	}
 }
 
-// readOnce asks the store for changes, or for the whole table where its
-// history does not reach back.
-func (g *Gateway) readOnce(ctx context.Context, f *feed) error {
-	wait := f.patience()
-	ctx, cancel := context.WithTimeout(ctx, wait+callTime)
+// readFromStore reads changes from the store, or the complete table if the store's history
+// does not reach back far enough.
+func (g *Gateway) readFromStore(ctx context.Context, f *feed) error {
+	wait := f.pollTimeout()
+	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	f.interrupt.Store(&cancel)
 	after := f.version()
@@ -297,8 +301,8 @@
 	if err != nil {
 		return err
 	}
-	g.feedWorks(f, 0)
-	f.take(batch, sourceStore)
+	g.feedSucceeded(f, 0)
+	f.applyBatch(batch, sourceStore)
 	return nil
 }
 
@@ -309,12 +313,13 @@
 	}
 }
 
-// feedWorks notes that the store answered, so long ago. After an outage entries of the list
-// may have expired though their servers are alive, and a call that waits on
-// another connection may wait for an answer that was lost.
-func (g *Gateway) feedWorks(f *feed, age time.Duration) {
+// feedSucceeded records that the store answered the given time ago. After an outage,
+// registrations of servers that are alive may have expired, so the list keeps them for its
+// grace period. Other feeds may still block on connections whose answers were lost, so
+// their reads are interrupted.
+func (g *Gateway) feedSucceeded(f *feed, age time.Duration) {
 	now := time.Now().Add(-age)
-	last := f.lastGood.Swap(now.UnixNano())
+	last := f.lastAnswer.Swap(now.UnixNano())
 	if !f.failing.Swap(false) {
 		return
 	}
@@ -323,33 +328,34 @@
 	if f.table != g.ports.Decoder.BackendTable {
 		return
 	}
-	if last > 0 && gap > outageTime {
+	if last > 0 && gap > minOutage {
 		g.state.mu.Lock()
 		g.state.list.Restored(now)
 		g.state.mu.Unlock()
 	}
 	for _, other := range g.feeds {
 		if other != f {
-			other.stopWaiting()
+			other.interruptPoll()
 		}
 	}
 }
 
-// fallBack asks other entries while the store turns this one away: it serves
-// them perhaps, and the operator's changes count for all.
-func (g *Gateway) fallBack(ctx context.Context, gauge *feed) {
-	g.every(ctx, failedPause, func(time.Time) {
-		if !gauge.failing.Load() {
+// readFromPeersDuringOutage reads all tables from other entries while this one cannot read
+// the list from the store. The store may still answer others, and the operator's changes
+// apply to all entries.
+func (g *Gateway) readFromPeersDuringOutage(ctx context.Context, backends *feed) {
+	g.every(ctx, retryPause, func(time.Time) {
+		if !backends.failing.Load() {
 			return
 		}
 		for _, f := range g.feeds {
 			batch, peer, err := g.peers.pull(ctx, f.table, f.version())
 			if err != nil {
-				klog.V(1).InfoS("No other entry gave the table", "table", f.table, "err", err)
+				klog.V(1).InfoS("Table could not be read from any other entry", "table", f.table, "err", err)
 				continue
 			}
 			if batch.Version > 0 {
-				f.take(batch, peer)
+				f.applyBatch(batch, peer)
 			}
 		}
 	})
@@ -363,7 +369,7 @@
 		if g.ports.Decoder.IsConfig(row.Key) {
 			table, err := g.ports.Decoder.Config(row.Value)
 			if err != nil {
-				klog.ErrorS(err, "Configuration not understood; the last good one stays", "row", row.Key, "rowVersion", row.Version)
+				klog.ErrorS(err, "Configuration not understood; keeping the last valid one", "row", row.Key, "rowVersion", row.Version)
 				continue
 			}
 			g.state.adoptTable(table, source)
@@ -371,7 +377,7 @@
 		}
 		named, ok, err := g.ports.Decoder.Named(row.Key, row.Value)
 		if err != nil {
-			klog.ErrorS(err, "Named weights not understood", "row", row.Key, "rowVersion", row.Version)
+			klog.ErrorS(err, "Row of named weights not understood", "row", row.Key, "rowVersion", row.Version)
 			continue
 		}
 		if ok {
@@ -384,15 +390,15 @@
 	changes := make([]backendChange, 0, len(rows))
 	for _, row := range rows {
 		if row.Removed {
-			changes = append(changes, backendChange{gone: row.Key})
+			changes = append(changes, backendChange{removed: row.Key})
 			continue
 		}
 		b, err := g.ports.Decoder.Backend(row.Key, row.Value)
 		if err != nil {
-			klog.ErrorS(err, "Backend server not understood; its last good entry stays", "row", row.Key, "rowVersion", row.Version, "source", source)
+			klog.ErrorS(err, "Backend server registration not understood; keeping the last valid one", "row", row.Key, "rowVersion", row.Version, "source", source)
 			continue
 		}
-		changes = append(changes, backendChange{entry: b})
+		changes = append(changes, backendChange{backend: b})
 	}
 	g.state.changeBackends(now, changes)
 }
--- a/internal/gateway/hints.go
+++ b/internal/gateway/hints.go
@@ -15,57 +15,59 @@
 )
 
 const (
-	// hintPause collects hints for one datagram. It bounds how long another
-	// entry does not know that a prefix is being read.
-	hintPause = 20 * time.Millisecond
-	// loadPause is the least time between two words on our unread prompts.
-	loadPause = 100 * time.Millisecond
-	// memoryPause is the least time between two words on the memory that our
-	// requests take: they take it for seconds.
-	memoryPause = 500 * time.Millisecond
-	// hintBytesPerPeer a second is what all hints to one other entry may take,
-	// hintBytesAtMost what those to all of them may. Four entries that told 2 KB/s
-	// in all earned 0.776 of a day with new weights, with 4 KB/s 0.796, with 8 KB/s 0.791.
-	hintBytesPerPeer = 1300
-	hintBytesAtMost  = 32 << 10
-	// hintBurst is for how long unused bytes are saved up.
+	// hintInterval is how long hints are collected for one datagram. Until it is sent,
+	// other entries do not know that a prefix is being computed.
+	hintInterval = 20 * time.Millisecond
+	// loadHintInterval is the least time between two hints on prompts that wait for
+	// prefill.
+	loadHintInterval = 100 * time.Millisecond
+	// memoryHintInterval is the least time between two hints on the engine memory used by
+	// this entry's requests, which use it for seconds.
+	memoryHintInterval = 500 * time.Millisecond
+	// hintBytesPerSecondPerPeer limits the hints to one other entry, maxHintBytesPerSecond
+	// those to all of them.
+	hintBytesPerSecondPerPeer = 1300
+	maxHintBytesPerSecond     = 32 << 10
+	// hintBurst is the time for which unused bytes are accumulated.
 	hintBurst = time.Second
-	// prefixReserve, a share of the saved bytes, is kept for prefixes: what waits where
-	// is guessed from our own requests when it is not told.
-	prefixReserve = 0.5
-	// tellAllAtMost entries tell each other all: with more, what one may send
-	// leaves less than hintBytesPerPeer for each of the others.
-	tellAllAtMost = hintBytesAtMost/hintBytesPerPeer + 1
+	// prefixBudgetShare is the share of the accumulated bytes that hints on load must leave
+	// to prefixes. Without a hint, an entry estimates the load from its own requests.
+	prefixBudgetShare = 0.5
+	// maxUnshardedEntries is the number of entries up to which all entries send hints to
+	// each other. With more, maxHintBytesPerSecond would leave less than
+	// hintBytesPerSecondPerPeer for each peer.
+	maxUnshardedEntries = maxHintBytesPerSecond/hintBytesPerSecondPerPeer + 1
 )
 
-// hints tells other entries where prefixes are read and what waits where.
-// Datagrams, not streams: a hint is worth nothing once it is late, and a lost
-// one costs a prompt that is read again.
+// hints sends other entries where prefixes are computed, and the load and memory use of
+// servers. It uses datagrams: a hint is worthless once it is late, and a lost one costs a
+// repeated prefill.
 type hints struct {
 	gateway *Gateway
-	self    uint32
+	// self identifies this entry in hints.
+	self uint32
 
 	mu      sync.Mutex
 	targets []*net.UDPAddr
-	// budget of bytes, filled over time.
-	budget   float64
-	filledAt time.Time
-	loadsAt  time.Time
-	memoryAt time.Time
-	// waiting are prefixes that the budget did not allow to tell yet.
-	waiting *jayv1.Hints
+	// budget is the number of bytes that may be sent, refilled over time.
+	budget       float64
+	refilledAt   time.Time
+	loadsSentAt  time.Time
+	memorySentAt time.Time
+	// postponed holds the prefixes that the budget did not allow to be sent yet.
+	postponed *jayv1.Hints
 }
 
-// startHints begins to tell, where the port for datagrams is open.
+// startHints starts sending hints if the datagram port is open.
 func (g *Gateway) startHints(ctx context.Context) {
-	g.hints = &hints{gateway: g, self: uint32(xxh3.HashString(g.settings.Node)), filledAt: time.Now()} //nolint:gosec // the low half of a hash
+	g.hints = &hints{gateway: g, self: uint32(xxh3.HashString(g.settings.Node)), refilledAt: time.Now()} //nolint:gosec // the low half of a hash
 	if g.datagrams.conn != nil {
-		g.spawn(func() { g.every(ctx, hintPause, g.hints.send) })
+		g.spawn(func() { g.every(ctx, hintInterval, g.hints.send) })
 	}
 }
 
-// setEntries tells where the other entries are.
-func (h *hints) setEntries(addresses []string) {
+// setTargets sets the control addresses of the other entries.
+func (h *hints) setTargets(addresses []string) {
 	targets := h.gateway.datagrams.addressesOf(addresses)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,28 +80,28 @@
 	}
 	h.mu.Lock()
 	targets := h.targets
-	rate := float64(min(hintBytesPerPeer*len(targets), hintBytesAtMost))
+	rate := float64(min(hintBytesPerSecondPerPeer*len(targets), maxHintBytesPerSecond))
 	full := rate * hintBurst.Seconds()
-	h.budget = min(full, h.budget+rate*now.Sub(h.filledAt).Seconds())
-	h.filledAt = now
-	loadsDue := now.Sub(h.loadsAt) >= loadPause
-	memoryDue := now.Sub(h.memoryAt) >= memoryPause
+	h.budget = min(full, h.budget+rate*now.Sub(h.refilledAt).Seconds())
+	h.refilledAt = now
+	loadsDue := now.Sub(h.loadsSentAt) >= loadHintInterval
+	memoryDue := now.Sub(h.memorySentAt) >= memoryHintInterval
 	h.mu.Unlock()
 	if len(targets) == 0 {
 		return
 	}
-	message := h.message(loadsDue, memoryDue)
+	message := h.buildMessage(loadsDue, memoryDue)
 	if message == nil {
 		return
 	}
-	h.sendAll(now, message, targets, prefixReserve*full)
+	h.sendAll(now, message, targets, prefixBudgetShare*full)
 }
 
-// message is what there is to tell; nil when nothing.
-func (h *hints) message(loadsDue, memoryDue bool) *jayv1.Hints {
+// buildMessage returns the hints to send, or nil if there are none.
+func (h *hints) buildMessage(loadsDue, memoryDue bool) *jayv1.Hints {
 	s := h.gateway.state
 	s.mu.Lock()
-	news, placed, saved := s.router.News(), s.router.Placed(), s.router.Saved()
+	prefixes, placed, saved := s.router.News(), s.router.Placed(), s.router.Saved()
 	var loads []routing.LoadHint
 	if loadsDue {
 		loads = s.router.Loads()
@@ -110,16 +112,16 @@
 	}
 	s.mu.Unlock()
 	h.mu.Lock()
-	message := h.waiting
-	h.waiting = nil
+	message := h.postponed
+	h.postponed = nil
 	h.mu.Unlock()
-	if message == nil && len(news) == 0 && len(loads) == 0 && len(memory) == 0 && len(placed) == 0 && len(saved) == 0 {
+	if message == nil && len(prefixes) == 0 && len(loads) == 0 && len(memory) == 0 && len(placed) == 0 && len(saved) == 0 {
 		return nil
 	}
 	if message == nil {
 		message = &jayv1.Hints{Entry: h.self}
 	}
-	for _, n := range news {
+	for _, n := range prefixes {
 		message.Prefix = append(message.Prefix, n.Prefix)
 		message.PrefixServer = append(message.PrefixServer, nameHash(n.Server))
 		message.PrefixReadyMs = append(message.PrefixReadyMs, uint32(n.ReadyIn.Milliseconds())) //nolint:gosec // below a minute
@@ -142,47 +144,47 @@
 	return message
 }
 
-// kilo is the unit in which memory is told.
+// kilo is the number of tokens in a kilotoken, the unit of token counts in hints.
 const kilo = 1000
 
-func kilotokens(tokens int) uint32 { return uint32((tokens + kilo/2) / kilo) } //nolint:gosec // an engine's memory
+func kilotokens(tokens int) uint32 { return uint32((tokens + kilo/2) / kilo) } //nolint:gosec // bounded by an engine's memory
 
 func nameHash(name string) uint32 { return uint32(xxh3.HashString(name)) } //nolint:gosec // the low half of a hash
 
-// sendAll sends the message to every entry, as far as the budget reaches:
-// without loads first, then not at all.
+// sendAll sends the message to all targets if the budget allows. Loads are left out if the
+// message would use the reserve. If the rest still exceeds the budget, it is postponed.
 func (h *hints) sendAll(now time.Time, message *jayv1.Hints, targets []*net.UDPAddr, reserve float64) {
-	size := (proto.Size(message) + overheadBytes) * len(targets)
+	size := (proto.Size(message) + datagramOverheadBytes) * len(targets)
 	h.mu.Lock()
 	if float64(size) > h.budget-reserve && len(message.GetLoadServer()) > 0 {
 		message.LoadServer, message.LoadMs = nil, nil
-		size = (proto.Size(message) + overheadBytes) * len(targets)
+		size = (proto.Size(message) + datagramOverheadBytes) * len(targets)
 	}
-	affordable := float64(size) <= h.budget && worthSending(message)
+	affordable := float64(size) <= h.budget && hasHints(message)
 	if affordable {
 		h.budget -= float64(size)
 	}
 	if len(message.GetLoadServer()) > 0 {
-		h.loadsAt = now
+		h.loadsSentAt = now
 	}
 	if message.GetHasMemory() && affordable {
-		h.memoryAt = now
+		h.memorySentAt = now
 	}
 	h.mu.Unlock()
 	if !affordable {
 		h.postpone(message)
 		return
 	}
-	word := &jayv1.Datagram{Body: &jayv1.Datagram_Hints{Hints: message}}
-	h.gateway.datagrams.tellAll(targets, word)
+	datagram := &jayv1.Datagram{Body: &jayv1.Datagram_Hints{Hints: message}}
+	h.gateway.datagrams.trySendAll(targets, datagram)
 	h.gateway.metrics.Count("hints", "sent", int64(len(targets)))
 }
 
-func worthSending(message *jayv1.Hints) bool {
+func hasHints(message *jayv1.Hints) bool {
 	return len(message.GetPrefix())+len(message.GetLoadServer())+len(message.GetMemoryServer())+len(message.GetPlacedServer())+len(message.GetSaved()) > 0
 }
 
-// postpone keeps prefixes until the budget allows to tell them.
+// postpone keeps the prefixes of a message until the budget allows them to be sent.
 func (h *hints) postpone(message *jayv1.Hints) {
 	h.gateway.metrics.Count("hints", "postponed", int64(len(message.GetPrefix())))
 	h.mu.Lock()
@@ -190,10 +192,10 @@
 	message.LoadServer, message.LoadMs = nil, nil
 	message.MemoryServer, message.MemoryKilotokens, message.HasMemory = nil, nil, false
 	message.PlacedServer, message.PlacedKilotokens, message.PlacedReadMs = nil, nil, nil
-	h.waiting = message
+	h.postponed = message
 }
 
-func (h *hints) take(message *jayv1.Hints) {
+func (h *hints) receive(message *jayv1.Hints) {
 	servers, ready := message.GetPrefixServer(), message.GetPrefixReadyMs()
 	if len(servers) != len(message.GetPrefix()) || len(ready) != len(servers) || !sameLengths(message) {
 		h.gateway.metrics.Count("hints", "malformed", 1)
@@ -213,9 +215,9 @@
 	s.router.Hear(now, prefixes)
 	s.router.HearSaved(now, message.GetSaved())
 	if message.GetHasMemory() {
-		s.router.HearMemory(now, message.GetEntry(), memoryOf(message, byHash))
+		s.router.HearMemory(now, message.GetEntry(), memoryHints(message, byHash))
 	}
-	s.router.HearPlaced(now, message.GetEntry(), placedOf(message, byHash))
+	s.router.HearPlaced(now, message.GetEntry(), placedHints(message, byHash))
 	if len(message.GetLoadServer()) == 0 {
 		return
 	}
@@ -228,14 +230,14 @@
 	s.router.HearLoads(now, message.GetEntry(), loads)
 }
 
-// sameLengths tells whether the lists that belong together are of one length.
+// sameLengths reports whether lists that belong together have the same length.
 func sameLengths(message *jayv1.Hints) bool {
 	placed := len(message.GetPlacedServer())
 	return len(message.GetLoadMs()) == len(message.GetLoadServer()) && len(message.GetMemoryKilotokens()) == len(message.GetMemoryServer()) &&
 		len(message.GetPlacedKilotokens()) == placed && len(message.GetPlacedReadMs()) == placed
 }
 
-func memoryOf(message *jayv1.Hints, byHash map[uint32]*fleet.Backend) []routing.MemoryHint {
+func memoryHints(message *jayv1.Hints, byHash map[uint32]*fleet.Backend) []routing.MemoryHint {
 	var hints []routing.MemoryHint
 	for i, hash := range message.GetMemoryServer() {
 		if b := byHash[hash]; b != nil {
@@ -245,7 +247,7 @@
 	return hints
 }
 
-func placedOf(message *jayv1.Hints, byHash map[uint32]*fleet.Backend) []routing.PlacedHint {
+func placedHints(message *jayv1.Hints, byHash map[uint32]*fleet.Backend) []routing.PlacedHint {
 	var hints []routing.PlacedHint
 	for i, hash := range message.GetPlacedServer() {
 		if b := byHash[hash]; b != nil {
--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -13,34 +13,34 @@
 	"github.com/jayproxy/jayproxy/internal/upstream"
 )
 
-// What an entry believes of the lifetimes of backend servers: which are listed,
-// which are proven over, and what that makes void.
+// Incarnations of backend servers: which ones are listed, which ones have ended, and which
+// state that invalidates.
 
-// putBackend takes in an entry of the list of backend servers.
+// putBackend applies one registration of a backend server.
 func (s *state) putBackend(now time.Time, b *fleet.Backend) {
-	s.changeBackends(now, []backendChange{{entry: b}})
+	s.changeBackends(now, []backendChange{{backend: b}})
 }
 
-// backendChange is one entry of the list that changed, or the name of a server
-// whose entry vanished.
+// backendChange is a registration that was added or changed, or the name of a server whose
+// registration was removed.
 type backendChange struct {
-	entry *fleet.Backend
-	gone  string
+	backend *fleet.Backend
+	removed string
 }
 
-// changeBackends takes in changes of the list. The members are worked out once for
-// all: after each of 3,000 entries that an entry reads at its start it took seven
-// seconds of a core, in which it served nobody.
+// changeBackends applies changes of the list. It updates the members once for all changes:
+// an update for each of thousands of servers would take seconds of CPU time at the start,
+// while the entry serves no requests.
 func (s *state) changeBackends(now time.Time, changes []backendChange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, change := range changes {
-		if change.entry != nil {
-			s.putLocked(now, change.entry)
+		if change.backend != nil {
+			s.putLocked(now, change.backend)
 			continue
 		}
-		if gone := s.list.Remove(now, change.gone); gone != nil {
-			s.leftLocked(now, gone, "list")
+		if gone := s.list.Remove(now, change.removed); gone != nil {
+			s.forgetIncarnationLocked(now, gone, "list")
 		}
 	}
 	s.refreshMembersLocked(now)
@@ -54,27 +54,28 @@
 		klog.InfoS("Entry of an earlier lifetime not taken", "server", old.ID, "entry", b.ID)
 		return
 	case fleet.Restarted:
-		s.leftLocked(now, old, "started again as "+b.ID)
+		s.forgetIncarnationLocked(now, old, "started again as "+b.ID)
 	case fleet.Added, fleet.Updated:
 	}
-	s.listedLocked(b)
+	s.initListedLocked(b)
 	if change != fleet.Updated || old.Draining != b.Draining || old.Service != b.Service {
 		klog.InfoS("Backend server listed", "server", b.ID, "service", b.Service, "address", b.Address, "draining", b.Draining, "versions", b.Versions)
 		s.membersStale = true
 	}
 }
 
-// listedLocked completes an entry that the list has taken.
-func (s *state) listedLocked(b *fleet.Backend) {
+// initListedLocked sets the hash of a registration that the list has accepted, and records
+// its weight versions.
+func (s *state) initListedLocked(b *fleet.Backend) {
 	b.Hash = routing.ServerHash(b.ID)
 	for model, version := range b.Versions {
-		s.sawVersionLocked(b.ID, model, version, "list")
+		s.observeVersionLocked(b.ID, model, version, "list")
 	}
 }
 
-// leftLocked forgets a lifetime that is over, and all that was believed of it.
-// What other holders ordered counts for the server under whatever lifetime.
-func (s *state) leftLocked(now time.Time, b *fleet.Backend, source string) {
+// forgetIncarnationLocked removes all state of an incarnation that has ended, except load
+// orders of other holders: they apply to the server under any incarnation.
+func (s *state) forgetIncarnationLocked(now time.Time, b *fleet.Backend, source string) {
 	klog.InfoS("Backend server gone", "server", b.ID, "source", source)
 	if b.Draining {
 		s.suspects.serverEnded(b.ID)
@@ -95,9 +96,9 @@
 	s.membersStale = true
 }
 
-// ofLifetime tells whether a report is about the lifetime that was asked. One
-// that was born later shows that the server started again.
-func (s *state) ofLifetime(now time.Time, id string, report *call.Report) bool {
+// reportIsCurrent reports whether a report comes from the incarnation that was asked. A
+// report with a later start time shows that the server has restarted.
+func (s *state) reportIsCurrent(now time.Time, id string, report *call.Report) bool {
 	s.mu.Lock()
 	b := s.list.Get(id)
 	s.mu.Unlock()
@@ -107,40 +108,40 @@
 	case report.StartedAt == 0 || b.StartedMS == 0 || report.StartedAt == b.StartedMS:
 		return true
 	case report.StartedAt > b.StartedMS:
-		s.startedAgain(now, b, report)
+		s.recordRestart(now, b, report)
 	}
 	return false
 }
 
-// startedAgain takes in that a server says of itself that it was born later than
-// the lifetime that is listed: the list shows it with its next heartbeat.
-func (s *state) startedAgain(now time.Time, listed *fleet.Backend, report *call.Report) {
+// recordRestart lists a server as the later incarnation that it reported. Its own
+// registration follows with its next heartbeat.
+func (s *state) recordRestart(now time.Time, listed *fleet.Backend, report *call.Report) {
 	next := *listed
 	next.StartedMS, next.Versions = report.StartedAt, report.Versions
 	s.putBackend(now, &next)
 }
 
-// lifetimeOver takes in the proof that a lifetime of a backend server is over.
-func (s *state) lifetimeOver(now time.Time, id, source string) {
+// incarnationEnded records proof that an incarnation of a backend server has ended.
+func (s *state) incarnationEnded(now time.Time, id, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endLocked(now, id, source)
+	s.endIncarnationLocked(now, id, source)
 }
 
-func (s *state) endLocked(now time.Time, id, source string) {
+func (s *state) endIncarnationLocked(now time.Time, id, source string) {
 	if !s.list.MarkEnded(now, id) {
 		return
 	}
 	klog.InfoS("Lifetime over", "server", id, "source", source)
 	s.suspects.serverCrashed(now, id)
-	s.emptiedLocked(id)
+	s.cacheClearedLocked(id)
 }
 
-// reportFailed takes in that a server did not tell its state. Servers that were
-// gone held places among those that load at once until the list showed it.
+// reportFailed records that a server did not report its state. A server that is gone must
+// not count among those that are loading weights until the list shows its end.
 func (s *state) reportFailed(now time.Time, id string, err error) {
 	if errors.Is(err, call.ErrOtherInstance) {
-		s.lifetimeOver(now, id, "report")
+		s.incarnationEnded(now, id, "report")
 		return
 	}
 	if errors.Is(err, upstream.ErrNoListener) {
@@ -148,7 +149,7 @@
 	}
 }
 
-// refreshMembersLocked tells membership who is listed, where that changed.
+// refreshMembersLocked passes the listed servers to members if the list has changed.
 func (s *state) refreshMembersLocked(now time.Time) {
 	if !s.membersStale {
 		return
@@ -161,7 +162,7 @@
 	s.members.SetServers(now, servers)
 }
 
-// sendFailed takes in that a request could not be sent, or got no answer.
+// sendFailed records that a request could not be sent, or got no answer.
 func (s *state) sendFailed(now time.Time, server string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,8 +173,8 @@
 	s.members.Failed(now, server)
 }
 
-// notListeningLocked takes in that nothing listens at a server's address. At one
-// that is leaving that is the planned end.
+// notListeningLocked records that nothing listens at a server's address. For a draining
+// server that is the planned end, not a crash.
 func (s *state) notListeningLocked(now time.Time, server string) {
 	s.members.NotListening(now, server)
 	if b := s.list.Get(server); b != nil && !b.Draining {
--- a/internal/gateway/lifetimes_test.go
+++ b/internal/gateway/lifetimes_test.go
@@ -10,22 +10,21 @@
 	"github.com/jayproxy/jayproxy/internal/fleet"
 )
 
-// An entry of a fleet with 3,000 backend servers started, and served nobody for
-// half a minute: with each entry of the list it worked the members out anew, and
-// its VM has a third of a core. A router that restarts serves at once.
-func TestALongListIsTakenInAtOnce(t *testing.T) {
+// Guards against an entry that serves no requests for seconds after its start, because it
+// updates the members once for each of thousands of servers.
+func TestChangeBackendsHandlesLongList(t *testing.T) {
 	s := newRestartFixture()
 	var changes []backendChange
 	for i := range 3000 {
-		changes = append(changes, backendChange{entry: &fleet.Backend{
+		changes = append(changes, backendChange{backend: &fleet.Backend{
 			Incarnation: fleet.Incarnation{Instance: fmt.Sprint("e", i), StartedMS: 1}, Service: "engines", Address: fmt.Sprint("10.0.", i/250, ".", i%250, ":1"),
 			Versions: map[string]uint64{"m": 1},
 		}})
 	}
-	begun := time.Now()
-	s.changeBackends(begun, changes)
-	assert.Less(t, time.Since(begun), time.Second)
-	assert.True(t, s.members.Usable("e7@1"), "membership knows them")
-	s.changeBackends(begun, []backendChange{{gone: "e7"}})
+	start := time.Now()
+	s.changeBackends(start, changes)
+	assert.Less(t, time.Since(start), time.Second)
+	assert.True(t, s.members.Usable("e7@1"), "the members were updated")
+	s.changeBackends(start, []backendChange{{removed: "e7"}})
 	assert.Nil(t, s.list.Get("e7@1"))
 }
--- a/internal/gateway/owning.go
+++ b/internal/gateway/owning.go
@@ -15,17 +15,17 @@
 	"github.com/jayproxy/jayproxy/internal/shard"
 )
 
-// What an entry does as the owner of shards: it chooses among their servers for
-// all entries, and hears from them how that went.
+// An entry that owns shards places requests of all entries on the servers of these shards,
+// and receives reports on their progress.
 
-// setOwners takes in the entries that may own shards.
+// setOwners sets the entries that may own shards.
 func (s *state) setOwners(entries []shard.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.shards.SetEntries(entries)
 }
 
-// divisionLocked of a service's servers among their owners.
+// divisionLocked returns the assignment of a service's servers to owners.
 func (s *state) divisionLocked(now time.Time, service string) *shard.Assignment {
 	return s.shards.Assignment(now, service, s.list.Generation(), func() []uint64 {
 		servers := s.list.OfService(service)
@@ -37,7 +37,7 @@
 	})
 }
 
-// owners of all shards of services that new weights may come to.
+// owners returns the owners of all shards of services that run models.
 func (s *state) owners(now time.Time) []shard.Entry {
 	table := s.table.Load()
 	if table == nil {
@@ -59,43 +59,43 @@
 	return owners
 }
 
-// offer chooses a server of our shards for another entry's request, or ours, and
-// counts the request there.
+// offer chooses a server in this entry's shards for a request of any entry, and counts the
+// request there.
 func (s *state) offer(now time.Time, ask *jayv1.PlacementAsk) *jayv1.PlacementOffer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	none := &jayv1.PlacementOffer{Key: ask.GetKey(), Outcome: jayv1.PlacementOffer_OUTCOME_NO_SERVER}
+	noOffer := &jayv1.PlacementOffer{Key: ask.GetKey(), Outcome: jayv1.PlacementOffer_OUTCOME_NO_SERVER}
 	table := s.table.Load()
 	if table == nil || len(ask.GetPart()) != len(ask.GetPartTokens()) {
-		return none
+		return noOffer
 	}
 	service := table.Services[ask.GetService()]
 	if service == nil {
-		return none
+		return noOffer
 	}
 	division := s.divisionLocked(now, service.Name)
-	s.own.SetSavers(len(division.Owners))
+	s.shardRouter.SetSavers(len(division.Owners))
 	servers := s.candidatesAtLocked(now, service, ask.GetModel(), division.ServersOf(s.settings.Node))
-	request := s.requestOfLocked(now, table, service, ask)
+	request := s.routingRequestLocked(now, table, service, ask)
 	if held := ask.GetHeld(); held != nil {
-		s.own.HearHolder(now, &request, s.holdingLocked(service.Name, held))
+		s.shardRouter.HearHolder(now, &request, s.holdingLocked(service.Name, held))
 	}
-	choice, err := s.own.Choose(now, &request, servers, s.namesOfLocked(ask.GetTried()))
+	choice, err := s.shardRouter.Choose(now, &request, servers, s.idsByHashLocked(ask.GetTried()))
 	switch {
 	case errors.Is(err, routing.ErrNoRoom):
-		none.Outcome = jayv1.PlacementOffer_OUTCOME_NO_ROOM
-		return none
+		noOffer.Outcome = jayv1.PlacementOffer_OUTCOME_NO_ROOM
+		return noOffer
 	case err != nil:
-		return none
+		return noOffer
 	}
 	klog.V(1).InfoS("Offered", "key", request.ID, "server", choice.Server.ID, "servers", len(servers), "totalMS", int(choice.Terms.Total()))
-	return offerOf(ask.GetKey(), &choice)
+	return newOffer(ask.GetKey(), &choice)
 }
 
-// requestOfLocked is the request of a question as the router sees it.
-func (s *state) requestOfLocked(now time.Time, table *routetable.Table, service *routetable.Service, ask *jayv1.PlacementAsk) routing.DirectRequest {
+// routingRequestLocked converts an ask to a request for the router.
+func (s *state) routingRequestLocked(now time.Time, table *routetable.Table, service *routetable.Service, ask *jayv1.PlacementAsk) routing.DirectRequest {
 	request := routing.DirectRequest{
-		ID: requestName(ask.GetKey()), DataCentre: ask.GetDataCentre(), MayWait: ask.GetMayWait(),
+		ID: placementID(ask.GetKey()), DataCentre: ask.GetDataCentre(), MayWait: ask.GetMayWait(),
 		Until: now.Add(time.Duration(ask.GetLeftMs()) * time.Millisecond),
 	}
 	if ask.GetModel() == "" {
@@ -108,12 +108,13 @@
 		request.Prefix = append(request.Prefix, call.Part{ID: id, Tokens: int(ask.GetPartTokens()[i])})
 	}
 	if service.Engine != nil {
-		request.Stores = s.storesLocked(table, service.Engine)
+		request.Stores = s.kvStoresLocked(table, service.Engine)
 	}
 	return request
 }
 
-// holdingLocked names the server of a word on a prefix's holder.
+// holdingLocked converts a message that a server holds a prefix, and looks up the server's
+// ID by its address.
 func (s *state) holdingLocked(service string, held *jayv1.Held) routing.Holding {
 	holding := routing.Holding{
 		Server: held.GetAddress(), Address: held.GetAddress(), Version: held.GetVersion(),
@@ -136,106 +137,105 @@
 
 const percent = 100
 
-// requestName names a request that was asked for under a key.
-func requestName(key uint64) string { return strconv.FormatUint(key, 36) }
+// placementID returns the request ID that a router uses for the key of an ask.
+func placementID(key uint64) string { return strconv.FormatUint(key, 36) }
 
-// namesOfLocked are the listed servers of some hashes.
-func (s *state) namesOfLocked(hashes []uint32) []string {
-	var names []string
+// idsByHashLocked returns the IDs of the listed servers with the given name hashes.
+func (s *state) idsByHashLocked(hashes []uint32) []string {
+	var ids []string
 	byHash := s.list.ByHash(nameHash)
 	for _, hash := range hashes {
 		if b := byHash[hash]; b != nil {
-			names = append(names, b.ID)
+			ids = append(ids, b.ID)
 		}
 	}
-	return names
+	return ids
 }
 
-func offerOf(key uint64, choice *routing.DirectChoice) *jayv1.PlacementOffer {
+func newOffer(key uint64, choice *routing.DirectChoice) *jayv1.PlacementOffer {
 	return &jayv1.PlacementOffer{
 		Key: key, Outcome: jayv1.PlacementOffer_OUTCOME_SERVER,
 		Server: nameHash(choice.Server.ID), Version: choice.Server.Version,
-		FetchFrom: choice.FetchFrom, SaveTo: choice.SaveTo, Source: uint32(choice.Source), //nolint:gosec // few
-		QueueMs: wholeMS(choice.Terms.QueueMS), MemoryMs: wholeMS(choice.Terms.MemoryMS),
-		ReadMs: wholeMS(choice.Terms.ReadMS), TotalMs: wholeMS(choice.Terms.Total()),
+		FetchFrom: choice.FetchFrom, SaveTo: choice.SaveTo, Source: uint32(choice.Source), //nolint:gosec // a small enumeration
+		QueueMs: clampMS(choice.Terms.QueueMS), MemoryMs: clampMS(choice.Terms.MemoryMS),
+		ReadMs: clampMS(choice.Terms.ReadMS), TotalMs: clampMS(choice.Terms.Total()),
 	}
 }
 
-// wholeMS bounds a time that goes into a datagram.
-func wholeMS(ms float64) uint32 { return uint32(min(max(ms, 0), float64(time.Hour/time.Millisecond))) }
+// clampMS limits a time in milliseconds to the range from 0 to one hour.
+func clampMS(ms float64) uint32 { return uint32(min(max(ms, 0), float64(time.Hour/time.Millisecond))) }
 
-// progress takes in how an offered request goes on. Evidence on its server comes
-// from all entries, so that a server which is gone is known with the first
-// request that finds it so.
-func (s *state) progress(now time.Time, p *jayv1.PlacementProgress) {
+// applyProgress records how an offered request went on. Reports on a server come from all
+// entries, so the first request that finds a server gone is enough to exclude it.
+func (s *state) applyProgress(now time.Time, p *jayv1.PlacementProgress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	request := requestName(p.GetKey())
-	server := s.own.ServerOf(request)
+	request := placementID(p.GetKey())
+	server := s.shardRouter.ServerOf(request)
 	if server == "" {
 		return
 	}
 	if p.GetFirst() {
-		s.own.FirstToken(now, request)
+		s.shardRouter.FirstToken(now, request)
 	}
 	if p.GetHasLoad() {
-		// What is in it beyond the requests that we placed came from entries that
-		// could not ask us.
-		s.own.Told(now, server, call.Load{Running: int(p.GetRunning()), Waiting: int(p.GetWaiting())})
+		// Load beyond the requests placed here comes from entries that could not ask this
+		// owner.
+		s.shardRouter.Told(now, server, call.Load{Running: int(p.GetRunning()), Waiting: int(p.GetWaiting())})
 	}
 	if held := p.GetElsewhere(); held != nil {
-		s.own.WentElsewhere(now, request, s.holdingLocked(s.serviceOf(server), held))
+		s.shardRouter.WentElsewhere(now, request, s.holdingLocked(s.serviceOf(server), held))
 		return
 	}
 	if p.GetEnded() {
-		s.own.Finished(now, request, p.GetRan())
-		s.evidenceLocked(now, server, p)
+		s.shardRouter.Finished(now, request, p.GetRan())
+		s.applyEvidenceLocked(now, server, p)
 	}
 }
 
-// restLocked leaves a server that refused alone for a while: most likely it takes
-// the next weights.
-func (s *state) restLocked(now time.Time, server string) {
+// pauseServerLocked keeps requests from a server that refused one: most likely it is about
+// to load the next weights.
+func (s *state) pauseServerLocked(now time.Time, server string) {
 	next := uint64(0)
 	for key, version := range s.versions {
 		if key.server == server {
 			next = max(next, version+1)
 		}
 	}
-	s.switches[server] = switching{version: next, until: now.Add(refusalPause)}
+	s.switches[server] = weightSwitch{version: next, until: now.Add(refusalPause)}
 }
 
-// evidence is what an entry saw of the server that a request was sent to.
+// evidence is what an entry observed of the server that a request was sent to.
 type evidence struct {
-	failed, notListening, otherLifetime, refused bool
-	// version of the model that the server has, where it differs from what was
-	// believed; 0: nothing was seen.
+	failed, notListening, otherIncarnation, refused bool
+	// model and version are the weights that the server has, if they differ from the
+	// assumed ones. version is 0 if none were reported.
 	model   string
 	version uint64
 }
 
-// end is the word to the owner that the request ended.
-func (e *evidence) end(ran bool) *jayv1.PlacementProgress {
+// endedProgress builds the message to the owner that the request ended.
+func (e *evidence) endedProgress(ran bool) *jayv1.PlacementProgress {
 	return &jayv1.PlacementProgress{
-		Ended: true, Ran: ran, Failed: e.failed, NotListening: e.notListening, OtherLifetime: e.otherLifetime,
+		Ended: true, Ran: ran, Failed: e.failed, NotListening: e.notListening, OtherLifetime: e.otherIncarnation,
 		Refused: e.refused, Model: e.model, Version: e.version,
 	}
 }
 
-// evidenceLocked takes in what an entry saw of a server.
-func (s *state) evidenceLocked(now time.Time, server string, p *jayv1.PlacementProgress) {
+// applyEvidenceLocked records what an entry observed of a server.
+func (s *state) applyEvidenceLocked(now time.Time, server string, p *jayv1.PlacementProgress) {
 	if p.GetVersion() > 0 {
-		s.sawVersionLocked(server, p.GetModel(), p.GetVersion(), "entry")
+		s.observeVersionLocked(server, p.GetModel(), p.GetVersion(), "entry")
 	}
 	switch {
 	case p.GetOtherLifetime():
-		s.endLocked(now, server, "entry")
+		s.endIncarnationLocked(now, server, "entry")
 	case p.GetNotListening():
 		s.notListeningLocked(now, server)
 	case p.GetFailed():
 		s.members.Failed(now, server)
 	case p.GetRefused():
-		s.restLocked(now, server)
+		s.pauseServerLocked(now, server)
 	case p.GetRan():
 		s.members.Succeeded(now, server)
 	}
--- a/internal/gateway/owning_test.go
+++ b/internal/gateway/owning_test.go
@@ -18,15 +18,15 @@
 	"github.com/jayproxy/jayproxy/internal/weights"
 )
 
-var ownStart = time.Unix(1000, 0)
+var ownerTestStart = time.Unix(1000, 0)
 
-// newOwner is an entry that owns its part of 32 engines beside three others.
+// newOwner returns an entry that owns a part of 32 engines together with three others.
 func newOwner(node string) *state {
 	s := newState(Settings{Node: node, DataCentre: "a", LeaseTime: 3 * time.Second, VersionBound: 10 * time.Second}, func(string) {})
 	engines := &routetable.Service{Name: "engines", Engine: &routetable.Engine{Slots: 8, KVCapacityTokens: 100000}}
 	s.table.Store(&routetable.Table{Version: 1, Services: map[string]*routetable.Service{"engines": engines}})
 	for i := range 32 {
-		s.putBackend(ownStart, &fleet.Backend{
+		s.putBackend(ownerTestStart, &fleet.Backend{
 			Incarnation: fleet.Incarnation{Instance: fmt.Sprint("e", i), StartedMS: 1}, Service: "engines", Address: fmt.Sprintf("10.0.0.%d:1", i+1), Slots: 8,
 			Versions: map[string]uint64{"m": 1},
 		})
@@ -36,18 +36,18 @@
 		entries = append(entries, shard.Entry{Name: fmt.Sprint("gw", i), Address: fmt.Sprintf("10.1.0.%d:1", i), Cores: 1})
 	}
 	s.setOwners(entries)
-	s.nameVersion(ownStart, weights.Target{Model: "m", Version: 1}, "test")
+	s.nameVersion(ownerTestStart, weights.Target{Model: "m", Version: 1}, "test")
 	return s
 }
 
-func askFor(key uint64, document string) *jayv1.PlacementAsk {
+func newAsk(key uint64, document string) *jayv1.PlacementAsk {
 	return &jayv1.PlacementAsk{
 		Key: key, Service: "engines", Model: "m", Part: []string{document}, PartTokens: []uint32{5000}, Tokens: 6000,
 		OutputTokens: 100, MemoryPercent: percent, LeftMs: 10000,
 	}
 }
 
-func serverNamed(s *state, hash uint32) string {
+func serverByHash(s *state, hash uint32) string {
 	b := s.list.ByHash(nameHash)[hash]
 	if b == nil {
 		return ""
@@ -55,32 +55,31 @@
 	return b.ID
 }
 
-// Two entries asked for the same prefix at the same moment. Each chose by itself
-// before, and the prefix was read at two engines.
-func TestAnOwnerKeepsRequestsWithOnePrefixTogether(t *testing.T) {
+// Guards against the prefill of one prefix on two engines when two entries ask for it at
+// the same moment.
+func TestOwnerPlacesSamePrefixOnSameServer(t *testing.T) {
 	s := newOwner("gw1")
-	first, second := s.offer(ownStart, askFor(1, "aa")), s.offer(ownStart, askFor(2, "aa"))
+	first, second := s.offer(ownerTestStart, newAsk(1, "aa")), s.offer(ownerTestStart, newAsk(2, "aa"))
 	require.Equal(t, jayv1.PlacementOffer_OUTCOME_SERVER, first.GetOutcome())
 	assert.Equal(t, first.GetServer(), second.GetServer())
 }
 
-// The owner's servers are its own part of the list, and those that were tried
-// are left out.
-func TestAnOwnerOffersItsOwnServersOnly(t *testing.T) {
+// An owner must offer every server of its own shards, and none that were tried already.
+func TestOwnerOffersOnlyItsServers(t *testing.T) {
 	s := newOwner("gw1")
 	own := map[string]bool{}
 	for i, b := range s.list.OfService("engines") {
-		own[b.ID] = s.divisionLocked(ownStart, "engines").Owns("gw1", i)
+		own[b.ID] = s.divisionLocked(ownerTestStart, "engines").Owns("gw1", i)
 	}
 	var tried []uint32
 	for key := range uint64(32) {
-		ask := askFor(key, "aa")
+		ask := newAsk(key, "aa")
 		ask.Tried = tried
-		offer := s.offer(ownStart, ask)
+		offer := s.offer(ownerTestStart, ask)
 		if offer.GetOutcome() != jayv1.PlacementOffer_OUTCOME_SERVER {
 			break
 		}
-		assert.True(t, own[serverNamed(s, offer.GetServer())])
+		assert.True(t, own[serverByHash(s, offer.GetServer())])
 		assert.NotContains(t, tried, offer.GetServer())
 		tried = append(tried, offer.GetServer())
 	}
@@ -90,48 +89,47 @@
 			count++
 		}
 	}
-	assert.Len(t, tried, count, "each is offered before there is none")
+	assert.Len(t, tried, count, "every owned server is offered once")
 }
 
-// An engine crashed. Each of a hundred entries found that out by itself, with
-// requests of its own, until the list showed it some seconds later.
-func TestWhatOneEntrySawOfAServerCountsForAll(t *testing.T) {
+// Guards against every entry having to find a crashed engine with a request of its own.
+func TestOwnerAppliesEvidenceFromOtherEntries(t *testing.T) {
 	s := newOwner("gw1")
-	offer := s.offer(ownStart, askFor(1, "aa"))
-	s.progress(ownStart, &jayv1.PlacementProgress{Key: 1, Ended: true, NotListening: true})
-	assert.NotEqual(t, offer.GetServer(), s.offer(ownStart, askFor(2, "aa")).GetServer())
+	offer := s.offer(ownerTestStart, newAsk(1, "aa"))
+	s.applyProgress(ownerTestStart, &jayv1.PlacementProgress{Key: 1, Ended: true, NotListening: true})
+	assert.NotEqual(t, offer.GetServer(), s.offer(ownerTestStart, newAsk(2, "aa")).GetServer())
 }
 
-// A word that a request ended was lost, or its entry died. The owner must not
-// count the request at the server for ever.
-func TestARequestWhoseEndIsNotToldIsForgotten(t *testing.T) {
+// Guards against a request being counted for good when the message of its end is lost, or
+// its entry crashed.
+func TestOwnerForgetsRequestWithoutEndReport(t *testing.T) {
 	s := newOwner("gw1")
-	server := serverNamed(s, s.offer(ownStart, askFor(1, "aa")).GetServer())
-	require.Equal(t, 1, s.own.Running(server))
-	s.tick(ownStart.Add(9 * time.Second))
-	assert.Equal(t, 1, s.own.Running(server), "it may still run")
-	s.tick(ownStart.Add(11 * time.Second))
-	assert.Zero(t, s.own.Running(server))
+	server := serverByHash(s, s.offer(ownerTestStart, newAsk(1, "aa")).GetServer())
+	require.Equal(t, 1, s.shardRouter.Running(server))
+	s.tick(ownerTestStart.Add(9 * time.Second))
+	assert.Equal(t, 1, s.shardRouter.Running(server), "the request may still be running")
+	s.tick(ownerTestStart.Add(11 * time.Second))
+	assert.Zero(t, s.shardRouter.Running(server))
 }
 
-// A request went to another owner's engine, as the first owner's were busy. The
-// next one with its prefix is to fetch it there rather than read it once more.
-func TestAnOwnerKnowsWhoHoldsAPrefixElsewhere(t *testing.T) {
+// After a request went to another owner's engine, the next one with the same prefix must
+// fetch the prefix from there instead of repeating its prefill.
+func TestOwnerOffersFetchFromOtherOwnersServer(t *testing.T) {
 	s := newOwner("gw1")
-	first := s.offer(ownStart, askFor(1, "aa"))
+	first := s.offer(ownerTestStart, newAsk(1, "aa"))
 	var other *fleet.Backend
 	for i, b := range s.list.OfService("engines") {
-		if !s.divisionLocked(ownStart, "engines").Owns("gw1", i) {
+		if !s.divisionLocked(ownerTestStart, "engines").Owns("gw1", i) {
 			other = b
 		}
 	}
-	s.progress(ownStart, &jayv1.PlacementProgress{Key: 1, Ended: true, Elsewhere: &jayv1.Held{Address: other.Address, Version: 1, ReadyMs: 100}})
-	next := s.offer(ownStart.Add(time.Second), askFor(2, "aa"))
+	s.applyProgress(ownerTestStart, &jayv1.PlacementProgress{Key: 1, Ended: true, Elsewhere: &jayv1.Held{Address: other.Address, Version: 1, ReadyMs: 100}})
+	next := s.offer(ownerTestStart.Add(time.Second), newAsk(2, "aa"))
 	assert.Equal(t, other.Address, next.GetFetchFrom())
 	assert.Less(t, next.GetReadMs(), first.GetReadMs())
 }
 
-// datagramPair are two entries with open ports.
+// datagramPair returns two entries with open datagram ports.
 func datagramPair(t *testing.T) (one, other *Gateway) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -149,63 +147,63 @@
 	return one, open("gw2", net.JoinHostPort("127.0.0.2", port))
 }
 
-// A question goes to another process and back; a word on it later reaches the
-// same request there.
-func TestAnOwnerIsAskedByDatagram(t *testing.T) {
+// An ask, its offer and the report of the request's end must reach the right process and
+// request.
+func TestAskAndOfferByDatagram(t *testing.T) {
 	one, other := datagramPair(t)
 	owner := shard.Entry{Name: "gw2", Address: "127.0.0.2:1"}
-	offer := one.placements.askOwner(context.Background(), owner, askFor(7, "aa"))
+	offer := one.placements.askOwner(context.Background(), owner, newAsk(7, "aa"))
 	require.NotNil(t, offer)
 	require.Equal(t, jayv1.PlacementOffer_OUTCOME_SERVER, offer.GetOutcome())
 	running := func() int {
 		other.state.mu.Lock()
 		defer other.state.mu.Unlock()
-		return other.state.own.Running(serverNamed(other.state, offer.GetServer()))
+		return other.state.shardRouter.Running(serverByHash(other.state, offer.GetServer()))
 	}
 	assert.Equal(t, 1, running())
 	one.placements.releaseOffer(&ownerOffer{owner: owner, PlacementOffer: offer}, nil)
 	assert.Eventually(t, func() bool { return running() == 0 }, time.Second, time.Millisecond)
 }
 
-// An owner answered when the entry that asked had gone on alone. The owner must
-// hear that its offer is not used: it would count a request that never comes.
-func TestALateOfferIsGivenBack(t *testing.T) {
+// Guards against counting a request that never arrives: an offer received after the
+// timeout must be returned to its owner.
+func TestLateOfferIsReturned(t *testing.T) {
 	one, other := datagramPair(t)
-	offer := other.state.offer(time.Now(), askFor(9, "aa"))
-	server := serverNamed(other.state, offer.GetServer())
+	offer := other.state.offer(time.Now(), newAsk(9, "aa"))
+	server := serverByHash(other.state, offer.GetServer())
 	from := other.datagrams.conn.LocalAddr().(*net.UDPAddr)
 	one.placements.receiveOffer(offer, from)
 	assert.Eventually(t, func() bool {
 		other.state.mu.Lock()
 		defer other.state.mu.Unlock()
-		return other.state.own.Running(server) == 0
+		return other.state.shardRouter.Running(server) == 0
 	}, time.Second, time.Millisecond)
 }
 
-// A request asks an owner that is gone. It must wait for some milliseconds only,
-// and the owner is passed over from then on.
-func TestASilentOwnerCostsLittle(t *testing.T) {
+// An owner that does not answer must cost a request no more than the timeout, and must be
+// excluded afterwards.
+func TestUnresponsiveOwnerIsExcluded(t *testing.T) {
 	one, _ := datagramPair(t)
-	gone := shard.Entry{Name: "gw3", Address: "127.0.0.9:1"}
-	begun := time.Now()
-	assert.Nil(t, one.placements.askOwner(context.Background(), gone, askFor(1, "aa")))
-	assert.Less(t, time.Since(begun), 10*ownerTimeout)
+	unresponsive := shard.Entry{Name: "gw3", Address: "127.0.0.9:1"}
+	start := time.Now()
+	assert.Nil(t, one.placements.askOwner(context.Background(), unresponsive, newAsk(1, "aa")))
+	assert.Less(t, time.Since(start), 10*ownerTimeout)
 	time.Sleep(ownerTimeout)
-	assert.Nil(t, one.placements.askOwner(context.Background(), gone, askFor(2, "aa")))
+	assert.Nil(t, one.placements.askOwner(context.Background(), unresponsive, newAsk(2, "aa")))
 	one.state.mu.Lock()
 	defer one.state.mu.Unlock()
 	for _, owner := range one.state.divisionLocked(time.Now(), "engines").Owners {
-		assert.NotEqual(t, gone.Name, owner.Name)
+		assert.NotEqual(t, unresponsive.Name, owner.Name)
 	}
 }
 
-// A rollout's news came to the owners by datagram, one of which was lost.
-func TestSwitchesComeByDatagram(t *testing.T) {
+// Switch updates must survive encoding into datagrams, and be split over several of them.
+func TestSwitchUpdatesByDatagram(t *testing.T) {
 	s := newOwner("gw1")
 	b := s.list.OfService("engines")[3]
-	news := []switchNews{{Server: b.ID, Model: "m", Version: 2, ForMS: 1500, Ordered: true}}
-	words := switchWords(news)
-	require.Len(t, words, 1)
-	assert.Equal(t, news, s.switchesOf(words[0].GetSwitches()))
-	assert.Len(t, switchWords(make([]switchNews, 2*switchesPerWord+1)), 3)
+	updates := []switchUpdate{{Server: b.ID, Model: "m", Version: 2, ForMS: 1500, Ordered: true}}
+	datagrams := switchDatagrams(updates)
+	require.Len(t, datagrams, 1)
+	assert.Equal(t, updates, s.switchUpdatesOf(datagrams[0].GetSwitches()))
+	assert.Len(t, switchDatagrams(make([]switchUpdate, 2*switchesPerDatagram+1)), 3)
 }
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -31,14 +31,14 @@
 // bandwidth limit, and each entry would decide by a small part of all
 // placements.
 func (g *Gateway) sharded() bool {
-	return g.peers.count() > tellAllAtMost && g.datagrams.conn != nil
+	return g.peers.count() > maxUnshardedEntries && g.datagrams.conn != nil
 }
 
 // decidingEntries is the number of entries that place requests by their own
 // view of all servers.
 func (g *Gateway) decidingEntries() int {
 	if g.sharded() {
-		return g.peers.strong()
+		return g.peers.strongCount()
 	}
 	return g.peers.count()
 }
@@ -146,7 +146,7 @@
 		return
 	}
 	p.gateway.metrics.Count("placement_late", "given back", 1)
-	p.gateway.datagrams.tell(from, progressDatagram(&jayv1.PlacementProgress{Key: offer.GetKey(), Ended: true}))
+	p.gateway.datagrams.trySend(from, progressDatagram(&jayv1.PlacementProgress{Key: offer.GetKey(), Ended: true}))
 }
 
 func progressDatagram(p *jayv1.PlacementProgress) *jayv1.Datagram {
@@ -157,11 +157,11 @@
 func (p *placementClient) sendProgress(owner shard.Entry, progress *jayv1.PlacementProgress) {
 	g := p.gateway
 	if owner.Name != g.settings.Node {
-		g.datagrams.tell(g.datagrams.addressOf(owner.Address), progressDatagram(progress))
+		g.datagrams.trySend(g.datagrams.addressOf(owner.Address), progressDatagram(progress))
 		return
 	}
 	// Evidence about the server is left out: this entry has recorded it already.
-	g.state.progress(time.Now(), &jayv1.PlacementProgress{
+	g.state.applyProgress(time.Now(), &jayv1.PlacementProgress{
 		Key: progress.GetKey(), First: progress.GetFirst(), Ended: progress.GetEnded(), Elsewhere: progress.GetElsewhere(),
 		HasLoad: progress.GetHasLoad(), Running: progress.GetRunning(), Waiting: progress.GetWaiting(),
 	})
@@ -266,7 +266,7 @@
 	if !s.shards.MayAsk(now) {
 		return ask, nil
 	}
-	return ask, s.divisionLocked(now, j.service.Name).OwnersFor(request.HomeKey(s.book.Newest(ask.Model)))
+	return ask, s.divisionLocked(now, j.service.Name).OwnersFor(request.HomeKey(s.weights.Newest(ask.Model)))
 }
 
 // acceptOffer places the request at the offered server and counts it there. It
@@ -286,7 +286,7 @@
 	}
 	model := j.modelName()
 	if model != "" {
-		s.sawVersionLocked(b.ID, model, offer.GetVersion(), "owner")
+		s.observeVersionLocked(b.ID, model, offer.GetVersion(), "owner")
 	}
 	server := s.serverLocked(now, j.service, model, b)
 	if j.isFull(&server) || server.VersionAge > s.settings.VersionBound-versionMargin {
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -16,40 +16,43 @@
 )
 
 const (
-	// rolloutLease names the lease of the entry that gives orders.
+	// rolloutLease is the name of the lease that entitles an entry to send load orders.
 	rolloutLease = "rollout"
-	// rolloutTick between two looks at what is to be done.
-	rolloutTick = 50 * time.Millisecond
-	// announceTime is how long an announced server is left alone without
-	// further word: a holder that dies must not keep it idle.
-	announceTime = 1500 * time.Millisecond
-	// orderTime is the same for a server that was ordered.
-	orderTime = 2500 * time.Millisecond
-	// contenders for the lease in ordinary times.
-	contenders = 2
-	// helpAfter is the age of replaced weights from which any entry contends.
-	helpAfter = 4 * time.Second
-	// newsLife is how long the last news of a holder shows that there is one. It
-	// announces and orders servers several times a second while there is work.
-	newsLife = 2 * time.Second
-	// engineCallTime bounds a report or an order.
-	engineCallTime = 800 * time.Millisecond
-	// leaseMarginShare of the lease's time the holder stops to act before its end.
+	// rolloutInterval is the time between two checks for work.
+	rolloutInterval = 50 * time.Millisecond
+	// announceDuration is how long an announced server gets no requests if no further
+	// update follows: a holder that crashes must not keep it idle.
+	announceDuration = 1500 * time.Millisecond
+	// orderDuration is the same for a server that was sent a load order.
+	orderDuration = 2500 * time.Millisecond
+	// ordinaryContenders is the number of entries that always contend for the lease.
+	ordinaryContenders = 2
+	// contendAfter is the age of replaced weights from which any entry contends for the
+	// lease.
+	contendAfter = 4 * time.Second
+	// holderTimeout is the time without an update after which the holder counts as
+	// inactive. While there is work, it sends several updates a second.
+	holderTimeout = 2 * time.Second
+	// engineCallTimeout bounds a report or an order.
+	engineCallTimeout = 800 * time.Millisecond
+	// leaseMarginShare is how long before the end of its lease the holder stops acting,
+	// leaseRenewShare how often the lease is renewed and watched, as shares of
+	// Settings.LeaseTime.
 	leaseMarginShare = 0.25
 	leaseRenewShare  = 0.3
 )
 
-// rollouts gives orders while this entry holds the lease.
+// rollouts sends load orders while this entry holds the lease.
 type rollouts struct {
 	gateway *Gateway
 	mu      sync.Mutex
 	plans   map[string]*rollout.Plan
 	fence   uint64
-	// beatAt is when the others were last shown that the holder works.
-	beatAt time.Time
-	// started is when this process began to hear what other holders order, heldAt
+	// heartbeatAt is when the last heartbeat was sent to the other entries.
+	heartbeatAt time.Time
+	// startedAt is when this process began to receive the orders of other holders, heldAt
 	// when it took the lease.
-	started, heldAt time.Time
+	startedAt, heldAt time.Time
 }
 
 func (g *Gateway) startRollouts(ctx context.Context) {
@@ -59,18 +62,17 @@
 		Renew: time.Duration(float64(bound) * leaseRenewShare), Watch: time.Duration(float64(bound) * leaseRenewShare),
 	}
 	g.keeper = lease.KeepIf(ctx, g.ports.Table, rolloutLease, g.settings.Node, settings, lease.BootClock, g.contends)
-	r := &rollouts{gateway: g, plans: map[string]*rollout.Plan{}, started: time.Now()}
-	g.spawn(func() { g.every(ctx, rolloutTick, func(now time.Time) { r.tick(ctx, now) }) })
+	r := &rollouts{gateway: g, plans: map[string]*rollout.Plan{}, startedAt: time.Now()}
+	g.spawn(func() { g.every(ctx, rolloutInterval, func(now time.Time) { r.tick(ctx, now) }) })
 }
 
-// contends tells whether this entry tries for the lease. The first few of the
-// fleet do; the others only when weights that were replaced some time ago still
-// serve and nobody was heard to change that. With the age alone every entry of
-// a large fleet looked at the lease while new weights went round as they should:
-// 732 of 1,090 calls to the store on a quiet day.
+// contends reports whether this entry contends for the lease. The first few entries always
+// do. The others do only if weights that were replaced some time ago are still in use and
+// no holder is active: a rollout in a large fleet may take longer than contendAfter, and
+// should not make all entries read the lease.
 func (g *Gateway) contends() bool {
 	rank, _ := g.peers.rank(everyEntry)
-	if rank >= 0 && rank < contenders {
+	if rank >= 0 && rank < ordinaryContenders {
 		return true
 	}
 	return g.state.needsHolder(time.Now())
@@ -85,10 +87,11 @@
 	}
 }
 
-// mayAct tells whether this entry gives orders now. One that started less than
-// a lease ago may not have heard what an earlier holder ordered, and a server
-// must not see two holders by turns: it waits, unless it is the first holder
-// of all. One that is told of no orders waits from when it took the lease. One that heard leaves just those servers alone (state.orderedAt).
+// mayAct reports whether this entry may send orders now. Unless it is the first holder of
+// all, it must have received the orders of earlier holders for the duration of a lease, so
+// that no server gets orders from two holders in turn. An entry that is not sent the
+// orders of others waits that long after taking the lease. Servers that another holder has
+// ordered recently are skipped (state.orderedAt).
 func (r *rollouts) mayAct(now time.Time) bool {
 	fence, held := r.gateway.keeper.Held()
 	r.mu.Lock()
@@ -101,20 +104,20 @@
 		klog.InfoS("Lease held", "lease", rolloutLease, "fence", fence, "inherited", r.gateway.keeper.Inherited())
 		r.fence, r.plans, r.heldAt = fence, map[string]*rollout.Plan{}, now
 	}
-	since := r.started
-	if !r.gateway.hearsOrders(now) {
+	since := r.startedAt
+	if !r.gateway.receivesOrders(now) {
 		since = r.heldAt
 	}
 	return !r.gateway.keeper.Inherited() || now.Sub(since) >= r.gateway.settings.LeaseTime
 }
 
-// hearsOrders tells whether this entry is told of the orders of other holders: in
-// large fleets the owners of shards are, and those that contend first.
-func (g *Gateway) hearsOrders(now time.Time) bool {
+// receivesOrders reports whether this entry is sent the orders of other holders. In large
+// fleets only the owners of shards and the first contenders are.
+func (g *Gateway) receivesOrders(now time.Time) bool {
 	if !g.sharded() {
 		return true
 	}
-	if rank, _ := g.peers.rank(everyEntry); rank >= 0 && rank <= contenders {
+	if rank, _ := g.peers.rank(everyEntry); rank >= 0 && rank <= ordinaryContenders {
 		return true
 	}
 	return slices.ContainsFunc(g.state.owners(now), func(o shard.Entry) bool { return o.Name == g.settings.Node })
@@ -130,59 +133,59 @@
 	actions := plan.Tick(now, model.wanted, model.servers)
 	fence := r.fence
 	r.mu.Unlock()
-	var news []switchNews
+	var updates []switchUpdate
 	for _, action := range actions {
-		klog.InfoS("Rollout", "model", model.name, "action", action.Kind.String(), "server", action.Server, "version", action.Version, "orders", action.Orders)
+		klog.InfoS("Rollout action", "model", model.name, "action", action.Kind.String(), "server", action.Server, "version", action.Version, "orders", action.Orders)
 		switch action.Kind {
 		case rollout.Announce:
-			news = append(news, switchNews{Server: action.Server, Model: model.name, Version: action.Version, ForMS: announceTime.Milliseconds()})
+			updates = append(updates, switchUpdate{Server: action.Server, Model: model.name, Version: action.Version, ForMS: announceDuration.Milliseconds()})
 		case rollout.Order:
-			news = append(news, switchNews{Server: action.Server, Model: model.name, Version: action.Version, ForMS: orderTime.Milliseconds(), Ordered: true})
+			updates = append(updates, switchUpdate{Server: action.Server, Model: model.name, Version: action.Version, ForMS: orderDuration.Milliseconds(), Ordered: true})
 			go r.order(ctx, plan, model.name, action, fence)
 		case rollout.Look:
-			go r.look(ctx, plan, model.name, action)
+			go r.queryReport(ctx, plan, model.name, action)
 		case rollout.Withdraw:
-			news = append(news, switchNews{Server: action.Server, Model: model.name, Withdrawn: true})
+			updates = append(updates, switchUpdate{Server: action.Server, Model: model.name, Withdrawn: true})
 		}
 	}
-	r.gateway.spreadSwitches(ctx, news)
-	r.beat(now, model)
+	r.gateway.sendSwitchUpdates(ctx, updates)
+	r.heartbeat(now, model)
 }
 
-// beat shows the other entries of a large fleet that this one is at work while
-// a server is left that has older weights. They hear of no single server.
-func (r *rollouts) beat(now time.Time, model rollingModel) {
+// heartbeat shows the other entries of a large fleet that this holder is active, while any
+// server has older weights. Most of them receive no updates on single servers.
+func (r *rollouts) heartbeat(now time.Time, model rollingModel) {
 	working := slices.ContainsFunc(model.servers, func(s rollout.Server) bool { return s.Version < model.wanted })
-	if !working || !r.gateway.sharded() || now.Sub(r.beatAt) < beatPause {
+	if !working || !r.gateway.sharded() || now.Sub(r.heartbeatAt) < heartbeatInterval {
 		return
 	}
-	r.beatAt = now
-	r.gateway.beat()
+	r.heartbeatAt = now
+	r.gateway.sendHeartbeat()
 }
 
-// order gives one order, if the lease is still held.
+// order sends one load order if the lease is still held.
 func (r *rollouts) order(ctx context.Context, plan *rollout.Plan, model string, action rollout.Action, fence uint64) {
-	ctx, cancel := context.WithTimeout(ctx, engineCallTime)
+	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	current, held := r.gateway.keeper.Held()
 	if !held || current != fence {
-		klog.InfoS("Order not given: the lease is gone", "server", action.Server, "fence", fence)
+		klog.InfoS("Order not sent: lease no longer held", "server", action.Server, "fence", fence)
 		return
 	}
 	outcome, err := r.gateway.ports.Engines.Order(ctx, call.LoadOrder{
 		Instance: fleet.InstanceOf(action.Server), Address: action.Address, Model: model, Version: action.Version,
 		Mode: call.LoadKeepRunning, Holder: r.gateway.settings.Node, Fence: fence, Expected: action.Orders,
 	})
-	klog.InfoS("Order given", "server", action.Server, "version", action.Version, "fence", fence, "outcome", outcome.String(), "err", err)
+	klog.InfoS("Order sent", "server", action.Server, "version", action.Version, "fence", fence, "outcome", outcome.String(), "err", err)
 	r.gateway.metrics.Count("orders", outcome.String(), 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch outcome {
 	case call.OrderAlreadyLoaded:
 		plan.AlreadyLoaded(action.Server)
-		r.gateway.spreadSwitches(ctx, []switchNews{{Server: action.Server, Model: model, Version: action.Version}})
+		r.gateway.sendSwitchUpdates(ctx, []switchUpdate{{Server: action.Server, Model: model, Version: action.Version}})
 	case call.OrderMisdirected:
-		r.gateway.state.lifetimeOver(time.Now(), action.Server, "order")
+		r.gateway.state.incarnationEnded(time.Now(), action.Server, "order")
 		plan.OrderRefused(time.Now(), action.Server)
 	case call.OrderBusy, call.OrderInvalid, call.OrderNotSent, call.OrderFenced:
 		plan.OrderRefused(time.Now(), action.Server)
@@ -190,8 +193,8 @@
 	}
 }
 
-func (r *rollouts) look(ctx context.Context, plan *rollout.Plan, model string, action rollout.Action) {
-	callCtx, cancel := context.WithTimeout(ctx, engineCallTime)
+func (r *rollouts) queryReport(ctx context.Context, plan *rollout.Plan, model string, action rollout.Action) {
+	callCtx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	report, err := r.gateway.ports.Engines.Report(callCtx, fleet.InstanceOf(action.Server), action.Address)
 	if err != nil {
@@ -199,7 +202,7 @@
 		r.gateway.state.reportFailed(time.Now(), action.Server, err)
 		return
 	}
-	if !r.gateway.state.ofLifetime(time.Now(), action.Server, &report) {
+	if !r.gateway.state.reportIsCurrent(time.Now(), action.Server, &report) {
 		return
 	}
 	version := report.Versions[model]
@@ -207,11 +210,12 @@
 	plan.ObserveState(action.Server, rollout.ServerState{Version: version, Busy: report.Busy, Orders: report.Orders, Running: report.Running, Queued: report.Queued})
 	r.mu.Unlock()
 	if version > r.gateway.state.versionOf(action.Server, model) && !report.Busy {
-		r.gateway.spreadSwitches(ctx, []switchNews{{Server: action.Server, Model: model, Version: version}})
+		r.gateway.sendSwitchUpdates(ctx, []switchUpdate{{Server: action.Server, Model: model, Version: version}})
 	}
 }
 
-// rollingModel is a model whose servers do not all have the newest weights.
+// rollingModel is a model with the newest version of its weights and the servers that may
+// be ordered to load it.
 type rollingModel struct {
 	name    string
 	wanted  uint64
@@ -226,8 +230,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var rolling []rollingModel
-	for _, name := range s.book.Models() {
-		model := rollingModel{name: name, wanted: s.book.Newest(name)}
+	for _, name := range s.weights.Models() {
+		model := rollingModel{name: name, wanted: s.weights.Newest(name)}
 		for _, b := range s.list.All() {
 			if _, has := b.Versions[name]; !has || b.Draining || s.list.Ended(now, b.ID) || now.Sub(s.orderedAt[b.Instance]) < s.settings.LeaseTime {
 				continue
@@ -247,21 +251,21 @@
 	return s.versions[versionKey{server, model}]
 }
 
-// needsHolder tells whether old weights serve and nobody changes that.
+// needsHolder reports whether replaced weights are still in use and no holder is active.
 func (s *state) needsHolder(now time.Time) bool {
 	s.mu.Lock()
-	quiet := now.Sub(s.holderHeard) > newsLife
+	inactive := now.Sub(s.holderSeenAt) > holderTimeout
 	s.mu.Unlock()
-	return quiet && s.oldestAge(now) > helpAfter
+	return inactive && s.oldestAge(now) > contendAfter
 }
 
-// oldestAge is how long ago the oldest weights that still serve were replaced.
+// oldestAge returns the time since the oldest weights still in use were replaced.
 func (s *state) oldestAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	oldest := time.Duration(0)
 	for key, version := range s.versions {
-		oldest = max(oldest, s.book.Age(now, key.model, version))
+		oldest = max(oldest, s.weights.Age(now, key.model, version))
 	}
 	return oldest
 }
--- a/internal/gateway/size_test.go
+++ b/internal/gateway/size_test.go
@@ -12,7 +12,7 @@
 // The datagrams for one model request must take less than a twentieth of its 12
 // KB body, whatever the size of the fleet.
 func TestWordsOnARequestAreSmall(t *testing.T) {
-	ask := askFor(1<<63, "91bd3f06")
+	ask := newAsk(1<<63, "91bd3f06")
 	ask.Service, ask.Model, ask.DataCentre, ask.Wall = "modelos", "daka510000", "quito-sala-a", "ctnfzs"
 	ask.Part, ask.PartTokens = []string{"5c1e07a2", "91bd3f06"}, []uint32{512, 5382}
 	datagrams := map[string]*jayv1.Datagram{
@@ -25,7 +25,7 @@
 	}
 	total := 0
 	for name, datagram := range datagrams {
-		size := proto.Size(datagram) + overheadBytes
+		size := proto.Size(datagram) + datagramOverheadBytes
 		t.Logf("%s: %d bytes with headers", name, size)
 		total += size
 	}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -19,66 +19,71 @@
 )
 
 const (
-	// listGrace is how long an entry of the list may be missing after an outage
-	// of the store: servers that are alive write themselves back within 2 s.
+	// listGrace is how long a registration may be missing from the list of backend servers
+	// after a store outage. Servers that are alive register again within 2 s.
 	listGrace = 2500 * time.Millisecond
-	// versionMargin before the bound from which older weights get no request:
-	// the request is still on its way then.
+	// versionMargin is subtracted from Settings.VersionBound: a request sent shortly
+	// before the bound would reach the server after it.
 	versionMargin = 1500 * time.Millisecond
-	// budgetShare of the allowed second sends that all entries use together:
-	// entries that restart have forgotten what they sent.
-	budgetShare = 0.7
+	// retryBudgetShare is the share of the permitted retries that all entries together
+	// use. The rest is kept for entries that restart and lose their counts.
+	retryBudgetShare = 0.7
 )
 
-// state is what an entry believes. Its parts are pure; the lock is held for
-// short steps only, never over I/O.
+// state is this entry's view of the fleet. Its parts do no I/O. mu is held for short
+// computations only, never during I/O.
 type state struct {
 	settings Settings
 	table    atomic.Pointer[routetable.Table]
 
 	mu      sync.Mutex
 	list    *fleet.List
-	book    *weights.Targets
+	weights *weights.Targets
 	members *membership.Members
-	// router places our own requests where no other entry is asked, and counts all
-	// of them; own places those of all entries in the shards that are ours.
-	router   *routing.Direct
-	own      *routing.Direct
-	shards   *shard.Map
+	// router places this entry's requests when no owner is asked, and counts all requests
+	// that this entry sends. shardRouter places requests of all entries on servers in the
+	// shards that this entry owns.
+	router      *routing.Direct
+	shardRouter *routing.Direct
+	shards      *shard.Map
+	// versions holds the reported weight versions, switches the changes of weights by
+	// server ID.
 	versions map[versionKey]uint64
-	switches map[string]switching
-	// orderedAt is when another entry last ordered a server, by the server's own
-	// name: what it did in an earlier lifetime counts too.
+	switches map[string]weightSwitch
+	// orderedAt is when another entry last sent a load order to a server, by instance
+	// name: an order to an earlier incarnation counts too.
 	orderedAt map[string]time.Time
-	// holderHeard is when another entry last announced or ordered a server.
-	holderHeard time.Time
-	budgets     map[string]*retry.Window
-	entries     int
-	// room holds the requests that wait for memory, waiters who asked.
-	room    *waitroom.Queue
-	waiters map[string]*waiter
-	// stores of kept cache as the engines storesOf see them.
-	stores   []routing.KeptStore
-	storesOf *routetable.Engine
-	// storesDown holds the addresses of stores that do not answer.
-	storesDown map[string]bool
-	// scratch of candidatesLocked.
+	// holderSeenAt is when another entry was last seen rolling out weights.
+	holderSeenAt time.Time
+	retryBudgets map[string]*retry.Window
+	entryCount   int
+	// waitQueue holds the requests that wait for engine memory, waiters their jobs by
+	// request ID.
+	waitQueue *waitroom.Queue
+	waiters   map[string]*waiter
+	// kvStores are the KV cache stores as seen from engines of type kvStoresEngine.
+	kvStores       []routing.KeptStore
+	kvStoresEngine *routetable.Engine
+	// kvStoresDown holds the addresses of the KV cache stores that do not answer.
+	kvStoresDown map[string]bool
+	// scratch is the buffer behind the results of candidatesLocked and candidatesAtLocked.
 	scratch []routing.DirectServer
-	// membersStale: the list changed since membership was last told.
+	// membersStale is set when the list has changed since members was last updated.
 	membersStale bool
-	// listReady: the list was read at least once.
+	// listReady is set once the list has been read.
 	listReady bool
-	// suspects are requests under which servers crashed.
+	// suspects are the requests under which servers crashed.
 	suspects *suspects
-	// closeIdle closes the kept connections to an address.
+	// closeIdle closes the idle connections to an address.
 	closeIdle func(address string)
 }
 
-// versionKey is a model at one lifetime of a backend server.
+// versionKey identifies a model on one incarnation of a backend server.
 type versionKey struct{ server, model string }
 
-// switching is a server that is about to take new weights, or does so.
-type switching struct {
+// weightSwitch is an announced or running change of a server to new weights. It lapses at
+// until.
+type weightSwitch struct {
 	version uint64
 	until   time.Time
 }
@@ -87,25 +92,25 @@
 	return &state{
 		settings: settings, closeIdle: closeIdle,
 		list:    fleet.NewList(listGrace),
-		book:    weights.NewTargets(),
+		weights: weights.NewTargets(),
 		members: membership.New(membership.DefaultSettings()),
 		router: routing.NewDirect(routing.DirectOptions{
 			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin,
 		}),
-		own: routing.NewDirect(routing.DirectOptions{
+		shardRouter: routing.NewDirect(routing.DirectOptions{
 			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin, Sole: true,
 		}),
 		shards:   shard.NewMap(),
 		versions: map[versionKey]uint64{},
-		switches: map[string]switching{}, orderedAt: map[string]time.Time{},
-		budgets: map[string]*retry.Window{},
-		entries: 1, storesDown: map[string]bool{},
-		room: waitroom.New(), waiters: map[string]*waiter{},
+		switches: map[string]weightSwitch{}, orderedAt: map[string]time.Time{},
+		retryBudgets: map[string]*retry.Window{},
+		entryCount:   1, kvStoresDown: map[string]bool{},
+		waitQueue: waitroom.New(), waiters: map[string]*waiter{},
 		suspects: newSuspects(),
 	}
 }
 
-// adoptTable swaps the configuration for a newer one; it never goes back.
+// adoptTable puts a newer configuration in force. Versions that are not newer are ignored.
 func (s *state) adoptTable(table *routetable.Table, source string) {
 	for {
 		old := s.table.Load()
@@ -119,35 +124,35 @@
 	}
 }
 
-// nameVersion takes in that an operator named new weights.
+// nameVersion records that an operator named a version as the one to serve.
 func (s *state) nameVersion(now time.Time, named weights.Target, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Set(now, named) {
+	if s.weights.Set(now, named) {
 		klog.InfoS("New weights named", "model", named.Model, "version", named.Version, "source", source)
 	}
 }
 
-// learnWeights takes in another entry's history of named versions.
-func (s *state) learnWeights(now time.Time, steps map[string][]weights.VersionAge) {
+// mergeWeightHistory adds another entry's record of when versions were named.
+func (s *state) mergeWeightHistory(now time.Time, steps map[string][]weights.VersionAge) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for model, of := range steps {
-		s.book.MergeHistory(now, model, of)
+	for model, history := range steps {
+		s.weights.MergeHistory(now, model, history)
 	}
 }
 
-// tick lets what is too old lapse.
+// tick removes expired state and applies the resulting changes of the list.
 func (s *state) tick(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	gone, listed := s.list.Tick(now)
 	for _, b := range gone {
-		s.leftLocked(now, b, "missing after outage, or of a later lifetime than its entry tells")
+		s.forgetIncarnationLocked(now, b, "not registered again after a store outage, or replaced by a registration of an earlier incarnation")
 	}
 	for _, b := range listed {
-		klog.InfoS("Entry of an earlier lifetime stands; taken", "server", b.ID, "address", b.Address)
-		s.listedLocked(b)
+		klog.InfoS("Registration of an earlier incarnation persists; accepted", "server", b.ID, "address", b.Address)
+		s.initListedLocked(b)
 		s.membersStale = true
 	}
 	s.refreshMembersLocked(now)
@@ -162,29 +167,29 @@
 		}
 	}
 	s.members.Tick(now)
-	s.own.Expire(now)
+	s.shardRouter.Expire(now)
 }
 
-// routers are all that believe something of the servers.
-func (s *state) routers() [2]*routing.Direct { return [2]*routing.Direct{s.router, s.own} }
+// routers returns all routers that keep state of the servers.
+func (s *state) routers() [2]*routing.Direct { return [2]*routing.Direct{s.router, s.shardRouter} }
 
-// emptiedLocked takes in that a server holds no cached part any more.
-func (s *state) emptiedLocked(server string) {
+// cacheClearedLocked records that a server's prefix cache is empty.
+func (s *state) cacheClearedLocked(server string) {
 	for _, router := range s.routers() {
 		router.Emptied(server)
 	}
 }
 
-// sawVersionLocked takes in a version that a server has. A lifetime's version
-// only rises, so the highest word is the newest, whatever its way.
-func (s *state) sawVersionLocked(server, model string, version uint64, source string) {
+// observeVersionLocked records the weight version of a server. The version of an
+// incarnation only rises, so the highest one reported is the newest, whatever its source.
+func (s *state) observeVersionLocked(server, model string, version uint64, source string) {
 	key := versionKey{server, model}
 	if version <= s.versions[key] {
 		return
 	}
-	klog.V(1).InfoS("Weights of a server", "server", server, "model", model, "version", version, "before", s.versions[key], "source", source)
+	klog.V(1).InfoS("New weight version of a server", "server", server, "model", model, "version", version, "before", s.versions[key], "source", source)
 	if s.versions[key] != 0 {
-		s.emptiedLocked(server)
+		s.cacheClearedLocked(server)
 	}
 	s.versions[key] = version
 	if sw, ok := s.switches[server]; ok && version >= sw.version {
@@ -192,59 +197,60 @@
 	}
 }
 
-// announceSwitch takes in that a server is about to take new weights.
+// announceSwitch records that a server is about to load new weights.
 func (s *state) announceSwitch(server string, version uint64, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.switches[server] = switching{version: version, until: until}
+	s.switches[server] = weightSwitch{version: version, until: until}
 }
 
-// heardOrder takes in that another entry orders a server.
-func (s *state) heardOrder(now time.Time, server string) {
+// recordOrder records that another entry sent a load order to a server.
+func (s *state) recordOrder(now time.Time, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.orderedAt[fleet.InstanceOf(server)] = now
 }
 
-// heardHolder takes in that another entry changes weights.
-func (s *state) heardHolder(now time.Time) {
+// recordHolderActivity records that another entry is rolling out weights.
+func (s *state) recordHolderActivity(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.holderHeard = now
+	s.holderSeenAt = now
 }
 
-// withdrawSwitch takes in that nothing came of it.
+// withdrawSwitch records that an announced change of weights will not take place.
 func (s *state) withdrawSwitch(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.switches, server)
 }
 
-// otherWeights takes in that a server has not the weights that it was believed
-// to have, but did not say which. A lifetime's version only rises, so where one
-// newer version is named it has that one; it may be asked again at once. False:
-// it can't be told.
-func (s *state) otherWeights(server, model string, believed uint64) bool {
+// inferNextVersion handles a refusal by a server that does not have the assumed weights
+// and does not report which ones it has. The version of an incarnation only rises, so if a
+// single newer version is named, the server must have that one, and the request may be
+// sent to it again at once. It returns false if the version cannot be inferred.
+func (s *state) inferNextVersion(server, model string, assumed uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Newest(model) != believed+1 {
+	if s.weights.Newest(model) != assumed+1 {
 		return false
 	}
-	s.sawVersionLocked(server, model, believed+1, "refusal")
+	s.observeVersionLocked(server, model, assumed+1, "refusal")
 	return true
 }
 
-// sawVersion takes in a version from an answer, a report or another entry.
-func (s *state) sawVersion(server, model string, version uint64, source string) {
+// observeVersion records a weight version from an answer, a report or another entry.
+// Servers that are not listed are ignored.
+func (s *state) observeVersion(server, model string, version uint64, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.list.Get(server) != nil {
-		s.sawVersionLocked(server, model, version, source)
+		s.observeVersionLocked(server, model, version, source)
 	}
 }
 
-// candidatesLocked lists the backend servers of a service for a decision. The
-// list is good until the next call.
+// candidatesLocked returns the servers of a service that a request may be sent to. The
+// slice is valid until the next call of candidatesLocked or candidatesAtLocked.
 func (s *state) candidatesLocked(now time.Time, service *routetable.Service, model string) []routing.DirectServer {
 	servers := s.scratch[:0]
 	for _, b := range s.list.OfService(service.Name) {
@@ -256,10 +262,11 @@
 	return servers
 }
 
-// candidatesAtLocked lists those at some places in the list of the service.
-func (s *state) candidatesAtLocked(now time.Time, service *routetable.Service, model string, places []int) []routing.DirectServer {
+// candidatesAtLocked is candidatesLocked for the servers at the given indexes in the
+// service's list.
+func (s *state) candidatesAtLocked(now time.Time, service *routetable.Service, model string, indexes []int) []routing.DirectServer {
 	all, servers := s.list.OfService(service.Name), s.scratch[:0]
-	for _, i := range places {
+	for _, i := range indexes {
 		if s.mayServe(now, all[i]) {
 			servers = append(servers, s.serverLocked(now, service, model, all[i]))
 		}
@@ -268,98 +275,100 @@
 	return servers
 }
 
-// mayServe tells whether a listed server may get requests at all.
+// mayServe reports whether a listed server may receive requests at all.
 func (s *state) mayServe(now time.Time, b *fleet.Backend) bool {
 	return !b.Draining && !s.list.Ended(now, b.ID)
 }
 
-// serverLocked is a listed server as a decision sees it.
+// serverLocked describes a listed server to the router.
 func (s *state) serverLocked(now time.Time, service *routetable.Service, model string, b *fleet.Backend) routing.DirectServer {
 	_, changing := s.switches[b.ID]
-	one := routing.DirectServer{
+	server := routing.DirectServer{
 		ID: b.ID, Instance: b.Instance, Hash: b.Hash, Address: b.Address, DataCentre: b.DataCentre, Slots: b.Slots, Switching: changing,
 		Usable: s.members.Usable(b.ID), Weight: s.members.Weight(b.ID),
 	}
 	if model == "" {
-		return one
+		return server
 	}
 	if service.Engine != nil {
-		one.KVTokens = service.Engine.KVCapacityTokens
+		server.KVTokens = service.Engine.KVCapacityTokens
 	}
-	one.Version = s.versions[versionKey{b.ID, model}]
-	one.VersionAge = s.book.Age(now, model, one.Version)
-	return one
+	server.Version = s.versions[versionKey{b.ID, model}]
+	server.VersionAge = s.weights.Age(now, model, server.Version)
+	return server
 }
 
-// storesLocked lists the stores of kept cache for a decision. The list is read
-// only, made anew with each configuration and for each kind of engine.
-func (s *state) storesLocked(table *routetable.Table, engine *routetable.Engine) []routing.KeptStore {
-	if s.storesOf == engine {
-		return s.stores
+// kvStoresLocked returns the KV cache stores that an engine can use. The slice must not be
+// changed; it is rebuilt for each configuration and engine type.
+func (s *state) kvStoresLocked(table *routetable.Table, engine *routetable.Engine) []routing.KeptStore {
+	if s.kvStoresEngine == engine {
+		return s.kvStores
 	}
-	s.storesOf, s.stores = engine, nil
+	s.kvStoresEngine, s.kvStores = engine, nil
 	for _, store := range table.Stores {
-		if s.storesDown[store.Address] {
+		if s.kvStoresDown[store.Address] {
 			continue
 		}
 		perSecond := 0.0
 		if engine.TokenBytes > 0 {
 			perSecond = store.LinkBytes / float64(engine.TokenBytes)
 		}
-		s.stores = append(s.stores, routing.NewKeptStore(store.Address, store.DataCentre, perSecond))
+		s.kvStores = append(s.kvStores, routing.NewKeptStore(store.Address, store.DataCentre, perSecond))
 	}
-	return s.stores
+	return s.kvStores
 }
 
-// arrived counts a caller's request for a service; it earns part of a second send.
-func (s *state) arrived(now time.Time, service string) {
+// recordArrival counts a caller's request for a service, which adds to its retry budget.
+func (s *state) recordArrival(now time.Time, service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budgetLocked(service).Request(now)
+	s.retryBudgetLocked(service).Request(now)
 }
 
-// mayResend takes a second send from the service's budget.
-func (s *state) mayResend(now time.Time, service string, deadline time.Time) bool {
+// takeRetry takes one retry from the service's budget. It returns false if the budget is
+// used up or too little time is left before the deadline.
+func (s *state) takeRetry(now time.Time, service string, deadline time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budgetLocked(service).Allow(now, deadline, minResendTime)
+	return s.retryBudgetLocked(service).Allow(now, deadline, minResendTime)
 }
 
-func (s *state) budgetLocked(service string) *retry.Window {
-	b, ok := s.budgets[service]
+func (s *state) retryBudgetLocked(service string) *retry.Window {
+	b, ok := s.retryBudgets[service]
 	if !ok {
 		b = retry.NewWindow(s.retryLimits())
-		s.budgets[service] = b
+		s.retryBudgets[service] = b
 	}
 	return b
 }
 
-// retryLimits are this entry's share of the allowed second sends.
+// retryLimits returns this entry's share of the permitted retries.
 func (s *state) retryLimits() retry.Limits {
 	return retry.Limits{
 		Span:  s.settings.RetryWindow,
-		Ratio: s.settings.RetryRatio * budgetShare,
-		Slack: s.settings.RetrySlack * budgetShare / float64(max(s.entries, 1)),
+		Ratio: s.settings.RetryRatio * retryBudgetShare,
+		Slack: s.settings.RetrySlack * retryBudgetShare / float64(max(s.entryCount, 1)),
 	}
 }
 
-// setEntries tells how many entries share the budgets.
-func (s *state) setEntries(n int) {
+// setEntryCount sets the number of entries that share the retry budgets.
+func (s *state) setEntryCount(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n == s.entries {
+	if n == s.entryCount {
 		return
 	}
-	klog.InfoS("Entries that share the retry budget", "count", n, "before", s.entries)
-	s.entries = n
+	klog.InfoS("Number of entries that share the retry budget changed", "count", n, "before", s.entryCount)
+	s.entryCount = n
 	s.router.SetEntries(n)
-	for _, b := range s.budgets {
+	for _, b := range s.retryBudgets {
 		b.SetLimits(s.retryLimits())
 	}
 }
 
-// told takes in what an answer says of its server.
-func (s *state) told(now time.Time, server, model string, answer *call.Answer) {
+// observeAnswer records the load and the weight version that an answer reports of its
+// server.
+func (s *state) observeAnswer(now time.Time, server, model string, answer *call.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.list.Get(server) == nil {
@@ -369,7 +378,7 @@
 		s.router.Told(now, server, answer.Load)
 	}
 	if model != "" && answer.Version > 0 {
-		s.sawVersionLocked(server, model, answer.Version, "answer")
+		s.observeVersionLocked(server, model, answer.Version, "answer")
 	}
 }
 
--- a/internal/gateway/stores.go
+++ b/internal/gateway/stores.go
@@ -12,46 +12,49 @@
 )
 
 const (
-	// storePause between two questions to a store, for each entry that asks: all
-	// of them together ask it no more often than some twenty times a second. While a
-	// store is down a fetch from it holds an engine up for some hundred ms.
-	storePause        = 500 * time.Millisecond
-	storePausePerPeer = 50 * time.Millisecond
-	// storeCallTime bounds a question.
-	storeCallTime = 400 * time.Millisecond
+	// kvStorePollPause is the least pause between two polls of the KV cache stores by one
+	// entry. kvStorePollPausePerPeer limits the rate of all polling entries together to
+	// about twenty a second. Polls must be frequent, as a fetch from a store that is down
+	// delays an engine by some hundred milliseconds.
+	kvStorePollPause        = 500 * time.Millisecond
+	kvStorePollPausePerPeer = 50 * time.Millisecond
+	// kvStoreCallTimeout bounds a poll.
+	kvStoreCallTimeout = 400 * time.Millisecond
 )
 
-// storeWatch is what an entry knows of one store of kept cache.
-type storeWatch struct {
+// kvStoreWatch is the state of polling one KV cache store.
+type kvStoreWatch struct {
+	// epoch identifies one run of the store, next is the position to poll from.
 	epoch, next uint64
 	down        bool
 }
 
-// watchStores follows what the stores of kept cache take in and drop, and
-// whether they are there.
-func (g *Gateway) watchStores(ctx context.Context) {
+// watchKVStores polls the KV cache stores for what they add and drop, and detects whether
+// they answer.
+func (g *Gateway) watchKVStores(ctx context.Context) {
 	if g.ports.KVCacheStores == nil {
 		return
 	}
-	watches := map[string]*storeWatch{}
+	watches := map[string]*kvStoreWatch{}
 	for ctx.Err() == nil {
 		if table := g.state.table.Load(); table != nil && g.isDeciding() {
 			for _, store := range table.Stores {
 				w := watches[store.Address]
 				if w == nil {
-					w = &storeWatch{}
+					w = &kvStoreWatch{}
 					watches[store.Address] = w
 				}
-				g.askStore(ctx, store.Address, w)
+				g.pollKVStore(ctx, store.Address, w)
 			}
 		}
-		sleep(ctx, max(storePause, storePausePerPeer*time.Duration(g.decidingEntries())))
+		sleep(ctx, max(kvStorePollPause, kvStorePollPausePerPeer*time.Duration(g.decidingEntries())))
 	}
 }
 
-// askStore takes in what one store says, or that it says nothing.
-func (g *Gateway) askStore(ctx context.Context, address string, w *storeWatch) {
-	callCtx, cancel := context.WithTimeout(ctx, storeCallTime)
+// pollKVStore applies the changes reported by one store, or records that it did not
+// answer.
+func (g *Gateway) pollKVStore(ctx context.Context, address string, w *kvStoreWatch) {
+	callCtx, cancel := context.WithTimeout(ctx, kvStoreCallTimeout)
 	defer cancel()
 	changes, err := g.ports.KVCacheStores.Changes(callCtx, address, w.next)
 	switch {
@@ -62,44 +65,45 @@
 		if !w.down {
 			w.down = true
 			klog.InfoS("Store of kept cache lost", "store", address, "epoch", w.epoch, "err", err)
-			g.state.storeDown(address, true)
+			g.state.setKVStoreDown(address, true)
 		}
 		return
 	}
 	if w.down {
 		klog.InfoS("Store of kept cache regained", "store", address, "epoch", changes.Epoch)
-		g.state.storeDown(address, false)
+		g.state.setKVStoreDown(address, false)
 	}
 	if w.epoch != 0 && w.epoch != changes.Epoch {
 		klog.InfoS("Store of kept cache started again, empty", "store", address, "epoch", changes.Epoch, "before", w.epoch)
-		g.state.storesEmptied()
+		g.state.kvStoresCleared()
 	}
-	*w = storeWatch{epoch: changes.Epoch, next: changes.Next}
-	g.state.storeChanged(address, changes.Parts)
+	*w = kvStoreWatch{epoch: changes.Epoch, next: changes.Next}
+	g.state.kvStoreChanged(address, changes.Parts)
 }
 
-// storeDown takes a store out of decisions, or back into them, empty.
-func (s *state) storeDown(address string, down bool) {
+// setKVStoreDown excludes a store from placement or includes it again, and clears the
+// recorded contents of all stores.
+func (s *state) setKVStoreDown(address string, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storesDown[address] = down
-	s.storesOf = nil
-	s.storesEmptiedLocked()
+	s.kvStoresDown[address] = down
+	s.kvStoresEngine = nil
+	s.kvStoresClearedLocked()
 }
 
-func (s *state) storesEmptied() {
+func (s *state) kvStoresCleared() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storesEmptiedLocked()
+	s.kvStoresClearedLocked()
 }
 
-func (s *state) storesEmptiedLocked() {
+func (s *state) kvStoresClearedLocked() {
 	for _, router := range s.routers() {
 		router.StoresEmptied()
 	}
 }
 
-func (s *state) storeChanged(address string, parts []call.PartChange) {
+func (s *state) kvStoreChanged(address string, parts []call.PartChange) {
 	if len(parts) == 0 {
 		return
 	}
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -125,12 +125,12 @@
 		limit = maxLargeFleetCrashes
 	}
 	crashes, cleared := g.state.suspects.takeUnsent(limit)
-	targets := g.datagrams.addressesOf(g.peers.all())
+	targets := g.datagrams.addressesOf(g.peers.addresses())
 	if len(targets) == 0 {
 		return
 	}
 	for _, datagram := range crashDatagrams(crashes, cleared) {
-		g.datagrams.tellAll(targets, datagram)
+		g.datagrams.trySendAll(targets, datagram)
 	}
 }
 
@@ -214,7 +214,7 @@
 }
 
 func (g *Gateway) commitSuspects(ctx context.Context, txn platform.Txn) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := g.ports.Table.Commit(ctx, txn)
 	return err
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -115,9 +115,9 @@
 	assert.Len(t, datagrams, 5)
 	sent := 0
 	for _, datagram := range datagrams {
-		assert.Less(t, len(mustEncode(t, datagram)), maxDatagram)
+		assert.Less(t, len(mustEncode(t, datagram)), maxDatagramBytes)
 		sent += len(datagram.GetStrikes().GetStrikes()) + len(datagram.GetStrikes().GetCleared())
-		g.datagrams.take(datagram, nil)
+		g.datagrams.handle(datagram, nil)
 	}
 	assert.Equal(t, 90, sent)
 	assert.Len(t, g.state.suspects.list(), 45)
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -99,11 +99,11 @@
 		s.mu.Unlock()
 		return j.place(false)
 	}
-	retryAfter, ok := s.room.Add(now, request)
+	retryAfter, ok := s.waitQueue.Add(now, request)
 	if ok {
 		s.waiters[j.head.ID] = w
 	}
-	waiting := s.room.Len()
+	waiting := s.waitQueue.Len()
 	s.mu.Unlock()
 	if !ok {
 		klog.InfoS("Turned away", "request", j.head.ID, "waiting", waiting, "comeBackMS", retryAfter.Milliseconds())
@@ -143,7 +143,7 @@
 	s := j.gateway.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.room.Remove(j.head.ID) {
+	if s.waitQueue.Remove(j.head.ID) {
 		delete(s.waiters, j.head.ID)
 		if w.offer != nil {
 			go j.gateway.placements.releaseOffer(w.offer, nil)
@@ -163,7 +163,7 @@
 	s := g.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rejected := s.room.Dispatch(now, func(id string, force bool) bool {
+	rejected := s.waitQueue.Dispatch(now, func(id string, force bool) bool {
 		w := s.waiters[id]
 		// A stopping process has no time to wait.
 		choice, err := w.placeLocked(now, force || g.stopping.Load())
