--- a/cmd/jay-entry/main.go
+++ b/cmd/jay-entry/main.go
@@ -1,4 +1,5 @@
-// Command jay-entry runs an entry: the callers' API in front of the backend servers.
+// Command jay-entry runs an entry, which serves the callers' API in front of the
+// backend servers.
 package main
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/jayproxy/jayproxy/internal/settings"
 )
 
-// callersSocket is the name under which a supervisor hands over the callers' socket.
+// callersSocket is the name of the callers' socket in socket activation.
 const callersSocket = "callers"
 
 func main() {
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/encoding/protojson"
 )
 
-// adminAPI is the handler of liveness, readiness, metrics and debug pages. It
-// has a port of its own: what it shows is not for callers.
+// adminAPI returns the handler of the liveness, readiness, metrics and debug
+// pages. They have a port of their own because callers must not see them.
 func (e *Entry) adminAPI() http.Handler {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
@@ -20,8 +20,8 @@
 	return router
 }
 
-// readyz tells the balancer whether to send callers here. An entry is ready
-// before it knows any configuration only for a typed refusal, so it says so.
+// readyz reports to the load balancer whether to send callers here. An entry
+// without a configuration can only refuse requests, so it is not ready.
 func (e *Entry) readyz(c echo.Context) error {
 	switch {
 	case e.stopping.Load():
@@ -32,7 +32,8 @@
 	return c.String(http.StatusOK, "ok\n")
 }
 
-// debugDecisions shows the latest decisions, as many as the query's n says.
+// debugDecisions returns the latest routing decisions, newest first, one JSON
+// object per line. The query parameter n limits their number.
 func (e *Entry) debugDecisions(c echo.Context) error {
 	const defaultShown = 20
 	n, err := strconv.Atoi(c.QueryParam("n"))
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -33,14 +33,14 @@
 	stateNotRun = "not_run"
 )
 
-// cancelWait is how long an agent gets to say, after a Cancel, whether the
-// work had begun.
-const cancelWait = 300 * time.Millisecond
+// cancelTimeout is how long an agent may take, after a Cancel, to report
+// whether the request had started to run.
+const cancelTimeout = 300 * time.Millisecond
 
 var (
-	errCallerGone = errors.New("the caller went away")
-	errGivenUp    = errors.New("given up")
-	errOutOfTurn  = errors.New("frame out of turn")
+	errCallerGone      = errors.New("the caller disconnected")
+	errTimedOut        = errors.New("timed out waiting for the backend server")
+	errUnexpectedFrame = errors.New("unexpected frame type")
 )
 
 // dialer opens streams to agents.
@@ -48,16 +48,16 @@
 	Open(ctx context.Context, address string, roles ...keys.Role) (*transport.Stream, error)
 }
 
-// attempt is one hand-over of a request to one backend server.
+// attempt is one handoff of a request to one backend server.
 type attempt struct {
 	id      string
 	number  uint32
 	address string
 	server  string
-	// workspace and nonce prove on resume that the stream is the caller's.
+	// workspace and nonce authenticate a resume as the caller's own.
 	workspace string
 	nonce     []byte
-	// generation of the catalog that names the server.
+	// generation of the catalog that the server was taken from.
 	generation uint64
 	dial       dialer
 	limits     AttemptSettings
@@ -67,31 +67,32 @@
 	state  string
 	stream *transport.Stream
 	chunks relay.Receiver
-	// acked is what the agent was told it may let go of. unacked chunks behind
-	// the last one passed on stay with it: what was written to a caller's
-	// connection may never have reached the caller, who then resumes elsewhere.
-	acked   uint64
-	unacked uint64
-	reply   *jayv1.OfferReply
-	end     *jayv1.End
-	headed  bool
-	// status of a plain service's answer.
+	// acked is the sequence number up to which the agent may discard chunks. It
+	// stays ackLag chunks behind the last one passed on: chunks written to a
+	// caller's connection may never have reached the caller, who then resumes
+	// through another entry.
+	acked        uint64
+	ackLag       uint64
+	reply        *jayv1.OfferReply
+	end          *jayv1.End
+	headReceived bool
+	// status is the HTTP status of a plain service's answer.
 	status uint32
-	// onReply is told of the answer to the offer before the body goes.
-	onReply    func(reply *jayv1.OfferReply)
-	acceptedAt time.Time
-	firstAt    time.Time
-	// stuck counts resumes since the last chunk.
-	stuck int
-	// deadline to the first chunk.
+	// onReply is called with the reply to the offer before the body is sent.
+	onReply      func(reply *jayv1.OfferReply)
+	acceptedAt   time.Time
+	firstChunkAt time.Time
+	// resumesSinceChunk counts the resumes since the last chunk arrived.
+	resumesSinceChunk int
+	// deadline for the first chunk.
 	deadline time.Time
-	// detach: a caller that goes away may come back for the rest.
-	detach bool
-	// cause of an end without an End frame.
+	// resumable: a caller that disconnects may resume the stream later.
+	resumable bool
+	// cause is the error that ended the attempt without an End frame.
 	cause error
 }
 
-// sink takes what an attempt delivers, in order and without doubles.
+// sink receives the answer of an attempt: chunks in order, each one once.
 type sink interface {
 	Head(head *jayv1.ServiceHead) error
 	Chunk(seq uint64, data []byte) error
@@ -111,10 +112,10 @@
 	a.state = next
 }
 
-// over tells whether the attempt ended.
-func (a *attempt) over() bool { return a.chart.Final(a.state) }
+// ended reports whether the attempt is in a final state.
+func (a *attempt) ended() bool { return a.chart.Final(a.state) }
 
-// outcome of an attempt that is over.
+// outcome returns the outcome of an attempt that has ended.
 func (a *attempt) outcome() jayv1.Outcome {
 	switch a.state {
 	case stateDone:
@@ -126,15 +127,15 @@
 	}
 }
 
-// run carries the attempt to its end.
+// run hands the request off and relays its answer until the attempt ends.
 func (a *attempt) run(ctx context.Context, offer *jayv1.Offer, body bodySource, to sink) {
-	a.handOver(ctx, offer, body)
-	for !a.over() {
+	a.handOff(ctx, offer, body)
+	for !a.ended() {
 		err := a.relay(ctx, to)
-		if a.over() {
+		if a.ended() {
 			break
 		}
-		a.broken(ctx, err)
+		a.interrupted(ctx, err)
 	}
 	a.release()
 }
@@ -145,31 +146,33 @@
 		a.fire(event)
 	}
 	a.reconnect(ctx)
-	for !a.over() {
+	for !a.ended() {
 		err := a.relay(ctx, to)
-		if !a.over() {
-			a.broken(ctx, err)
+		if !a.ended() {
+			a.interrupted(ctx, err)
 		}
 	}
 	a.release()
 }
 
-// broken deals with a relay that ended without an End frame.
-func (a *attempt) broken(ctx context.Context, err error) {
-	// A caller that leaves while an acknowledgement is on its way to the agent
-	// shows as an error of the link; the ended context tells it apart. Neither
-	// may the run be cancelled for it, nor the server be blamed.
+// interrupted handles a relay that stopped without an End frame: it cancels the
+// request, leaves it running for a later resume, or reconnects.
+func (a *attempt) interrupted(ctx context.Context, err error) {
+	// A caller that disconnects while an acknowledgement is being sent to the
+	// agent shows up as a link error; the ended context distinguishes the two.
+	// Such an error must neither cancel a resumable request nor count as a
+	// failure of the server.
 	if ctx.Err() != nil && !errors.Is(err, errCallerGone) {
-		err = gone(err)
+		err = asCallerGone(err)
 	}
 	a.cause = err
 	callerGone := errors.Is(err, errCallerGone)
 	switch {
-	case callerGone && a.detach:
-		// Without a Cancel the agent goes on and keeps the stream for a resume.
+	case callerGone && a.resumable:
+		// Without a Cancel the agent continues and keeps the stream for a resume.
 		a.stream.Abort()
 		a.fire(eventGiveUp)
-	case callerGone, errors.Is(err, errGivenUp):
+	case callerGone, errors.Is(err, errTimedOut):
 		a.cancel(err)
 	default:
 		klog.V(1).InfoS("link lost", "request", a.id, "attempt", a.number, "server", a.server, "next", a.chunks.Next(), "cause", err)
@@ -179,9 +182,9 @@
 	}
 }
 
-// handOver offers the work and, when it is taken, sends the body.
-func (a *attempt) handOver(ctx context.Context, offer *jayv1.Offer, body bodySource) {
-	if err := a.offerTo(ctx, offer); err != nil {
+// handOff offers the request and, when the agent accepts it, sends the body.
+func (a *attempt) handOff(ctx context.Context, offer *jayv1.Offer, body bodySource) {
+	if err := a.sendOffer(ctx, offer); err != nil {
 		a.cause = err
 		a.fire(eventLinkLost)
 		return
@@ -202,7 +205,7 @@
 	}
 }
 
-func (a *attempt) offerTo(ctx context.Context, offer *jayv1.Offer) error {
+func (a *attempt) sendOffer(ctx context.Context, offer *jayv1.Offer) error {
 	ctx, cancel := context.WithTimeout(ctx, ms(a.timeouts.OfferMS))
 	defer cancel()
 	stream, err := a.dial.Open(ctx, a.address, keys.RoleAgent)
@@ -224,29 +227,29 @@
 	}
 	a.reply = frame.GetOfferReply()
 	if a.reply == nil {
-		return errOutOfTurn
+		return errUnexpectedFrame
 	}
 	return nil
 }
 
-// guard fails pending calls of the stream when the context ends. The returned
-// function waits for a guard that has struck: its deadline must not fall on a
-// Cancel that is sent after.
+// guard makes pending calls on the stream fail when the context ends. The
+// returned function releases the guard and, if it is firing, waits for it to
+// finish: its deadline must not apply to a Cancel that is sent afterwards.
 func (a *attempt) guard(ctx context.Context) func() {
-	stream, struck := a.stream, make(chan struct{})
+	stream, fired := a.stream, make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
-		defer close(struck)
+		defer close(fired)
 		_ = stream.SetDeadline(time.Now())
 	})
 	return func() {
 		if !stop() {
-			<-struck
+			<-fired
 		}
 	}
 }
 
-// sendBody sends the pieces. An error means that the last piece was not sent,
-// so that the agent can't have the whole body and runs nothing.
+// sendBody sends the body in pieces. An error means that the last piece was not
+// sent, so the agent has no complete body and does not run the request.
 func (a *attempt) sendBody(body bodySource) error {
 	for {
 		piece, last, err := body.Next()
@@ -254,8 +257,8 @@
 			return errors.Join(errBody, err)
 		}
 		if last {
-			// Before the send: a send that fails may have arrived all the same,
-			// and from then on the attempt can't be called not run.
+			// Before the send: the piece may arrive even if the send fails, and
+			// from then on the attempt can't be reported as not run.
 			a.fire(eventBodySent)
 		}
 		frame := &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Body{Body: &jayv1.Data{Data: piece, Last: last}}}
@@ -268,19 +271,19 @@
 	}
 }
 
-// release ends the stream's two sides once the attempt is over. An answer
-// whose caller may come back is not closed but broken off, so that the agent
-// keeps it for a while: its tail may never have reached the caller.
+// release closes both directions of the stream once the attempt has ended. A
+// resumable stream is aborted instead, so that the agent retains the answer:
+// its last chunks may never have reached the caller.
 func (a *attempt) release() {
 	if a.stream == nil {
 		return
 	}
-	if a.detach {
+	if a.resumable {
 		a.stream.Abort()
 		return
 	}
 	_ = a.stream.CloseSend()
-	_ = a.stream.SetDeadline(time.Now().Add(cancelWait))
+	_ = a.stream.SetDeadline(time.Now().Add(cancelTimeout))
 	if err := a.stream.Receive(&jayv1.ServerFrame{}); !errors.Is(err, io.EOF) {
 		a.stream.Abort()
 	}
@@ -288,7 +291,7 @@
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// pause waits, false when the context ended first.
+// pause waits for d. It returns false when the context ends first.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/entry/attempt_test.go
+++ b/internal/entry/attempt_test.go
@@ -79,7 +79,7 @@
 			agent := newCancelWatch(t, authority)
 			self := nodeOf(t, authority, keys.RoleEntry, "e1", func(context.Context, keys.Identity, *transport.Stream) {})
 			a := newAttempt("req-e1-00", 1)
-			a.detach, a.timeouts, a.limits = tt.detach, Default().Timeouts, Default().Attempts
+			a.resumable, a.timeouts, a.limits = tt.detach, Default().Timeouts, Default().Attempts
 			a.dial, a.address = self, agent.node.Address()
 			a.stream, err = self.Open(t.Context(), agent.node.Address(), keys.RoleAgent)
 			require.NoError(t, err)
@@ -89,9 +89,9 @@
 			a.fire(eventBodySent)
 			ctx, leave := context.WithCancel(t.Context())
 			leave()
-			a.broken(ctx, tt.err)
-			assert.True(t, a.over())
-			assert.True(t, a.byCaller(), "the server is not blamed")
+			a.interrupted(ctx, tt.err)
+			assert.True(t, a.ended())
+			assert.True(t, a.endedByCaller(), "the server is not blamed")
 			assert.Equal(t, tt.cancel, <-agent.cancelled)
 		})
 	}
@@ -103,10 +103,10 @@
 	for _, event := range []string{eventAccept, eventBodySent, eventLinkLost, eventResume} {
 		a.fire(event)
 	}
-	require.NoError(t, a.takeEnd(&jayv1.End{
+	require.NoError(t, a.handleEnd(&jayv1.End{
 		Outcome: jayv1.Outcome_OUTCOME_NOT_RUN, Refusal: jayv1.Refusal_REFUSAL_ENGINE_DOWN, RetryAfterMs: 2500,
 	}))
-	r := resumed(a, false, refuse(http.StatusNotFound, CodeStreamNotFound, "no such stream"))
+	r := resumeResult(a, false, refuse(http.StatusNotFound, CodeStreamNotFound, "no such stream"))
 	assert.Equal(t, CodeStreamBroken, r.err.Code)
 	assert.Equal(t, jayv1.Outcome_OUTCOME_NOT_RUN, r.err.Outcome)
 	assert.Equal(t, 2500*time.Millisecond, r.err.RetryAfter)
--- a/internal/entry/auth.go
+++ b/internal/entry/auth.go
@@ -14,24 +14,24 @@
 	keyPrefix    = "jay_"
 )
 
-// absentKey stands in for a key id that nobody declared, so that an unknown id
-// takes the same path, and time, as a wrong secret.
-var absentKey = &jayv1.ApiKey{Salt: make([]byte, sha256.Size), Hash: make([]byte, sha256.Size)}
+// dummyKey replaces an undeclared key, so that an unknown id takes the same code
+// path, and time, as a wrong secret.
+var dummyKey = &jayv1.ApiKey{Salt: make([]byte, sha256.Size), Hash: make([]byte, sha256.Size)}
 
-// authenticate returns the workspace whose key the request shows.
+// authenticate returns the workspace of the API key in the request's headers.
 func authenticate(table *catalog.Table, header http.Header) (*jayv1.Workspace, *Error) {
 	id, secret, ok := parseKey(header.Get("Authorization"))
 	workspace, key := lookUpKey(table, id)
-	same := catalog.SecretMatches(key, secret)
-	if !ok || workspace == nil || !same {
+	matches := catalog.SecretMatches(key, secret)
+	if !ok || workspace == nil || !matches {
 		return nil, unauthorized()
 	}
 	return workspace, nil
 }
 
-// showsKey tells whether the request shows anything that may be a key. What
-// does not is refused whatever the configuration will say.
-func showsKey(header http.Header) bool {
+// hasKey reports whether the headers carry a well-formed API key. Requests
+// without one are refused without waiting for a configuration.
+func hasKey(header http.Header) bool {
 	_, _, ok := parseKey(header.Get("Authorization"))
 	return ok
 }
@@ -43,14 +43,14 @@
 func lookUpKey(table *catalog.Table, id string) (*jayv1.Workspace, *jayv1.ApiKey) {
 	workspace, ok := table.WorkspaceOfKey(id)
 	if !ok {
-		return nil, absentKey
+		return nil, dummyKey
 	}
 	for _, key := range workspace.GetKeys() {
 		if key.GetId() == id {
 			return workspace, key
 		}
 	}
-	return nil, absentKey
+	return nil, dummyKey
 }
 
 // parseKey splits "Bearer jay_<id>_<secret>".
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -17,10 +17,10 @@
 	"github.com/jayproxy/jayproxy/internal/catalog"
 )
 
-// callKey is where the middleware leaves the call for the handlers.
+// callKey is the context key under which the middleware stores the call.
 const callKey = "jay.call"
 
-// call is what the middleware knows of a caller's request.
+// call is a caller's request as the middleware passes it to the handlers.
 type call struct {
 	id        string
 	started   time.Time
@@ -30,7 +30,7 @@
 
 func callOf(c echo.Context) *call { return c.Get(callKey).(*call) }
 
-// callersAPI is the handler of the callers' port.
+// callersAPI returns the handler of the callers' port.
 func (e *Entry) callersAPI() http.Handler {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
@@ -45,22 +45,22 @@
 	return router
 }
 
-// identify bounds the headers, names the request and checks the key, for each
-// path in the same way.
+// identify is the middleware of all paths: it limits the headers, assigns the
+// request id and checks the API key.
 func (e *Entry) identify(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		id := e.newRequestID()
 		c.Response().Header().Set(HeaderRequestID, id)
 		c.Set(callKey, &call{id: id})
 		if e.stopping.Load() {
-			// A caller that keeps its connection would send its next request just
-			// as the listener closes, and see it cut.
+			// On a kept-alive connection the caller could send its next request
+			// just as the listener closes, and lose it.
 			c.Response().Header().Set("Connection", "close")
 		}
 		if headerBytes(c.Request().Header) > e.settings.Limits.HeaderBytes {
 			return refuse(statusHeadersTooLarge, CodeHeadersTooLarge, "the headers are longer than the limit")
 		}
-		if !showsKey(c.Request().Header) {
+		if !hasKey(c.Request().Header) {
 			return unauthorized()
 		}
 		started := time.Now()
@@ -77,8 +77,8 @@
 	}
 }
 
-// newRequestID carries the entry's name, so that any entry knows whom to ask
-// about the request.
+// newRequestID returns a random id that contains the entry's name, so that any
+// entry can find the one that served the request.
 func (e *Entry) newRequestID() string {
 	const idBytes = 10
 	var random [idBytes]byte
@@ -89,7 +89,7 @@
 // requestIDPrefix starts every request id.
 const requestIDPrefix = "req-"
 
-// entryOf is the name of the entry that made a request id.
+// entryOf returns the name of the entry that created the request id.
 func entryOf(requestID string) (string, bool) {
 	rest, ok := strings.CutPrefix(requestID, requestIDPrefix)
 	end := strings.LastIndex(rest, "-")
@@ -109,7 +109,7 @@
 	return total
 }
 
-// writeError turns any error of a handler into a typed answer.
+// writeError sends any error of a handler as a typed error response.
 func (e *Entry) writeError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -121,7 +121,7 @@
 		e.countRefusal(call.workspace, refusal)
 	}
 	if refusal.Status >= http.StatusInternalServerError {
-		klog.V(1).InfoS("refused", "request", id, "code", refusal.Code, "message", refusal.Message)
+		klog.V(1).InfoS("request refused", "request", id, "code", refusal.Code, "message", refusal.Message)
 	}
 	c.Response().Header().Set(HeaderAttempts, "0")
 	refusal.write(c.Response(), id)
@@ -134,23 +134,23 @@
 		case http.StatusNotFound:
 			return refuse(http.StatusNotFound, CodeNotFound, "no such path")
 		case http.StatusMethodNotAllowed:
-			return refuse(http.StatusMethodNotAllowed, CodeMethodNotAllowed, "the path has no such method")
+			return refuse(http.StatusMethodNotAllowed, CodeMethodNotAllowed, "the path does not support this method")
 		}
 		return refuse(fromRouter.Code, CodeInvalidRequest, http.StatusText(fromRouter.Code))
 	}
 	return asError(err)
 }
 
-// readBody reads a whole body within its bound. A caller that sends it too
-// slowly is cut off by the read deadline of each piece.
+// readBody reads a complete body up to the size limit. Each read has a deadline,
+// so that a slow caller is cut off.
 func (e *Entry) readBody(c echo.Context) ([]byte, *Error) {
 	limit := e.settings.Limits.BodyBytes
 	if c.Request().ContentLength > limit {
 		return nil, refuse(http.StatusRequestEntityTooLarge, CodeBodyTooLarge, "the body is longer than the limit")
 	}
 	control := http.NewResponseController(c.Response())
-	patient := &patientReader{from: c.Request().Body, control: control, patience: ms(e.settings.Timeouts.CallerReadMS)}
-	body, err := readAll(patient, c.Request().ContentLength, limit)
+	timed := &timeoutReader{reader: c.Request().Body, control: control, timeout: ms(e.settings.Timeouts.CallerReadMS)}
+	body, err := readAll(timed, c.Request().ContentLength, limit)
 	_ = control.SetReadDeadline(time.Time{})
 	if err != nil {
 		return nil, bodyError(err)
@@ -158,14 +158,14 @@
 	return body, nil
 }
 
-func readAll(from io.Reader, length, limit int64) ([]byte, error) {
-	const firstGuess = 4 << 10
-	body := make([]byte, 0, max(length+1, firstGuess))
+func readAll(reader io.Reader, length, limit int64) ([]byte, error) {
+	const minCapacity = 4 << 10
+	body := make([]byte, 0, max(length+1, minCapacity))
 	for {
 		if len(body) == cap(body) {
 			body = append(body, 0)[:len(body)]
 		}
-		n, err := from.Read(body[len(body):cap(body)])
+		n, err := reader.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		if int64(len(body)) > limit {
 			return nil, refuse(http.StatusRequestEntityTooLarge, CodeBodyTooLarge, "the body is longer than the limit")
@@ -179,34 +179,34 @@
 	}
 }
 
-// patientReader bounds the wait for each piece of a body.
-type patientReader struct {
-	from     io.Reader
-	control  *http.ResponseController
-	patience time.Duration
+// timeoutReader applies a timeout to each read of a body.
+type timeoutReader struct {
+	reader  io.Reader
+	control *http.ResponseController
+	timeout time.Duration
 }
 
-// Read reads a piece.
-func (p *patientReader) Read(b []byte) (int, error) {
-	_ = p.control.SetReadDeadline(time.Now().Add(p.patience))
-	n, err := p.from.Read(b)
+// Read reads from the body. It returns a typed error after the timeout.
+func (r *timeoutReader) Read(b []byte) (int, error) {
+	_ = r.control.SetReadDeadline(time.Now().Add(r.timeout))
+	n, err := r.reader.Read(b)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return n, refuse(http.StatusRequestTimeout, CodeBodyTooSlow, "the body came too slowly")
+		return n, refuse(http.StatusRequestTimeout, CodeBodyTooSlow, "the body was sent too slowly: no byte arrived within the read timeout")
 	}
 	return n, err
 }
 
-// boundedReader fails with a typed error beyond its bound.
+// boundedReader returns a typed error once more than its limit was read.
 type boundedReader struct {
-	from io.Reader
-	left int64
+	from      io.Reader
+	remaining int64
 }
 
-// Read reads a piece.
+// Read reads from the body.
 func (b *boundedReader) Read(p []byte) (int, error) {
 	n, err := b.from.Read(p)
-	b.left -= int64(n)
-	if b.left < 0 {
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
 		return 0, refuse(http.StatusRequestEntityTooLarge, CodeBodyTooLarge, "the body is longer than the limit")
 	}
 	return n, err
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -12,12 +12,13 @@
 	"github.com/jayproxy/jayproxy/internal/ledger"
 )
 
-// claimRetryAfter is what a caller is told while claims can't be taken.
+// claimRetryAfter is sent to callers as Retry-After while claims can't be taken.
 const claimRetryAfter = 2 * time.Second
 
-// take claims the key of a call that may run at most once, before anything is
-// handed over. A call without a key has no claim; it gets one attempt.
-func (e *Entry) take(ctx context.Context, w *work) *Error {
+// takeClaim claims the idempotency key of a call that may run at most once,
+// before the call is handed off. A call without a key has no claim and gets a
+// single attempt.
+func (e *Entry) takeClaim(ctx context.Context, w *work) *Error {
 	if !w.nonRepeatable || w.key == "" {
 		return nil
 	}
@@ -31,15 +32,16 @@
 		return duplicateOf(duplicate.First)
 	}
 	klog.V(1).InfoS("claim not taken", "request", w.id, "workspace", w.workspace.GetName(), "cause", err)
-	return refuseForNow(http.StatusServiceUnavailable, CodeClaimsUnavailable,
+	return refuseTemporarily(http.StatusServiceUnavailable, CodeClaimsUnavailable,
 		"the call may run at most once and could not be claimed; it was not run", claimRetryAfter)
 }
 
-// claimKey keeps the same key of two services apart.
+// claimKey scopes the idempotency key to its service.
 func (w *work) claimKey() string { return w.service.GetName() + "/" + w.key }
 
-// duplicateOf tells of the first request with the key: done, or unknown while
-// it is under way or when its entry was lost.
+// duplicateOf returns the error for a key that is already claimed. Its outcome
+// is that of the first request with the key: done, or unknown while that request
+// is running or when its entry was lost.
 func duplicateOf(first ledger.Record) *Error {
 	e := &Error{
 		Status: http.StatusConflict, Code: CodeDuplicate, RequestID: first.RequestID,
@@ -52,12 +54,12 @@
 	return e
 }
 
-// settle closes the books of a request that is over. A claim is given back
-// only with the proof that nothing ran. It is given back before the caller
-// hears so: its next call with the key must not meet its own claim.
-func (e *Entry) settle(w *work, r result) {
+// recordResult updates retry budget and claim after a request ended. A claim is
+// released only when the request certainly did not run, and before the caller
+// gets the answer: a repeated call must not conflict with its own earlier claim.
+func (e *Entry) recordResult(w *work, r result) {
 	if r.err == nil {
-		e.earnRetry()
+		e.creditRetry()
 	}
 	if w.claim == nil {
 		return
@@ -65,11 +67,11 @@
 	switch r.outcome {
 	case jayv1.Outcome_OUTCOME_NOT_RUN:
 		if err := e.ledger.Release(e.ctx, w.claim); err != nil {
-			klog.InfoS("claim stays though the call did not run", "request", w.id, "cause", err)
+			klog.InfoS("claim not released although the call did not run", "request", w.id, "cause", err)
 		}
 	case jayv1.Outcome_OUTCOME_DONE:
-		// A graceful stop waits for the mark; the caller does not.
-		release := e.streams.hold()
+		// A graceful shutdown waits for this write; the caller does not.
+		release := e.streams.addBackground()
 		go func() {
 			defer release()
 			if err := e.ledger.Done(e.ctx, w.claim); err != nil {
@@ -79,14 +81,14 @@
 	}
 }
 
-// trimKey ranks the entries for the trimming of claims.
-const trimKey = "claims/trim"
+// pruneKey is the rendezvous hashing key that selects the entry that prunes claims.
+const pruneKey = "claims/trim"
 
-// trimClaims deletes old claims while this entry is the first of all for it.
-// There is no lease: two that think so at once only do the work twice.
-func (e *Entry) trimClaims(ctx context.Context) {
+// pruneClaims deletes expired claims while this entry is the preferred one for
+// pruneKey. It needs no lease: two entries that prune at once only duplicate work.
+func (e *Entry) pruneClaims(ctx context.Context) {
 	const day = 24 * time.Hour
-	trimmer := ledger.NewTrimmer(e.platform, time.Duration(e.settings.Ledger.KeepDays)*day)
+	pruner := ledger.NewTrimmer(e.platform, time.Duration(e.settings.Ledger.KeepDays)*day)
 	ticker := time.NewTicker(ms(e.settings.Ledger.TrimMS))
 	defer ticker.Stop()
 	for {
@@ -95,16 +97,16 @@
 			return
 		case <-ticker.C:
 		}
-		first := e.spread.Candidates(trimKey, 1)
-		if len(first) == 0 || first[0] != e.settings.Name {
+		preferred := e.spread.Candidates(pruneKey, 1)
+		if len(preferred) == 0 || preferred[0] != e.settings.Name {
 			continue
 		}
-		deleted, err := trimmer.Step(ctx, time.Now())
+		deleted, err := pruner.Step(ctx, time.Now())
 		if err != nil {
-			klog.V(1).InfoS("claims not trimmed", "err", err)
+			klog.V(1).InfoS("expired claims not pruned", "err", err)
 		}
 		if deleted > 0 {
-			klog.InfoS("old claims deleted", "count", deleted)
+			klog.InfoS("expired claims pruned", "count", deleted)
 		}
 	}
 }
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -17,10 +17,11 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// memberTick is how often ejections and old news are looked over.
-const memberTick = 250 * time.Millisecond
+// membershipInterval is the interval at which ejections and observations of
+// backend servers are checked for expiry.
+const membershipInterval = 250 * time.Millisecond
 
-// startControl joins the spread of the catalog and opens the operators' port.
+// startControl starts catalog distribution, rollouts and the operators' port.
 func (e *Entry) startControl() error {
 	store := catalogstore.New(e.platform, e.platform, catalogstore.Options{Check: catalog.Check})
 	service, err := spread.Start(e.ctx, spread.Options{
@@ -28,12 +29,12 @@
 		DataCentre: e.settings.DataCentre, Region: e.settings.Region, Address: e.node.Address(),
 		Incarnation: uint64(e.started.UnixNano()), //nolint:gosec // after 1970
 		Settings:    e.settings.Spread, Node: e.node, Holder: e.holder, Seeds: e.settings.Seeds,
-		Store: store, VMs: e.platform, OnVMs: e.heardVMs,
-		OnNews:    func(_ keys.Identity, news []*jayv1.MemberNews) { e.picker.news(time.Now(), news) },
-		News:      func() []*jayv1.MemberNews { return e.picker.tell(time.Now()) },
-		OnCrashes: func(news []*jayv1.CrashNews) { e.crashes.heard(time.Now(), news) },
-		Crashes:   func(all bool) []*jayv1.CrashNews { return e.crashes.tell(time.Now(), all) },
-		Leaving:   e.stopping.Load, Process: e.tellLeases,
+		Store: store, VMs: e.platform, OnVMs: e.receiveVMs,
+		OnNews:    func(_ keys.Identity, news []*jayv1.MemberNews) { e.picker.receiveUpdate(time.Now(), news) },
+		News:      func() []*jayv1.MemberNews { return e.picker.update(time.Now()) },
+		OnCrashes: func(news []*jayv1.CrashNews) { e.crashes.receive(time.Now(), news) },
+		Crashes:   func(all bool) []*jayv1.CrashNews { return e.crashes.digest(time.Now(), all) },
+		Leaving:   e.stopping.Load, Process: e.addLeases,
 	})
 	if err != nil {
 		return err
@@ -45,40 +46,40 @@
 	}
 	e.operators, err = newOperatorServer(operatorDeps{
 		Address: e.settings.OperatorsAddress, Credentials: e.creds,
-		Operator: operator.Options{Store: store, Holder: e.holder, Spread: service, Explain: e.explainAnywhere, Loaded: e.rollouts.Load().Loaded},
+		Operator: operator.Options{Store: store, Holder: e.holder, Spread: service, Explain: e.explainOrForward, Loaded: e.rollouts.Load().Loaded},
 	})
 	return err
 }
 
-// platformOf is the platform of the settings; without one, every call fails as
-// it does during an outage.
+// platformOf returns the platform client of the settings. Without a configured
+// platform every call fails as it does during an outage.
 func platformOf(settings Settings) platform.Platform {
 	if settings.Platform != nil {
 		return settings.Platform
 	}
-	const nowhere = "http://127.0.0.1:1"
+	const unreachable = "http://127.0.0.1:1"
 	url := settings.PlatformURL
 	if url == "" {
-		url = nowhere
+		url = unreachable
 	}
 	return platform.NewClient(url, platform.ClientOptions{})
 }
 
-// heardVMs takes an answer of the platform's list: who may get work, and among
-// how many entries the limits are shared.
-func (e *Entry) heardVMs(list platform.VMList) {
-	e.picker.vms(time.Now(), list)
-	e.SetEntries(e.picker.entries())
+// receiveVMs applies the platform's list of VMs: which servers may get requests,
+// and how many entries share the limits.
+func (e *Entry) receiveVMs(list platform.VMList) {
+	e.picker.receiveVMs(time.Now(), list)
+	e.SetEntries(e.picker.liveEntries())
 }
 
-// watchMembers lets ejections end and applies a new catalog's drains also while
-// no request comes.
-func (e *Entry) watchMembers(ctx context.Context) {
-	ticker := time.NewTicker(memberTick)
+// watchMembership ends ejections and applies drains of a new catalog while no
+// requests arrive.
+func (e *Entry) watchMembership(ctx context.Context) {
+	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
 	for {
-		e.picker.tick(time.Now(), e.holder.Current())
-		e.crashes.tick(time.Now())
+		e.picker.refresh(time.Now(), e.holder.Current())
+		e.crashes.expire(time.Now())
 		select {
 		case <-ctx.Done():
 			return
@@ -88,7 +89,7 @@
 	}
 }
 
-// servePeer serves a stream that another process opened.
+// servePeer serves a stream opened by another process.
 func (e *Entry) servePeer(ctx context.Context, peer keys.Identity, stream *transport.Stream) {
 	first := &jayv1.ClientFrame{}
 	if err := stream.Receive(first); err != nil {
@@ -107,14 +108,15 @@
 	}
 }
 
-// Explain returns why a request of this entry went where it did, false when it
-// is not among the latest.
+// Explain returns the routing decisions for a request that this entry served,
+// false when it is not among the latest ones.
 func (e *Entry) Explain(_ context.Context, requestID string) (*jayv1.Explanation, bool) {
 	return e.explain.get(requestID)
 }
 
-// explainAnywhere asks the entry that the request id names.
-func (e *Entry) explainAnywhere(ctx context.Context, requestID string) (*jayv1.Explanation, error) {
+// explainOrForward returns the explanation of a request from this entry or, when
+// another entry served it, from that entry.
+func (e *Entry) explainOrForward(ctx context.Context, requestID string) (*jayv1.Explanation, error) {
 	if explanation, ok := e.explain.get(requestID); ok {
 		return explanation, nil
 	}
@@ -122,16 +124,16 @@
 	if !ok || name == e.settings.Name {
 		return nil, operator.ErrNoExplanation
 	}
-	question := &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Explain{Explain: &jayv1.ExplainQuery{RequestId: requestID}}}
-	answer, err := e.spread.AskEntry(ctx, name, question)
+	query := &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Explain{Explain: &jayv1.ExplainQuery{RequestId: requestID}}}
+	reply, err := e.spread.AskEntry(ctx, name, query)
 	if errors.Is(err, spread.ErrUnknownPeer) {
 		return nil, operator.ErrNoExplanation
 	}
 	if err != nil {
 		return nil, eris.Wrapf(err, "ask entry %s", name)
 	}
-	if !answer.GetExplain().GetFound() {
+	if !reply.GetExplain().GetFound() {
 		return nil, operator.ErrNoExplanation
 	}
-	return answer.GetExplain().GetExplanation(), nil
+	return reply.GetExplain().GetExplanation(), nil
 }
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// crashNewsLife is how long a word rides on every digest: by then it has
-	// reached all entries.
-	crashNewsLife = 15 * time.Second
-	// maxCrashNews bounds what a digest carries, maxAllCrashNews what one carries
-	// to a process that may have just started.
-	maxCrashNews    = 8
-	maxAllCrashNews = 24
-	// wordDrift is by how much the time of a word may come out later at each
-	// process that it came through.
-	wordDrift = time.Second
-	// maxCrashWords are kept to be told.
-	maxCrashWords = 4096
+	// crashSendPeriod is how long a record is sent with every digest: by then it
+	// has reached all entries.
+	crashSendPeriod = 15 * time.Second
+	// maxDigestCrashes is the maximum number of records in a digest,
+	// maxFullDigestCrashes in a digest for a process that may have just started.
+	maxDigestCrashes     = 8
+	maxFullDigestCrashes = 24
+	// recordTimeError is the maximum delay that a record's time gains on its way
+	// through other processes.
+	recordTimeError = time.Second
+	// maxCrashRecords is the maximum number of records kept for digests.
+	maxCrashRecords = 4096
 )
 
-// crashSettings hold a request for ten minutes. The first trial is local: there
-// is no row to claim it by, so only those in doubt have one.
+// crashSettings returns the settings of the entry's quarantine, which ends after
+// Forget. Entries have no stored row by which one of them could claim a trial,
+// so only requests that are possibly not the cause of their crashes get one.
 func crashSettings() quarantine.Settings {
 	settings := quarantine.DefaultSettings()
 	settings.TrialAfter = []time.Duration{settings.Forget}
@@ -37,127 +38,131 @@
 	return settings
 }
 
-// crashWord is one word on a request, as it is told on.
-type crashWord struct {
-	strike  quarantine.Strike
+// crashRecord is one record on a request, as entries exchange it: a crash of an
+// engine, or, with cleared set, a complete run that voids earlier crashes.
+type crashRecord struct {
+	crash   quarantine.Strike
 	cleared bool
 }
 
-// crashes is what an entry knows of requests under which engines crashed. Words
-// ride on the digests that entries exchange anyway. Safe for concurrent use.
+// crashes holds the records of requests under which engines crashed. Entries
+// exchange them in their gossip digests. Safe for concurrent use.
 type crashes struct {
-	// known counts the requests: while it is 0 no request is hashed.
-	known atomic.Int64
+	// suspects counts the requests with crash records; while it is 0 no request
+	// is hashed.
+	suspects atomic.Int64
 
 	mu   sync.Mutex
 	book *quarantine.Book
-	// words by when their evidence came up.
-	words map[crashWord]time.Time
+	// records maps each record to the time of its crash or complete run.
+	records map[crashRecord]time.Time
 }
 
 func newCrashes() *crashes {
-	return &crashes{book: quarantine.NewBook(crashSettings()), words: map[crashWord]time.Time{}}
+	return &crashes{book: quarantine.NewBook(crashSettings()), records: map[crashRecord]time.Time{}}
 }
 
-// take takes in a word from any source. One that is older than the request's last
-// whole run says nothing.
-func (c *crashes) take(now, at time.Time, word crashWord) {
+// add adds a record from any source. A crash from before the request's last
+// complete run is ignored.
+func (c *crashes) add(now, at time.Time, record crashRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known, ok := c.words[word]
-	if ok && (!word.cleared || !at.After(known.Add(wordDrift))) {
+	knownAt, ok := c.records[record]
+	if ok && (!record.cleared || !at.After(knownAt.Add(recordTimeError))) {
 		return
 	}
-	f := word.strike.Request
-	cleared := c.words[crashWord{strike: quarantine.Strike{Request: f}, cleared: true}]
-	if !word.cleared && !at.After(cleared.Add(wordDrift)) || len(c.words) >= maxCrashWords {
+	f := record.crash.Request
+	clearedAt := c.records[crashRecord{crash: quarantine.Strike{Request: f}, cleared: true}]
+	if !record.cleared && !at.After(clearedAt.Add(recordTimeError)) || len(c.records) >= maxCrashRecords {
 		return
 	}
-	c.words[word] = at
-	if word.cleared {
+	c.records[record] = at
+	if record.cleared {
 		c.clearLocked(now, at, f)
 	} else {
-		c.strikeLocked(now, word.strike)
+		c.addCrashLocked(now, record.crash)
 	}
-	c.known.Store(int64(c.book.Len()))
+	c.suspects.Store(int64(c.book.Len()))
 }
 
-func (c *crashes) strikeLocked(now time.Time, strike quarantine.Strike) {
-	held := c.book.Add(now, []quarantine.Strike{strike})
-	klog.InfoS("engine crashed under request", "fingerprint", strike.Request.String(), "engine", strike.Server)
-	for _, f := range held {
-		klog.InfoS("request held", "fingerprint", f.String())
+func (c *crashes) addCrashLocked(now time.Time, crash quarantine.Strike) {
+	quarantined := c.book.Add(now, []quarantine.Strike{crash})
+	klog.InfoS("engine crashed under request", "fingerprint", crash.Request.String(), "engine", crash.Server)
+	for _, f := range quarantined {
+		klog.InfoS("request quarantined", "fingerprint", f.String())
 	}
 }
 
 func (c *crashes) clearLocked(now, at time.Time, f quarantine.Fingerprint) {
-	for word, said := range c.words {
-		if word.strike.Request == f && !word.cleared && !said.After(at) {
-			delete(c.words, word)
+	for record, recordedAt := range c.records {
+		if record.crash.Request == f && !record.cleared && !recordedAt.After(at) {
+			delete(c.records, record)
 		}
 	}
 	if request, ok := c.book.Clear(now, f); ok {
-		klog.InfoS("request cleared: it ran whole", "fingerprint", f.String(), "engines", request.Servers)
+		klog.InfoS("request cleared: it ran to completion", "fingerprint", f.String(), "engines", request.Servers)
 	}
 }
 
-// heard takes in another process's words.
-func (c *crashes) heard(now time.Time, news []*jayv1.CrashNews) {
-	for _, one := range news {
-		if len(one.GetRequest()) != len(quarantine.Fingerprint{}) {
+// receive adds the records of another process's digest.
+func (c *crashes) receive(now time.Time, updates []*jayv1.CrashNews) {
+	for _, update := range updates {
+		if len(update.GetRequest()) != len(quarantine.Fingerprint{}) {
 			continue
 		}
-		word := crashWord{strike: quarantine.Strike{Request: quarantine.Fingerprint(one.GetRequest()), Server: one.GetServer()}, cleared: one.GetCleared()}
-		c.take(now, now.Add(-time.Duration(one.GetAgeMs())*time.Millisecond), word)
+		record := crashRecord{crash: quarantine.Strike{Request: quarantine.Fingerprint(update.GetRequest()), Server: update.GetServer()}, cleared: update.GetCleared()}
+		c.add(now, now.Add(-time.Duration(update.GetAgeMs())*time.Millisecond), record)
 	}
 }
 
-// tell returns words for a digest. Those that hold a request go first.
-func (c *crashes) tell(now time.Time, all bool) []*jayv1.CrashNews {
+// digest returns records for a digest, those of quarantined and cleared requests
+// first. With all set it includes records older than crashSendPeriod.
+func (c *crashes) digest(now time.Time, all bool) []*jayv1.CrashNews {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.words) == 0 {
+	if len(c.records) == 0 {
 		return nil
 	}
-	most := maxCrashNews
+	limit := maxDigestCrashes
 	if all {
-		most = maxAllCrashNews
+		limit = maxFullDigestCrashes
 	}
-	var held, others []*jayv1.CrashNews
-	for word, at := range c.words {
+	var urgent, others []*jayv1.CrashNews
+	for record, at := range c.records {
 		age := now.Sub(at)
-		if age >= crashNewsLife && !all {
+		if age >= crashSendPeriod && !all {
 			continue
 		}
-		f := word.strike.Request
-		one := &jayv1.CrashNews{Request: f[:], Server: word.strike.Server, Cleared: word.cleared, AgeMs: uint32(max(0, age.Milliseconds()))} //nolint:gosec // minutes
-		if word.cleared || c.book.Verdict(now, f).Held {
-			held = append(held, one)
+		f := record.crash.Request
+		update := &jayv1.CrashNews{Request: f[:], Server: record.crash.Server, Cleared: record.cleared, AgeMs: uint32(max(0, age.Milliseconds()))} //nolint:gosec // minutes
+		if record.cleared || c.book.Verdict(now, f).Held {
+			urgent = append(urgent, update)
 			continue
 		}
-		others = append(others, one)
+		others = append(others, update)
 	}
-	news := append(held, others...)
-	return news[:min(len(news), most)]
+	updates := append(urgent, others...)
+	return updates[:min(len(updates), limit)]
 }
 
-// tick forgets what is too old.
-func (c *crashes) tick(now time.Time) {
+// expire removes records past their retention.
+func (c *crashes) expire(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.book.Tick(now)
-	c.known.Store(int64(c.book.Len()))
-	life := crashSettings().Forget
-	for word, at := range c.words {
-		if now.Sub(at) >= life {
-			delete(c.words, word)
+	c.suspects.Store(int64(c.book.Len()))
+	retention := crashSettings().Forget
+	for record, at := range c.records {
+		if now.Sub(at) >= retention {
+			delete(c.records, record)
 		}
 	}
 }
 
-// mayKnow tells, without hashing a body, whether something may be known.
-func (c *crashes) mayKnow(hashes *quarantine.Hashes) bool {
-	if hashes == nil || c.known.Load() == 0 {
+// maySuspect reports, without hashing the body, whether there may be records of
+// the request.
+func (c *crashes) maySuspect(hashes *quarantine.Hashes) bool {
+	if hashes == nil || c.suspects.Load() == 0 {
 		return false
 	}
 	head := hashes.Head()
@@ -166,15 +171,16 @@
 	return c.book.MayKnow(head)
 }
 
-// verdict on a request. A trial that is due is taken.
+// verdict returns the quarantine's verdict on a request. A trial that is due
+// counts as taken.
 func (c *crashes) verdict(now time.Time, f quarantine.Fingerprint) quarantine.Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	v := c.book.Verdict(now, f)
-	if v.Trial > 0 {
-		c.book.Tried(now, f, v.Trial)
+	verdict := c.book.Verdict(now, f)
+	if verdict.Trial > 0 {
+		c.book.Tried(now, f, verdict.Trial)
 	}
-	return v
+	return verdict
 }
 
 func (c *crashes) mayRepeat(f quarantine.Fingerprint, crashed []string) bool {
@@ -183,41 +189,43 @@
 	return c.book.MayRepeat(f, crashed)
 }
 
-// heldBack refuses a request under which engines crashed; nil: it may run.
-func (e *Entry) heldBack(w *work) *Error {
-	if !e.crashes.mayKnow(w.hashes) {
+// checkQuarantine refuses a quarantined request. It returns nil when the request
+// may run.
+func (e *Entry) checkQuarantine(w *work) *Error {
+	if !e.crashes.maySuspect(w.hashes) {
 		return nil
 	}
-	v := e.crashes.verdict(time.Now(), w.hashes.Fingerprint())
-	if !v.Held || v.Trial > 0 {
+	verdict := e.crashes.verdict(time.Now(), w.hashes.Fingerprint())
+	if !verdict.Held || verdict.Trial > 0 {
 		return nil
 	}
-	klog.InfoS("request held back", "request", w.id, "fingerprint", w.hashes.Fingerprint().String(), "retryAfterMS", v.RetryAfter.Milliseconds())
-	return refuseForNow(http.StatusServiceUnavailable, CodeHeld, "engines crashed while they began to run this request", v.RetryAfter)
+	klog.InfoS("request refused: it is quarantined after engine crashes", "request", w.id, "fingerprint", w.hashes.Fingerprint().String(), "retryAfterMS", verdict.RetryAfter.Milliseconds())
+	return refuseTemporarily(http.StatusServiceUnavailable, CodeHeld, "engines crashed as they started to run this request; it is not sent again for now", verdict.RetryAfter)
 }
 
-// noteCrash takes in that an attempt's engine crashed.
-func (h *handing) noteCrash(a *attempt) {
+// recordCrash records that the engine of the attempt crashed.
+func (h *handoff) recordCrash(a *attempt) {
 	if h.work.hashes == nil || !a.end.GetEngineCrashed() {
 		return
 	}
 	engine := a.server + "@" + strconv.FormatUint(a.end.GetIncarnation(), 36)
 	h.crashed = append(h.crashed, engine)
 	now := time.Now()
-	h.entry.crashes.take(now, now, crashWord{strike: quarantine.Strike{Request: h.work.hashes.Fingerprint(), Server: engine}})
+	h.entry.crashes.add(now, now, crashRecord{crash: quarantine.Strike{Request: h.work.hashes.Fingerprint(), Server: engine}})
 }
 
-// crashesAllowRepeat tells whether a request may be started again as far as the
-// crashes of engines are concerned.
+// crashesAllowRepeat reports whether the engine crashes so far allow another
+// attempt of the request.
 func (e *Entry) crashesAllowRepeat(w *work, crashed []string) bool {
 	return len(crashed) == 0 || e.crashes.mayRepeat(w.hashes.Fingerprint(), crashed)
 }
 
-// ranWhole clears a request at all entries.
-func (e *Entry) ranWhole(w *work) {
-	if !e.crashes.mayKnow(w.hashes) {
+// clearSuspect voids the crash records of a request that ran to completion, at
+// all entries.
+func (e *Entry) clearSuspect(w *work) {
+	if !e.crashes.maySuspect(w.hashes) {
 		return
 	}
 	now := time.Now()
-	e.crashes.take(now, now, crashWord{strike: quarantine.Strike{Request: w.hashes.Fingerprint()}, cleared: true})
+	e.crashes.add(now, now, crashRecord{crash: quarantine.Strike{Request: w.hashes.Fingerprint()}, cleared: true})
 }
--- a/internal/entry/crashes_test.go
+++ b/internal/entry/crashes_test.go
@@ -11,8 +11,8 @@
 	"github.com/jayproxy/jayproxy/internal/quarantine"
 )
 
-func crashOf(n int, engine string) crashWord {
-	return crashWord{strike: quarantine.Strike{Request: requestNumber(n), Server: engine}}
+func crashOf(n int, engine string) crashRecord {
+	return crashRecord{crash: quarantine.Strike{Request: requestNumber(n), Server: engine}}
 }
 
 func requestNumber(n int) quarantine.Fingerprint {
@@ -29,19 +29,19 @@
 func TestCrashesAddUpOverEntries(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	first, second, third := newCrashes(), newCrashes(), newCrashes()
-	first.take(now, now, crashOf(1, "a"))
-	first.take(now, now, crashOf(1, "b"))
-	second.take(now, now, crashOf(1, "c"))
-	second.heard(now, first.tell(now, false))
-	third.heard(now, second.tell(now, false))
+	first.add(now, now, crashOf(1, "a"))
+	first.add(now, now, crashOf(1, "b"))
+	second.add(now, now, crashOf(1, "c"))
+	second.receive(now, first.digest(now, false))
+	third.receive(now, second.digest(now, false))
 	assert.True(t, third.holds(now, 1))
 	assert.False(t, first.holds(now, 1))
-	first.heard(now, third.tell(now, false))
+	first.receive(now, third.digest(now, false))
 	assert.True(t, first.holds(now, 1))
 	late := newCrashes()
 	later := now.Add(time.Minute)
-	assert.Empty(t, first.tell(later, false), "by then all know it")
-	late.heard(later, first.tell(later, true))
+	assert.Empty(t, first.digest(later, false), "by then all know it")
+	late.receive(later, first.digest(later, true))
 	assert.True(t, late.holds(later, 1), "one that starts later learns it")
 }
 
@@ -51,23 +51,23 @@
 	now := time.Unix(1_800_000_000, 0)
 	one, other := newCrashes(), newCrashes()
 	for _, engine := range []string{"a", "b", "c"} {
-		one.take(now, now, crashOf(1, engine))
+		one.add(now, now, crashOf(1, engine))
 	}
-	old := one.tell(now, false)
-	other.heard(now, old)
+	old := one.digest(now, false)
+	other.receive(now, old)
 	whole := now.Add(2 * time.Second)
-	one.take(whole, whole, crashWord{strike: quarantine.Strike{Request: requestNumber(1)}, cleared: true})
+	one.add(whole, whole, crashRecord{crash: quarantine.Strike{Request: requestNumber(1)}, cleared: true})
 	assert.False(t, one.holds(whole, 1))
-	other.heard(whole, one.tell(whole, false))
+	other.receive(whole, one.digest(whole, false))
 	assert.False(t, other.holds(whole, 1))
 	for _, word := range old {
 		word.AgeMs = 2000
 	}
-	one.heard(whole, old)
+	one.receive(whole, old)
 	assert.False(t, one.holds(whole, 1))
 	again := whole.Add(5 * time.Second)
 	for _, engine := range []string{"d", "e", "f"} {
-		one.take(again, again, crashOf(1, engine))
+		one.add(again, again, crashOf(1, engine))
 	}
 	assert.True(t, one.holds(again, 1), "crashes since count")
 }
@@ -76,20 +76,20 @@
 	now := time.Unix(1_800_000_000, 0)
 	c := newCrashes()
 	for n := range 100 {
-		c.take(now, now, crashOf(n, "a"))
+		c.add(now, now, crashOf(n, "a"))
 	}
 	for _, engine := range []string{"x", "y", "z"} {
-		c.take(now, now, crashOf(1000, engine))
+		c.add(now, now, crashOf(1000, engine))
 	}
-	assert.Len(t, c.tell(now, false), maxCrashNews)
-	all := c.tell(now, true)
-	assert.Len(t, all, maxAllCrashNews)
+	assert.Len(t, c.digest(now, false), maxDigestCrashes)
+	all := c.digest(now, true)
+	assert.Len(t, all, maxFullDigestCrashes)
 	held := requestNumber(1000)
 	for _, word := range all[:3] {
 		assert.Equal(t, held[:], word.GetRequest(), "what is held goes first")
 	}
-	c.heard(now, []*jayv1.CrashNews{{Request: []byte("short"), Server: "a"}, {}})
-	c.tick(now.Add(crashSettings().Forget))
-	assert.Empty(t, c.tell(now.Add(crashSettings().Forget), true))
-	assert.Zero(t, c.known.Load())
+	c.receive(now, []*jayv1.CrashNews{{Request: []byte("short"), Server: "a"}, {}})
+	c.expire(now.Add(crashSettings().Forget))
+	assert.Empty(t, c.digest(now.Add(crashSettings().Forget), true))
+	assert.Zero(t, c.suspects.Load())
 }
--- a/internal/entry/decode.go
+++ b/internal/entry/decode.go
@@ -17,8 +17,8 @@
 // adapterSeparator stands between model and adapter in a caller's model name.
 const adapterSeparator = ":"
 
-// modelRequest is what the entry reads of a caller's body; the body itself
-// goes on unchanged.
+// modelRequest holds the fields that the entry reads from a caller's body; the
+// body itself is forwarded unchanged.
 type modelRequest struct {
 	prefix.Body
 
@@ -27,13 +27,13 @@
 	MaxTokens           int64  `json:"max_tokens"`
 	MaxCompletionTokens int64  `json:"max_completion_tokens"`
 
-	// Adapter is cut off the model name.
+	// Adapter is the part of the model name after adapterSeparator.
 	Adapter string `json:"-"`
-	// canonical prompt, in parts.
+	// canonical holds the parts of the canonical prompt.
 	canonical []string
 }
 
-// decodeModelRequest reads a body of the model API.
+// decodeModelRequest parses and checks a body of the model API.
 func decodeModelRequest(path string, body []byte) (*modelRequest, *Error) {
 	req := &modelRequest{}
 	if err := json.Unmarshal(body, req); err != nil {
@@ -49,7 +49,7 @@
 		return nil, invalid("prompt is missing")
 	}
 	if req.MaxTokens < 0 || req.MaxCompletionTokens < 0 {
-		return nil, invalid("max_tokens is below zero")
+		return nil, invalid("max_tokens and max_completion_tokens must not be negative")
 	}
 	parts, err := req.Parts()
 	if err != nil {
@@ -60,10 +60,10 @@
 	return req, nil
 }
 
-// maxOutput is the caller's bound on generated tokens, 0 when there is none.
+// maxOutput returns the caller's limit on generated tokens, 0 when there is none.
 func (r *modelRequest) maxOutput() uint32 {
-	const most = 1 << 30
-	return uint32(min(max(r.MaxTokens, r.MaxCompletionTokens), most)) //nolint:gosec // bounded above
+	const maxValue = 1 << 30
+	return uint32(min(max(r.MaxTokens, r.MaxCompletionTokens), maxValue)) //nolint:gosec // bounded above
 }
 
 func (r *modelRequest) promptBytes() int {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the shell of jay-entry: the callers' HTTP API, the hand-over
-// of requests to agents and the relay of their answers. It does the I/O; the
-// decisions are the packages routing, retry, quota, membership and ledger.
+// Package entry implements jay-entry: the callers' HTTP API, the handoff of
+// requests to agents and the relay of their answers. It does the I/O; decisions
+// are made by the packages routing, retry, quota, membership and ledger.
 package entry
 
 import (
@@ -26,8 +26,8 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// headerPatience bounds the wait for a caller's request head.
-const headerPatience = 10 * time.Second
+// requestHeaderTimeout limits the wait for the headers of a caller's request.
+const requestHeaderTimeout = 10 * time.Second
 
 // Entry is a running entry.
 type Entry struct {
@@ -39,13 +39,13 @@
 	picker   *picker
 	platform platform.Platform
 	spread   *spread.Service
-	// ready is closed when spread is set; peers that come earlier wait.
+	// ready is closed when spread is set; streams of peers wait for it.
 	ready   chan struct{}
 	streams *streamCount
 	startup *startup
 	explain *explanations
 
-	// crashes are requests under which engines crashed.
+	// crashes holds the crash records of requests.
 	crashes *crashes
 
 	quotaMu  sync.Mutex
@@ -58,7 +58,8 @@
 	operators      *operatorServer
 	rollouts       atomic.Pointer[control.Service]
 	started        time.Time
-	// stopping: not ready any more. serving: the callers' port still takes requests.
+	// stopping: the entry reports not ready. serving: the callers' port still
+	// accepts requests.
 	stopping, serving atomic.Bool
 	ctx               context.Context
 	cancel            context.CancelFunc
@@ -66,10 +67,10 @@
 }
 
 // Start opens all listeners and serves. It needs neither the platform nor a
-// peer: without a catalog callers get a typed refusal until one is known.
+// peer: until a catalog is known, callers get a typed error.
 func Start(ctx context.Context, settings Settings) (*Entry, error) {
-	// Before anything else: from here on callers wait in the listener's queue for
-	// as long as the rest takes. Opened last, it would refuse them meanwhile.
+	// Opened first, so that callers wait in the listener's backlog during the rest
+	// of the start instead of being refused a connection.
 	callers, err := callersListener(settings)
 	if err != nil {
 		return nil, err
@@ -88,7 +89,7 @@
 		e.Close()
 		return nil, err
 	}
-	e.background()
+	e.startBackground()
 	klog.InfoS("entry serves", "name", settings.Name, "callers", e.CallersURL(), "admin", e.AdminURL(), "quic", e.Address(),
 		"afterStart", time.Since(e.started))
 	return e, nil
@@ -139,14 +140,14 @@
 	return nil
 }
 
-func (e *Entry) background() {
-	e.goWith(e.watchStart)
-	e.goWith(e.watchMembers)
-	e.goWith(e.trimClaims)
-	e.goWith(func(ctx context.Context) { e.creds.Watch(ctx, ms(e.settings.Timeouts.KeysReloadMS)) })
+func (e *Entry) startBackground() {
+	e.runInBackground(e.watchStart)
+	e.runInBackground(e.watchMembership)
+	e.runInBackground(e.pruneClaims)
+	e.runInBackground(func(ctx context.Context) { e.creds.Watch(ctx, ms(e.settings.Timeouts.KeysReloadMS)) })
 }
 
-func (e *Entry) goWith(run func(ctx context.Context)) {
+func (e *Entry) runInBackground(run func(ctx context.Context)) {
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
@@ -157,21 +158,21 @@
 // CallersURL is the base URL of the callers' API.
 func (e *Entry) CallersURL() string { return e.callers.url() }
 
-// OperatorsURL is the base URL of the operators' calls.
+// OperatorsURL is the base URL of the operators' API.
 func (e *Entry) OperatorsURL() string { return e.operators.URL() }
 
 // AdminURL is the base URL of the admin pages.
 func (e *Entry) AdminURL() string { return e.admin.url() }
 
-// Address is the QUIC listener, IP:port.
+// Address is the address of the QUIC listener, IP:port.
 func (e *Entry) Address() string { return e.node.Address() }
 
-// Catalog is the holder of the catalog in force.
+// Catalog returns the holder of the catalog in force.
 func (e *Entry) Catalog() *catalog.Holder { return e.holder }
 
-// Shutdown stops without cutting a request: it turns not ready, goes on
-// serving while the balancer takes notice, then refuses new requests and waits
-// for those under way. An error means that the context ended first.
+// Shutdown stops gracefully: it reports not ready, continues to serve for the
+// grace period of the load balancer, then refuses new requests and waits for
+// those in flight. An error means that the context ended first.
 func (e *Entry) Shutdown(ctx context.Context) error {
 	e.stopping.Store(true)
 	pause(ctx, ms(e.settings.Timeouts.GraceMS))
@@ -188,12 +189,12 @@
 	return err
 }
 
-// Close stops at once and cuts what is under way.
+// Close stops at once and aborts the requests in flight.
 func (e *Entry) Close() {
 	e.stopping.Store(true)
-	// First of all: whoever came while the rest ends, which may take long on a
-	// busy machine, would be taken in by an entry that only cuts them off. With
-	// the port closed they go to another entry, or wait for this one's successor.
+	// First, since the rest may take long on a busy machine: callers that connect
+	// meanwhile would be accepted only to be cut off. With the port closed they
+	// reach another entry, or wait for the successor of this one.
 	e.callers.close()
 	e.cancel()
 	e.stopRollouts()
@@ -211,13 +212,13 @@
 	e.wg.Wait()
 }
 
-// server is an HTTP server on a listener of its own.
+// server is an HTTP server with its listener.
 type server struct {
 	http     *http.Server
 	listener net.Listener
 }
 
-// callersListener is the socket that the settings hand in, or a new one.
+// callersListener returns the listener of the settings, or opens one.
 func callersListener(settings Settings) (net.Listener, error) {
 	if settings.CallersListener != nil {
 		return settings.CallersListener, nil
@@ -231,32 +232,32 @@
 }
 
 func newServer(listener net.Listener, handler http.Handler, headerBytes int) *server {
-	// net/http cuts off far beyond the bound, without a typed error; up to
-	// there the handler refuses with one.
-	const hardLimit = 4
+	// net/http rejects oversized headers without a typed error. Its limit is
+	// above the entry's own, so that the handler can reject most of them with one.
+	const hardLimitFactor = 4
 	return &server{
 		listener: listener,
 		http: &http.Server{
-			Handler: handler, ReadHeaderTimeout: headerPatience, MaxHeaderBytes: hardLimit * headerBytes,
+			Handler: handler, ReadHeaderTimeout: requestHeaderTimeout, MaxHeaderBytes: hardLimitFactor * headerBytes,
 		},
 	}
 }
 
-// start serves the connections that wait already and those that come.
+// start serves connections, those already in the listener's backlog included.
 func (s *server) start() {
 	go func() {
 		if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
-			klog.ErrorS(err, "HTTP listener ended", "address", s.listener.Addr().String())
+			klog.ErrorS(err, "HTTP server stopped", "address", s.listener.Addr().String())
 		}
 	}()
 }
 
 func (s *server) url() string { return "http://" + s.listener.Addr().String() }
 
-// drain closes the listener and waits for the requests under way.
+// drain closes the listener and waits for the requests in flight.
 func (s *server) drain(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// close closes the listener, also one that was never served, and cuts all connections.
+// close closes all connections and the listener, even if it was never served.
 func (s *server) close() {
 	if s != nil {
 		_ = s.http.Close()
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -21,14 +21,14 @@
 	HeaderResume         = "X-Jay-Resume"
 	HeaderIdempotencyKey = "Idempotency-Key"
 	headerRetryAfter     = "Retry-After"
-	// headerShouldRetry tells OpenAI clients not to repeat a request on their own.
+	// headerShouldRetry makes OpenAI clients not repeat a request automatically.
 	headerShouldRetry = "X-Should-Retry"
 )
 
-// Code names the reason of a refusal; callers test for it.
+// Code is the machine-readable reason of an error.
 type Code string
 
-// The codes of errors that callers get.
+// Codes of the errors that callers get.
 const (
 	CodeInvalidKey        Code = "invalid_api_key"
 	CodeInvalidRequest    Code = "invalid_request"
@@ -65,35 +65,35 @@
 	statusHeadersTooLarge      = http.StatusRequestHeaderFieldsTooLarge
 )
 
-// Error is a refusal or failure as a caller gets it.
+// Error is a refusal or failure as it is returned to a caller.
 type Error struct {
 	Status  int
 	Code    Code
 	Message string
 	Outcome jayv1.Outcome
-	// RetryAfter is the wait that the caller is told; 0: no header.
+	// RetryAfter is the value of the Retry-After header; 0: no header.
 	RetryAfter time.Duration
-	// RequestID of the request that the error is about when it is not the
-	// caller's own: the first of a duplicate.
+	// RequestID is set when the error is about another request: the first one of
+	// a duplicate.
 	RequestID string
 }
 
-// Error renders code and message.
+// Error returns code and message.
 func (e *Error) Error() string { return string(e.Code) + ": " + e.Message }
 
-// refuse makes an error of a request that ran nothing.
+// refuse returns the error for a request that did not run.
 func refuse(status int, code Code, message string) *Error {
 	return &Error{Status: status, Code: code, Message: message, Outcome: jayv1.Outcome_OUTCOME_NOT_RUN}
 }
 
-// refuseForNow is refuse for a cause that passes.
-func refuseForNow(status int, code Code, message string, after time.Duration) *Error {
+// refuseTemporarily is refuse for a temporary cause, with a Retry-After.
+func refuseTemporarily(status int, code Code, message string, after time.Duration) *Error {
 	e := refuse(status, code, message)
 	e.RetryAfter = max(after, defaultRetryAfter)
 	return e
 }
 
-// errorBody is the error shape of OpenAI clients with our fields added.
+// errorBody is the JSON error of the OpenAI API with additional fields.
 type errorBody struct {
 	Error errorFields `json:"error"`
 }
@@ -136,7 +136,7 @@
 	return typeInvalidRequest
 }
 
-// write sends the error as the whole answer.
+// write sends the error as the complete answer.
 func (e *Error) write(w http.ResponseWriter, requestID string) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -144,8 +144,8 @@
 	if e.RetryAfter > 0 {
 		h.Set(headerRetryAfter, strconv.Itoa(int(math.Ceil(e.RetryAfter.Seconds()))))
 	}
-	// A client that repeats by itself what may have run would run it twice. To
-	// ask for a stream again runs nothing.
+	// An automatic retry of a request that may have run could run it twice.
+	// Resuming a stream runs nothing.
 	mayRunTwice := e.Outcome != jayv1.Outcome_OUTCOME_NOT_RUN && e.Code != CodeStreamNotReached
 	if mayRunTwice || e.Code == CodeDuplicate {
 		h.Set(headerShouldRetry, "false")
@@ -154,7 +154,7 @@
 	_, _ = w.Write(e.body(requestID))
 }
 
-// asError turns any error into one that a caller may see.
+// asError converts any error into one that a caller may see.
 func asError(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// OutcomeName is the outcome as callers read it.
+// OutcomeName returns the outcome as it appears in answers to callers.
 func OutcomeName(outcome jayv1.Outcome) string {
 	switch outcome {
 	case jayv1.Outcome_OUTCOME_DONE:
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -11,13 +11,13 @@
 	"github.com/jayproxy/jayproxy/internal/routing"
 )
 
-// explainKept is the number of recent requests whose decisions are kept.
-const explainKept = 512
+// maxExplanations is the number of recent requests whose decisions are kept.
+const maxExplanations = 512
 
-// explanations is a ring of the latest decisions.
+// explanations is a ring buffer of the latest routing decisions.
 type explanations struct {
 	mu   sync.Mutex
-	ring [explainKept]*jayv1.Explanation
+	ring [maxExplanations]*jayv1.Explanation
 	next int
 	byID map[string]*jayv1.Explanation
 }
@@ -40,11 +40,12 @@
 	}
 	x.ring[x.next] = explanation
 	x.byID[w.id] = explanation
-	x.next = (x.next + 1) % explainKept
+	x.next = (x.next + 1) % maxExplanations
 }
 
-// decided keeps the candidates of a decision; the last decision's stay.
-func (x *explanations) decided(id string, d routing.Decision) {
+// recordDecision stores the candidates of a decision, in place of those of an
+// earlier attempt.
+func (x *explanations) recordDecision(id string, d routing.Decision) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if explanation := x.byID[id]; explanation != nil {
@@ -53,7 +54,7 @@
 	}
 }
 
-func (x *explanations) attempt(a *attempt, refusal jayv1.Refusal) {
+func (x *explanations) recordAttempt(a *attempt, refusal jayv1.Refusal) {
 	result := "accepted"
 	if refusal != jayv1.Refusal_REFUSAL_UNSPECIFIED {
 		result = refusalName(refusal)
@@ -68,7 +69,7 @@
 	}
 }
 
-func (x *explanations) finish(id string, r result) {
+func (x *explanations) recordOutcome(id string, r result) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if explanation := x.byID[id]; explanation != nil {
@@ -91,8 +92,8 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var all []*jayv1.Explanation
-	for i := 1; i <= explainKept && len(all) < n; i++ {
-		if explanation := x.ring[(x.next-i+explainKept)%explainKept]; explanation != nil {
+	for i := 1; i <= maxExplanations && len(all) < n; i++ {
+		if explanation := x.ring[(x.next-i+maxExplanations)%maxExplanations]; explanation != nil {
 			all = append(all, proto.Clone(explanation).(*jayv1.Explanation))
 		}
 	}
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -16,17 +16,16 @@
 
 const nonceBytes = 16
 
-// answer is where a request's result goes: a sink that also knows whether the
-// caller has got anything of it yet.
+// answer is a sink that also reports whether any of it was sent to the caller.
 type answer interface {
 	sink
-	// Begin is told of each attempt before it starts.
+	// Begin is called before each attempt starts.
 	Begin(a *attempt)
-	// Started is true once bytes went to the caller.
+	// Started reports whether the response to the caller was started.
 	Started() bool
 }
 
-// result is how a request ended.
+// result is the result of a request.
 type result struct {
 	outcome  jayv1.Outcome
 	attempts uint32
@@ -36,36 +35,38 @@
 	server   string
 }
 
-// handOver brings the work to a backend server, in as many attempts as it may have.
-func (e *Entry) handOver(ctx context.Context, w *work, to answer) result {
-	h := &handing{entry: e, work: w, to: to, table: e.holder.Current()}
+// handOff hands the request off to backend servers until an attempt succeeds or
+// no further attempt is allowed.
+func (e *Entry) handOff(ctx context.Context, w *work, to answer) result {
+	h := &handoff{entry: e, work: w, to: to, table: e.holder.Current()}
 	e.explain.begin(e, w, h.table)
 	r := h.run(ctx)
 	if r.err != nil {
-		// One word for the caller, the claim and the metrics.
+		// Caller, claim and metrics get the same outcome.
 		r.err.Outcome = r.outcome
 	}
-	e.explain.finish(w.id, r)
+	e.explain.recordOutcome(w.id, r)
 	return r
 }
 
-// handing is the state of one request over its attempts.
-type handing struct {
+// handoff is the state of one request across its attempts.
+type handoff struct {
 	entry *Entry
 	work  *work
 	to    answer
 	table *catalog.Table
-	tries []routing.Tried
+	tried []routing.Tried
 	last  result
-	// maybeRan: an attempt ended unknown, so the request can't be called not run.
-	maybeRan bool
-	// crashed are the engines that crashed as the request began to run there.
+	// mayHaveRun: an attempt had an unknown outcome, so the request can't be
+	// reported as not run.
+	mayHaveRun bool
+	// crashed lists the engines that crashed as the request started to run there.
 	crashed []string
 }
 
-func (h *handing) run(ctx context.Context) result {
+func (h *handoff) run(ctx context.Context) result {
 	for n := 1; n <= h.maxAttempts(); n++ {
-		// The catalog may have moved on since the last attempt.
+		// The catalog may have changed since the last attempt.
 		h.table = h.entry.holder.Current()
 		d, err := h.decide(ctx)
 		if err != nil {
@@ -74,33 +75,33 @@
 		d.Final = d.Final || h.maxAttempts() == 1 || h.declines() >= h.entry.settings.Attempts.MaxDeclines
 		a, ok := h.newAttempt(uint32(n), d) //nolint:gosec // bounded by the setting
 		if !ok {
-			h.tries = append(h.tries, routing.Tried{Server: d.Server, Refusal: jayv1.Refusal_REFUSAL_NOT_FOUND})
+			h.tried = append(h.tried, routing.Tried{Server: d.Server, Refusal: jayv1.Refusal_REFUSAL_NOT_FOUND})
 			continue
 		}
-		h.entry.explain.decided(h.work.id, d)
+		h.entry.explain.recordDecision(h.work.id, d)
 		h.to.Begin(a)
 		offer := h.work.offer(time.Now(), a.number, d, h.table.Generation(), a.nonce)
 		a.run(ctx, offer, h.work.body, h.to)
-		h.learn(a)
-		if h.settled(ctx, a) {
+		h.recordAttempt(a)
+		if h.finished(ctx, a) {
 			return h.last
 		}
 	}
 	return h.exhausted()
 }
 
-// maxAttempts is one for a call that may run at most once and has no key: no
-// claim would stop a second run.
-func (h *handing) maxAttempts() int {
+// maxAttempts is 1 for a call that may run at most once and has no idempotency
+// key: without a claim nothing would prevent a second run.
+func (h *handoff) maxAttempts() int {
 	if h.work.nonRepeatable && h.work.key == "" {
 		return 1
 	}
 	return h.entry.settings.Attempts.Max
 }
 
-func (h *handing) declines() int {
+func (h *handoff) declines() int {
 	n := 0
-	for _, t := range h.tries {
+	for _, t := range h.tried {
 		if t.Refusal == jayv1.Refusal_REFUSAL_COST {
 			n++
 		}
@@ -108,7 +109,7 @@
 	return n
 }
 
-func (h *handing) newAttempt(number uint32, d routing.Decision) (*attempt, bool) {
+func (h *handoff) newAttempt(number uint32, d routing.Decision) (*attempt, bool) {
 	server, ok := h.table.BackendServer(d.Server)
 	if !ok {
 		return nil, false
@@ -118,9 +119,9 @@
 	a.generation = h.table.Generation()
 	a.workspace, a.dial = h.work.workspace.GetName(), h.entry.node
 	a.limits, a.timeouts = h.entry.settings.Attempts, h.entry.settings.Timeouts
-	a.deadline, a.detach = h.work.deadline, h.work.keepOpen
+	a.deadline, a.resumable = h.work.deadline, h.work.resumable
 	if h.work.stream {
-		a.unacked = uint64(a.limits.ResumeChunks) //nolint:gosec // not negative by the setting's rule
+		a.ackLag = uint64(a.limits.ResumeChunks) //nolint:gosec // not negative by the setting's rule
 	}
 	a.onReply = func(reply *jayv1.OfferReply) { h.entry.picker.replied(time.Now(), h.work, a.server, reply) }
 	a.nonce = make([]byte, nonceBytes)
@@ -128,21 +129,21 @@
 	return a, true
 }
 
-// learn keeps what the attempt showed of the backend server.
-func (h *handing) learn(a *attempt) {
+// recordAttempt records the result of an ended attempt.
+func (h *handoff) recordAttempt(a *attempt) {
 	h.entry.picker.ended(time.Now(), h.work, a)
 	t := routing.Tried{Server: a.server, Refusal: refusalOf(a), CostMS: a.reply.GetCostMs(), CachedBytes: int(a.reply.GetCachedBytes())}
-	h.tries = append(h.tries, t)
-	h.entry.explain.attempt(a, t.Refusal)
+	h.tried = append(h.tried, t)
+	h.entry.explain.recordAttempt(a, t.Refusal)
 	h.last.attempts, h.last.server = a.number, a.server
 	h.last.end, h.last.reply = a.end, a.reply
 	h.last.outcome = a.outcome()
-	h.noteCrash(a)
+	h.recordCrash(a)
 	klog.V(2).InfoS("attempt over", "request", a.id, "attempt", a.number, "server", a.server, "state", a.state, "refusal", t.Refusal)
 }
 
-// refusalOf is the agent's reason, before or after it took the work. A lost
-// link counts as an engine that is down.
+// refusalOf returns the agent's reason for not running the request, given before
+// or after it accepted the offer. A lost link counts as an engine that is down.
 func refusalOf(a *attempt) jayv1.Refusal {
 	if a.reply != nil && !a.reply.GetAccepted() {
 		return a.reply.GetRefusal()
@@ -156,16 +157,17 @@
 	return jayv1.Refusal_REFUSAL_UNSPECIFIED
 }
 
-// settled tells whether the request is over after the attempt.
-func (h *handing) settled(ctx context.Context, a *attempt) bool {
+// finished reports whether the request ends with this attempt, and sets its
+// result.
+func (h *handoff) finished(ctx context.Context, a *attempt) bool {
 	switch {
 	case a.outcome() == jayv1.Outcome_OUTCOME_DONE:
-		h.entry.ranWhole(h.work)
+		h.entry.clearSuspect(h.work)
 		h.last.err = nil
 		return true
 	case a.outcome() == jayv1.Outcome_OUTCOME_UNKNOWN:
-		h.maybeRan = true
-		return !h.retryUnknown(a)
+		h.mayHaveRun = true
+		return !h.mayRetryUnknown(a)
 	case ctx.Err() != nil, errors.Is(a.cause, errCallerGone), errors.Is(a.cause, errBody):
 		h.last.err = bodyError(a.cause)
 		h.last.outcome = h.outcomeNow()
@@ -182,17 +184,18 @@
 	return false
 }
 
-// outcomeNow is not_run only while no attempt may have run.
-func (h *handing) outcomeNow() jayv1.Outcome {
-	if h.maybeRan {
+// outcomeNow is NOT_RUN only while no attempt may have run.
+func (h *handoff) outcomeNow() jayv1.Outcome {
+	if h.mayHaveRun {
 		return jayv1.Outcome_OUTCOME_UNKNOWN
 	}
 	return jayv1.Outcome_OUTCOME_NOT_RUN
 }
 
-// retryUnknown tells whether work that may have run is started again: only
-// repeatable work of which the caller has got nothing, within the budget.
-func (h *handing) retryUnknown(a *attempt) bool {
+// mayRetryUnknown reports whether a request that may have run is started again:
+// only if it is repeatable, nothing of its answer was sent to the caller, and
+// the retry budget allows it.
+func (h *handoff) mayRetryUnknown(a *attempt) bool {
 	h.last.err = &Error{
 		Status: http.StatusBadGateway, Code: CodeOutcomeUnknown, Outcome: jayv1.Outcome_OUTCOME_UNKNOWN,
 		Message: "the connection to the backend server was lost; the request may have run",
@@ -201,9 +204,9 @@
 		h.last.err.Code = CodeStreamBroken
 		h.last.err.Message = "the stream could not be completed"
 	}
-	if errors.Is(a.cause, errGivenUp) {
+	if errors.Is(a.cause, errTimedOut) {
 		h.last.err.Status, h.last.err.Code = http.StatusGatewayTimeout, CodeDeadline
-		h.last.err.Message = "the request was given up at its deadline; it may have run"
+		h.last.err.Message = "the request timed out; it may have run"
 	}
 	if h.work.repeatable {
 		h.last.err.RetryAfter = defaultRetryAfter
@@ -217,22 +220,22 @@
 	return h.entry.allowRetry(time.Now(), h.work.deadline)
 }
 
-// finalRefusal tells whether asking another backend server is of no use.
+// finalRefusal reports whether every other backend server would refuse too.
 func finalRefusal(refusal jayv1.Refusal) bool {
 	return refusal == jayv1.Refusal_REFUSAL_INVALID || refusal == jayv1.Refusal_REFUSAL_DEADLINE
 }
 
-// exhausted is the end of a request that found no backend server.
-func (h *handing) exhausted() result {
+// exhausted returns the result of a request that no backend server accepted.
+func (h *handoff) exhausted() result {
 	h.last.outcome = h.outcomeNow()
-	if h.last.err != nil && h.maybeRan {
+	if h.last.err != nil && h.mayHaveRun {
 		return h.last
 	}
-	if len(h.tries) == 0 {
-		h.last.err = refuseForNow(http.StatusServiceUnavailable, CodeNoBackendServer, "no backend server may serve the request now", 0)
+	if len(h.tried) == 0 {
+		h.last.err = refuseTemporarily(http.StatusServiceUnavailable, CodeNoBackendServer, "no backend server is available for the request now", 0)
 		return h.last
 	}
-	h.last.err = refuseForNow(http.StatusServiceUnavailable, CodeOverloaded,
-		"every backend server asked refused the request: "+refusalName(h.tries[len(h.tries)-1].Refusal), h.retryAfter())
+	h.last.err = refuseTemporarily(http.StatusServiceUnavailable, CodeOverloaded,
+		"every backend server that was tried refused the request; last reason: "+refusalName(h.tried[len(h.tried)-1].Refusal), h.retryAfter())
 	return h.last
 }
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -8,11 +8,11 @@
 	"github.com/jayproxy/jayproxy/internal/quota"
 )
 
-// retryNeed is the least time that an attempt is worth starting for.
-const retryNeed = 10 * time.Millisecond
+// minRetryTime is the minimum time before the deadline for a retry to start.
+const minRetryTime = 10 * time.Millisecond
 
-// withinLimits holds this entry's part of the workspace's declared limits.
-func (e *Entry) withinLimits(workspace *jayv1.Workspace, tokens float64) *Error {
+// checkLimits enforces this entry's share of the workspace's declared limits.
+func (e *Entry) checkLimits(workspace *jayv1.Workspace, tokens float64) *Error {
 	declared := workspace.GetLimits()
 	limits := quota.Limits{
 		RequestsPerSecond: declared.GetRequestsPerSecond(),
@@ -24,43 +24,44 @@
 	verdict := e.quota.Enter(time.Now(), workspace.GetName(), limits, tokens)
 	switch verdict.Reason {
 	case quota.Requests:
-		return refuseForNow(http.StatusTooManyRequests, CodeRateLimited, "the workspace's requests a second are used up", verdict.After)
+		return refuseTemporarily(http.StatusTooManyRequests, CodeRateLimited, "the workspace has reached its limit of requests per second", verdict.After)
 	case quota.Tokens:
-		return refuseForNow(http.StatusTooManyRequests, CodeRateLimited, "the workspace's tokens a second are used up", verdict.After)
+		return refuseTemporarily(http.StatusTooManyRequests, CodeRateLimited, "the workspace has reached its limit of tokens per second", verdict.After)
 	case quota.Streams:
-		return refuseForNow(http.StatusTooManyRequests, CodeTooManyStreams, "the workspace's concurrent streams are used up", 0)
+		return refuseTemporarily(http.StatusTooManyRequests, CodeTooManyStreams, "the workspace has reached its limit of concurrent streams", 0)
 	default:
 		return nil
 	}
 }
 
-func (e *Entry) leaveLimits(workspace string) {
+func (e *Entry) releaseLimits(workspace string) {
 	e.quotaMu.Lock()
 	defer e.quotaMu.Unlock()
 	e.quota.Leave(workspace)
 }
 
-// SetEntries tells the entry how many entries share the limits.
+// SetEntries sets the number of entries that share the limits.
 func (e *Entry) SetEntries(n int) {
 	e.quotaMu.Lock()
 	defer e.quotaMu.Unlock()
 	e.quota.SetEntries(n)
 }
 
-// allowRetry takes a retry of started work from the budget.
+// allowRetry reports whether the retry budget covers another attempt of a
+// request that may have run, and takes it from the budget.
 func (e *Entry) allowRetry(now, deadline time.Time) bool {
 	e.budgetMu.Lock()
 	defer e.budgetMu.Unlock()
-	return e.budget.Allow(now, deadline, retryNeed)
+	return e.budget.Allow(now, deadline, minRetryTime)
 }
 
-func (e *Entry) earnRetry() {
+func (e *Entry) creditRetry() {
 	e.budgetMu.Lock()
 	defer e.budgetMu.Unlock()
 	e.budget.Succeeded()
 }
 
-// Entries is the number of entries that the limits are shared by.
+// Entries returns the number of entries that share the limits.
 func (e *Entry) Entries() int {
 	e.quotaMu.Lock()
 	defer e.quotaMu.Unlock()
--- a/internal/entry/model.go
+++ b/internal/entry/model.go
@@ -13,17 +13,18 @@
 	"github.com/jayproxy/jayproxy/internal/routing"
 )
 
-// resumeKeep in the header HeaderResume asks that the answer goes on when the
-// caller's own connection breaks, so that it can be resumed.
+// resumeKeep is the value of HeaderResume by which a caller asks that its
+// request continues after its connection is lost, so that it can resume the
+// stream.
 const resumeKeep = "keep"
 
-// finisher is an answer that is closed with the request's result.
+// finisher is an answer that is completed with the request's result.
 type finisher interface {
 	answer
 	finish(r result)
 }
 
-// serveModel is the handler of both completion calls.
+// serveModel handles chat and text completion requests.
 func (e *Entry) serveModel(c echo.Context) error {
 	call := callOf(c)
 	body, refusal := e.readBody(c)
@@ -40,13 +41,13 @@
 	}
 	return e.serve(c, w, req.promptTokens(w.policy.BytesPerToken), func(client *caller) finisher {
 		if w.stream {
-			return &sseSink{caller: client, mint: e.resumeToken}
+			return &sseSink{caller: client, newToken: e.resumeToken}
 		}
 		return &plainSink{caller: client, limit: e.settings.Limits.AnswerBytes}
 	})
 }
 
-// modelWork looks up what the request needs in the catalog.
+// modelWork builds the work of a model request from the catalog.
 func (e *Entry) modelWork(c echo.Context, call *call, req *modelRequest, body []byte) (*work, *Error) {
 	if req.promptBytes() > e.settings.Limits.PromptBytes {
 		return nil, refuse(http.StatusBadRequest, CodePromptTooLarge, "the prompt is longer than the limit")
@@ -63,8 +64,8 @@
 	w := &work{
 		pool: pool, model: req.Model, version: version.GetDigest(), adapter: adapter,
 		apiPath: c.Request().URL.Path, stream: req.Stream, maxOut: req.maxOutput(),
-		body: &wholeBody{body: body}, repeatable: true,
-		keepOpen: req.Stream && c.Request().Header.Get(HeaderResume) == resumeKeep,
+		body: &bufferedBody{body: body}, repeatable: true,
+		resumable: req.Stream && c.Request().Header.Get(HeaderResume) == resumeKeep,
 	}
 	rule, refusal := e.admit(c, call, w, catalog.Traffic{Model: req.Model})
 	if refusal != nil {
@@ -81,7 +82,8 @@
 	return w, nil
 }
 
-// adapterOf checks the adapter's name, false when the pool declares none of it.
+// adapterOf returns the adapter's name, false when the pool does not declare it.
+// No adapter is valid too.
 func adapterOf(pool *jayv1.Pool, name string) (string, bool) {
 	if name == "" {
 		return "", true
@@ -94,7 +96,8 @@
 	return "", false
 }
 
-// admit fills in who asks, under which rule and until when.
+// admit applies the matching rule: it refuses denied traffic and sets id,
+// workspace, class, priority and deadline of the work.
 func (e *Entry) admit(c echo.Context, call *call, w *work, traffic catalog.Traffic) (*jayv1.Rule, *Error) {
 	traffic.Workspace = call.workspace.GetName()
 	traffic.ClassLabel = c.Request().Header.Get(HeaderClass)
@@ -134,7 +137,7 @@
 	return float64(r.promptBytes()) / bytesPerToken
 }
 
-// modelList is the answer of /v1/models.
+// modelList is the response body of /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -147,7 +150,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// listModels lists the models that no rule denies to the workspace.
+// listModels lists the models and adapters that the workspace may use.
 func (e *Entry) listModels(c echo.Context) error {
 	call := callOf(c)
 	list := modelList{Object: "list", Data: []modelItem{}}
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -1,4 +1,3 @@
-// Package entry is the shell of an entry process.
 package entry
 
 import (
@@ -16,20 +15,20 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// operatorHeaderTimeout bounds the wait for a request's headers.
+// operatorHeaderTimeout limits the wait for the headers of a request.
 const operatorHeaderTimeout = 10 * time.Second
 
-// operatorDeps is what the operators' listener needs of an entry.
+// operatorDeps are the dependencies of the operators' server.
 type operatorDeps struct {
 	// Address to listen on, IP:port.
 	Address     string
 	Credentials *transport.Credentials
-	// Operator is the service behind it; its Closing is set here.
+	// Operator configures the operator service. newOperatorServer sets its Closing.
 	Operator operator.Options
 }
 
-// operatorServer serves the operators' calls over HTTPS with client
-// certificates of the roles viewer and operator.
+// operatorServer serves the operators' API over HTTPS to clients with a
+// certificate of the role viewer or operator.
 type operatorServer struct {
 	listener net.Listener
 	server   *http.Server
@@ -37,7 +36,7 @@
 	once     sync.Once
 }
 
-// newOperatorServer listens and starts to serve.
+// newOperatorServer opens the listener and starts to serve.
 func newOperatorServer(deps operatorDeps) (*operatorServer, error) {
 	listener, err := net.Listen("tcp", deps.Address)
 	if err != nil {
@@ -52,20 +51,20 @@
 	}
 	go func() {
 		if err := s.server.ServeTLS(listener, "", ""); !eris.Is(err, http.ErrServerClosed) {
-			klog.ErrorS(err, "Operators' listener ended")
+			klog.ErrorS(err, "Operators' server stopped")
 		}
 	}()
 	return s, nil
 }
 
-// URL is the base address of the operators' calls.
+// URL is the base URL of the operators' API.
 func (s *operatorServer) URL() string { return "https://" + s.listener.Addr().String() }
 
-// Shutdown ends watches and waits for running calls.
+// Shutdown ends watch streams and waits for running calls.
 func (s *operatorServer) Shutdown(ctx context.Context) error {
 	s.once.Do(func() { close(s.closing) })
 	return eris.Wrap(s.server.Shutdown(ctx), "shut the operators' listener down")
 }
 
-// Close cuts all calls.
+// Close aborts all calls.
 func (s *operatorServer) Close() { _ = s.server.Close() }
--- a/internal/entry/picker.go
+++ b/internal/entry/picker.go
@@ -15,15 +15,16 @@
 	"github.com/jayproxy/jayproxy/internal/routing"
 )
 
-// picker locks the routing decisions and the membership they rest on.
+// picker selects backend servers. One lock guards the router and the membership
+// that its choices depend on.
 type picker struct {
 	mu      sync.Mutex
 	router  *routing.Router
 	members *membership.Members
 	table   *catalog.Table
 	sets    map[string]*routing.Set
-	// listed is what the platform's list last said of each VM: a server that is
-	// declared after its VM was listed must not be missed.
+	// listed holds the latest entry of the platform's list for each VM, because a
+	// server may be declared after its VM was listed.
 	listed map[string]platform.VM
 }
 
@@ -31,13 +32,13 @@
 	p := &picker{members: membership.New(membership.DefaultSettings()), listed: map[string]platform.VM{}}
 	p.router = routing.New(routing.Options{
 		Policy: settings.Policy, DataCentre: settings.DataCentre, Region: settings.Region,
-		// Entries differ in their random candidates and agree on the rest.
+		// Entries draw different random candidates.
 		Seed: xxh3.HashString(settings.Name), Membership: p.members,
 	})
 	return p
 }
 
-// next chooses where the work is offered.
+// next chooses the backend server that the work is offered to next.
 func (p *picker) next(now time.Time, table *catalog.Table, w *work, tries []routing.Tried) (routing.Decision, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,8 +51,8 @@
 	return p.router.Choose(now, w.route, w.policy, set, tries)
 }
 
-// adopt takes a newer generation's backend servers. A request that read the
-// holder just before a change must not bring the old ones back.
+// adopt applies the backend servers of a newer generation. An older one is
+// ignored: a request may have read the holder just before a change.
 func (p *picker) adopt(now time.Time, table *catalog.Table) {
 	if p.table != nil && table.Generation() <= p.table.Generation() {
 		return
@@ -67,15 +68,15 @@
 		servers = append(servers, membership.Server{Name: b.GetName(), Group: group, Host: host, Draining: b.GetDraining()})
 	}
 	p.members.SetServers(now, servers)
-	p.members.VMs(now, platform.VMList{VMs: p.vmsKnown()})
+	p.members.VMs(now, platform.VMList{VMs: p.listedVMs()})
 }
 
-func (p *picker) vmsKnown() []platform.VM {
-	known := make([]platform.VM, 0, len(p.listed))
+func (p *picker) listedVMs() []platform.VM {
+	vms := make([]platform.VM, 0, len(p.listed))
 	for _, vm := range p.listed {
-		known = append(known, vm)
+		vms = append(vms, vm)
 	}
-	return known
+	return vms
 }
 
 func setOf(target string, servers []*jayv1.BackendServer) *routing.Set {
@@ -86,11 +87,11 @@
 	return routing.NewSet(target, list)
 }
 
-// replied takes in an agent's answer to an offer.
+// replied records an agent's reply to an offer.
 func (p *picker) replied(now time.Time, w *work, server string, reply *jayv1.OfferReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard(now, server, reply.GetState())
+	p.receiveState(now, server, reply.GetState())
 	if reply.GetAccepted() || reply.GetRefusal() == jayv1.Refusal_REFUSAL_COST {
 		p.router.Saw(now, server, w.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
 	}
@@ -99,7 +100,7 @@
 	}
 }
 
-func (p *picker) heard(now time.Time, server string, state *jayv1.AgentState) {
+func (p *picker) receiveState(now time.Time, server string, state *jayv1.AgentState) {
 	if state == nil {
 		return
 	}
@@ -107,42 +108,42 @@
 	p.members.Heard(now, server, state)
 }
 
-// ended takes in how an attempt ended.
+// ended records the end of an attempt.
 func (p *picker) ended(now time.Time, w *work, a *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a.reply.GetAccepted() {
 		p.router.Finished(now, a.server, w.route, a.firstTokenMS())
 	}
-	p.heard(now, a.server, a.end.GetState())
+	p.receiveState(now, a.server, a.end.GetState())
 	switch evidenceOf(a) {
 	case workSucceeded:
 		p.members.Succeeded(now, a.server)
 	case workFailed:
 		p.members.Failed(now, a.server)
-	case serverLeaves:
+	case serverDraining:
 		p.members.RefusedLeaving(now, a.server)
 	}
 }
 
-// evidence is what an attempt shows of the server's health.
+// evidence is what an attempt's end indicates about the server's health.
 type evidence int
 
 const (
 	noEvidence evidence = iota
 	workSucceeded
 	workFailed
-	serverLeaves
+	serverDraining
 )
 
-// evidenceOf judges the server, not the request: refusals that are in order
-// and callers that go away say nothing of its health.
+// evidenceOf returns the evidence of an ended attempt. Regular refusals and
+// callers that disconnect are no evidence about the server's health.
 func evidenceOf(a *attempt) evidence {
 	refusal := refusalOf(a)
 	switch {
 	case refusal == jayv1.Refusal_REFUSAL_LEAVING:
-		return serverLeaves
-	case a.byCaller():
+		return serverDraining
+	case a.endedByCaller():
 		return noEvidence
 	case a.reply != nil && !a.reply.GetAccepted(), a.end.GetOutcome() == jayv1.Outcome_OUTCOME_NOT_RUN:
 		if refusal == jayv1.Refusal_REFUSAL_ENGINE_DOWN {
@@ -155,24 +156,24 @@
 	return workSucceeded
 }
 
-// serverFault tells whether a plain service's status speaks of the server. 500
-// does not: one caller's input may cause it and must not take the service from
-// the others.
+// serverFault reports whether the HTTP status of a plain service indicates a
+// failed server. 500 does not: one caller's input may cause it, and that must not
+// eject the server for all callers.
 func serverFault(status uint32) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// probed takes in an agent's answer to a probe: what it says of the prompt is
-// as exact as an answer to an offer.
+// probed records an agent's reply to a probe. Its cached bytes are as exact as
+// those of a reply to an offer.
 func (p *picker) probed(now time.Time, w *work, server string, reply *jayv1.ProbeReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard(now, server, reply.GetState())
+	p.receiveState(now, server, reply.GetState())
 	p.router.Saw(now, server, w.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
 }
 
-// vms takes an answer of the platform's list.
-func (p *picker) vms(now time.Time, list platform.VMList) {
+// receiveVMs applies the platform's list of VMs, complete or changes only.
+func (p *picker) receiveVMs(now time.Time, list platform.VMList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if list.Whole {
@@ -184,8 +185,8 @@
 	p.members.VMs(now, list)
 }
 
-// entries is the number of live entries in the platform's list.
-func (p *picker) entries() int {
+// entries returns the number of live entries in the platform's list.
+func (p *picker) liveEntries() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -197,19 +198,19 @@
 	return n
 }
 
-func (p *picker) news(now time.Time, news []*jayv1.MemberNews) {
+func (p *picker) receiveUpdate(now time.Time, news []*jayv1.MemberNews) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.members.News(now, news)
 }
 
-func (p *picker) tell(now time.Time) []*jayv1.MemberNews {
+func (p *picker) update(now time.Time) []*jayv1.MemberNews {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.members.Tell(now)
 }
 
-func (p *picker) tick(now time.Time, table *catalog.Table) {
+func (p *picker) refresh(now time.Time, table *catalog.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.adopt(now, table)
--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -10,29 +10,29 @@
 	"github.com/jayproxy/jayproxy/internal/routing"
 )
 
-// probeTimeout bounds the wait for agents that are asked before a choice.
+// probeTimeout limits the wait for the replies of probed agents.
 const probeTimeout = 250 * time.Millisecond
 
-// decide chooses where the next offer goes. A policy that asks agents first
-// gets their answers; those that do not come in time are left out.
-func (h *handing) decide(ctx context.Context) (routing.Decision, error) {
-	d, err := h.entry.picker.next(time.Now(), h.table, h.work, h.tries)
+// decide chooses the backend server of the next offer. If the policy asks for
+// probes, the agents are probed first; late replies are left out.
+func (h *handoff) decide(ctx context.Context) (routing.Decision, error) {
+	d, err := h.entry.picker.next(time.Now(), h.table, h.work, h.tried)
 	if err != nil || len(d.Ask) == 0 {
 		return d, err
 	}
 	h.work.route.Probes = h.probe(ctx, d.Ask)
-	d, err = h.entry.picker.next(time.Now(), h.table, h.work, h.tries)
+	d, err = h.entry.picker.next(time.Now(), h.table, h.work, h.tried)
 	h.work.route.Probes = nil
 	return d, err
 }
 
-// probe asks the servers at once. The result is never nil.
-func (h *handing) probe(ctx context.Context, servers []string) []routing.Probe {
+// probe probes the servers in parallel. The result is never nil.
+func (h *handoff) probe(ctx context.Context, servers []string) []routing.Probe {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	answers := []routing.Probe{}
+	replies := []routing.Probe{}
 	for _, name := range servers {
 		server, ok := h.table.BackendServer(name)
 		if !ok {
@@ -46,14 +46,14 @@
 			h.entry.picker.probed(time.Now(), h.work, name, reply)
 			mu.Lock()
 			defer mu.Unlock()
-			answers = append(answers, routing.Probe{Server: name, CostMS: reply.GetCostMs(), CachedBytes: int(reply.GetCachedBytes())})
+			replies = append(replies, routing.Probe{Server: name, CostMS: reply.GetCostMs(), CachedBytes: int(reply.GetCachedBytes())})
 		})
 	}
 	wg.Wait()
-	return answers
+	return replies
 }
 
-func (h *handing) probeOne(ctx context.Context, server *jayv1.BackendServer) (*jayv1.ProbeReply, error) {
+func (h *handoff) probeOne(ctx context.Context, server *jayv1.BackendServer) (*jayv1.ProbeReply, error) {
 	stream, err := h.entry.node.Open(ctx, server.GetAgentAddress(), keys.RoleAgent)
 	if err != nil {
 		return nil, err
@@ -62,12 +62,12 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = stream.SetDeadline(deadline)
 	}
-	question := &jayv1.ProbeRequest{
+	request := &jayv1.ProbeRequest{
 		Pool: h.work.pool.GetName(), Chain: h.work.route.Chain,
 		PromptBytes: uint32(h.work.route.PromptBytes), Generation: h.table.Generation(), //nolint:gosec // bounded by the prompt limit
 		Class: h.work.class,
 	}
-	if err := stream.Send(&jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Probe{Probe: question}}); err != nil {
+	if err := stream.Send(&jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Probe{Probe: request}}); err != nil {
 		return nil, err
 	}
 	frame := &jayv1.ServerFrame{}
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	if frame.GetProbeReply() == nil {
-		return nil, errOutOfTurn
+		return nil, errUnexpectedFrame
 	}
 	return frame.GetProbeReply(), nil
 }
--- a/internal/entry/refusals.go
+++ b/internal/entry/refusals.go
@@ -9,11 +9,11 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// errBody is a caller's body that could not be read to its end.
-var errBody = errors.New("request body")
+// errBody marks errors in reading the caller's body.
+var errBody = errors.New("request body could not be read")
 
-// refused turns an agent's refusal into the caller's error.
-func (h *handing) refused(a *attempt) *Error {
+// refused converts an agent's refusal into the caller's error.
+func (h *handoff) refused(a *attempt) *Error {
 	refusal := refusalOf(a)
 	message := a.reply.GetMessage()
 	if a.end.GetError() != "" {
@@ -27,30 +27,30 @@
 	case jayv1.Refusal_REFUSAL_INVALID:
 		e = refuse(http.StatusBadRequest, CodeInvalidRequest, message)
 	case jayv1.Refusal_REFUSAL_DEADLINE:
-		e = refuseForNow(http.StatusGatewayTimeout, CodeDeadline, message, h.retryAfter())
+		e = refuseTemporarily(http.StatusGatewayTimeout, CodeDeadline, message, h.retryAfter())
 	default:
-		e = refuseForNow(http.StatusServiceUnavailable, CodeOverloaded, message, h.retryAfter())
+		e = refuseTemporarily(http.StatusServiceUnavailable, CodeOverloaded, message, h.retryAfter())
 	}
 	e.Outcome = h.outcomeNow()
 	return e
 }
 
-// retryAfter is the wait that the last refusal named, if any.
-func (h *handing) retryAfter() time.Duration {
+// retryAfter returns the retry delay of the last refusal, 0 when it has none.
+func (h *handoff) retryAfter() time.Duration {
 	return ms(int(max(h.last.end.GetRetryAfterMs(), h.last.reply.GetRetryAfterMs())))
 }
 
-// bodyError is the caller's error for a body that ended early; the caller is
-// mostly gone by then.
+// bodyError returns the caller's error for a truncated body. By then the caller
+// has usually disconnected.
 func bodyError(cause error) *Error {
 	var typed *Error
 	if errors.As(cause, &typed) {
 		return typed
 	}
-	return refuse(http.StatusBadRequest, CodeInvalidRequest, "the request body ended early")
+	return refuse(http.StatusBadRequest, CodeInvalidRequest, "the request body was truncated")
 }
 
-// refusalName is the reason as callers and metrics read it.
+// refusalName returns the reason as it appears in answers and explanations.
 func refusalName(refusal jayv1.Refusal) string {
 	return strings.ToLower(strings.TrimPrefix(refusal.String(), "REFUSAL_"))
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -11,32 +11,33 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// relay passes chunks on until the end, a lost link or a caller that is gone.
+// relay passes chunks on until the stream ends, the link is lost or the caller
+// disconnects.
 func (a *attempt) relay(ctx context.Context, to sink) error {
 	stop := a.guard(ctx)
 	defer stop()
-	for !a.over() {
+	for !a.ended() {
 		frame, err := a.receive(ctx)
 		if err != nil {
 			return err
 		}
-		if err := a.take(frame, to); err != nil {
+		if err := a.handleFrame(frame, to); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// receive waits for a frame no longer than the caller's deadline to the first
-// chunk, or than a running stream may be silent.
+// receive waits for a frame until the deadline for the first chunk or, once the
+// answer has started, for the idle timeout of a stream.
 func (a *attempt) receive(ctx context.Context) (*jayv1.ServerFrame, error) {
-	until := time.Now().Add(ms(a.timeouts.StreamIdleMS))
-	if a.chunks.Next() == 0 && !a.headed && !a.deadline.IsZero() {
-		// The agent ends a request at the deadline itself, with proof of what
-		// ran; its word is worth a short wait.
-		until = a.deadline.Add(cancelWait)
+	deadline := time.Now().Add(ms(a.timeouts.StreamIdleMS))
+	if a.chunks.Next() == 0 && !a.headReceived && !a.deadline.IsZero() {
+		// The agent itself ends a request at the deadline and reports whether it
+		// ran, so that report gets a short extra wait.
+		deadline = a.deadline.Add(cancelTimeout)
 	}
-	_ = a.stream.SetReadDeadline(until)
+	_ = a.stream.SetReadDeadline(deadline)
 	if ctx.Err() != nil {
 		return nil, errCallerGone
 	}
@@ -49,76 +50,77 @@
 		return nil, errCallerGone
 	}
 	if isTimeout(err) {
-		return nil, errGivenUp
+		return nil, errTimedOut
 	}
 	return nil, err
 }
 
-func (a *attempt) take(frame *jayv1.ServerFrame, to sink) error {
+func (a *attempt) handleFrame(frame *jayv1.ServerFrame, to sink) error {
 	switch f := frame.GetFrame().(type) {
 	case *jayv1.ServerFrame_ServiceHead:
-		return a.takeHead(f.ServiceHead, to)
+		return a.handleHead(f.ServiceHead, to)
 	case *jayv1.ServerFrame_Chunk:
-		return a.takeChunk(f.Chunk, to)
+		return a.handleChunk(f.Chunk, to)
 	case *jayv1.ServerFrame_End:
-		return a.takeEnd(f.End)
+		return a.handleEnd(f.End)
 	}
-	return errOutOfTurn
+	return errUnexpectedFrame
 }
 
-func (a *attempt) takeHead(head *jayv1.ServiceHead, to sink) error {
-	if a.headed {
+func (a *attempt) handleHead(head *jayv1.ServiceHead, to sink) error {
+	if a.headReceived {
 		return nil
 	}
-	a.headed = true
+	a.headReceived = true
 	a.status = head.GetStatus()
-	return gone(to.Head(head))
+	return asCallerGone(to.Head(head))
 }
 
-// takeChunk passes a chunk on when it is the one that is due. One that came
-// before is dropped; a missing one is repaired by a resume.
-func (a *attempt) takeChunk(chunk *jayv1.Chunk, to sink) error {
+// handleChunk passes on the next chunk in sequence. A duplicate is dropped; a gap
+// is an error, which leads to a resume.
+func (a *attempt) handleChunk(chunk *jayv1.Chunk, to sink) error {
 	due, err := a.chunks.Accept(chunk.GetSeq())
 	if err != nil || !due {
 		return err
 	}
-	if a.firstAt.IsZero() {
-		a.firstAt = time.Now()
+	if a.firstChunkAt.IsZero() {
+		a.firstChunkAt = time.Now()
 	}
-	if err := gone(to.Chunk(chunk.GetSeq(), chunk.GetData())); err != nil {
+	if err := asCallerGone(to.Chunk(chunk.GetSeq(), chunk.GetData())); err != nil {
 		return err
 	}
-	a.stuck = 0
+	a.resumesSinceChunk = 0
 	next := a.chunks.Next()
-	if next < a.acked+uint64(a.limits.AckChunks)+a.unacked { //nolint:gosec // a positive setting
+	if next < a.acked+uint64(a.limits.AckChunks)+a.ackLag { //nolint:gosec // a positive setting
 		return nil
 	}
-	next -= a.unacked
+	next -= a.ackLag
 	a.acked = next
 	return a.stream.Send(&jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Ack{Ack: &jayv1.Ack{NextSeq: next}}})
 }
 
-// firstTokenMS is the time from the acceptance to the first chunk, 0 without one.
+// firstTokenMS returns the milliseconds from the acceptance to the first chunk, 0
+// when there was none.
 func (a *attempt) firstTokenMS() float64 {
-	if a.firstAt.IsZero() || a.acceptedAt.IsZero() {
+	if a.firstChunkAt.IsZero() || a.acceptedAt.IsZero() {
 		return 0
 	}
-	return float64(a.firstAt.Sub(a.acceptedAt)) / float64(time.Millisecond)
+	return float64(a.firstChunkAt.Sub(a.acceptedAt)) / float64(time.Millisecond)
 }
 
-// byCaller tells whether the attempt ended through the caller, not the server.
-func (a *attempt) byCaller() bool {
+// endedByCaller reports whether the caller, not the server, caused the end.
+func (a *attempt) endedByCaller() bool {
 	return errors.Is(a.cause, errCallerGone) || errors.Is(a.cause, errBody) || errors.Is(a.cause, context.Canceled)
 }
 
-func gone(err error) error {
+func asCallerGone(err error) error {
 	if err == nil {
 		return nil
 	}
 	return eris.Wrap(errCallerGone, err.Error())
 }
 
-func (a *attempt) takeEnd(end *jayv1.End) error {
+func (a *attempt) handleEnd(end *jayv1.End) error {
 	if end.GetOutcome() == jayv1.Outcome_OUTCOME_DONE {
 		if err := a.chunks.End(end.GetCount()); err != nil {
 			return err
@@ -136,15 +138,15 @@
 	return nil
 }
 
-// cancel tells the agent that nobody waits, and takes its word on what ran
-// when it comes at once.
+// cancel asks the agent to cancel the request and waits for its report of the
+// outcome, for cancelTimeout at most.
 func (a *attempt) cancel(cause error) {
-	_ = a.stream.SetDeadline(time.Now().Add(cancelWait))
+	_ = a.stream.SetDeadline(time.Now().Add(cancelTimeout))
 	reason := &jayv1.Cancel{Reason: cause.Error()}
 	if a.stream.Send(&jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Cancel{Cancel: reason}}) == nil {
 		a.awaitEnd()
 	}
-	if !a.over() {
+	if !a.ended() {
 		a.fire(eventGiveUp)
 	}
 }
@@ -156,25 +158,25 @@
 			return
 		}
 		if end := frame.GetEnd(); end != nil && end.GetOutcome() != jayv1.Outcome_OUTCOME_DONE {
-			_ = a.takeEnd(end)
+			_ = a.handleEnd(end)
 			return
 		}
 	}
 }
 
-// reconnect resumes a stream whose link was lost, in a few tries.
+// reconnect resumes a stream whose link was lost, with a limited number of tries.
 func (a *attempt) reconnect(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, ms(a.limits.ResumeWindowMS))
 	defer cancel()
 	wait := ms(a.limits.ResumeWaitMS)
-	a.stuck++
-	for try := range a.limits.ResumeTries {
-		// An agent that answers each resume without a further chunk would
-		// hold the caller for ever.
-		if a.stuck > a.limits.ResumeTries {
+	a.resumesSinceChunk++
+	for n := range a.limits.ResumeTries {
+		// An agent that accepts each resume without sending a further chunk must
+		// not keep the caller waiting forever.
+		if a.resumesSinceChunk > a.limits.ResumeTries {
 			break
 		}
-		if try > 0 && !pause(ctx, wait) {
+		if n > 0 && !pause(ctx, wait) {
 			break
 		}
 		wait *= 2
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -13,15 +13,15 @@
 	"github.com/jayproxy/jayproxy/internal/relay"
 )
 
-// errToken is a resume token that says nothing.
-var errToken = errors.New("resume token is not valid")
+// errInvalidToken is returned for a resume token that can't be decoded.
+var errInvalidToken = errors.New("resume token is not valid")
 
-// maxTokenBytes bounds an encoded resume token.
+// maxTokenBytes is the maximum length of an encoded resume token.
 const maxTokenBytes = 1024
 
-// resumeToken names the stream of an attempt: where it runs, which it is, and
-// the nonce that only its caller has. The workspace is not part of it: it is
-// taken from the key of whoever resumes.
+// resumeToken returns the token that identifies the stream of an attempt: its
+// backend server, request, attempt and the nonce known only to its caller. The
+// workspace is not part of it but taken from the API key of the resuming caller.
 func (e *Entry) resumeToken(a *attempt) string {
 	return encodeToken(&jayv1.ResumeToken{
 		BackendServer: a.server, RequestId: a.id, Attempt: a.number, Nonce: a.nonce, Generation: a.generation,
@@ -38,24 +38,23 @@
 
 func decodeToken(text string) (*jayv1.ResumeToken, error) {
 	if len(text) > maxTokenBytes {
-		return nil, errToken
+		return nil, errInvalidToken
 	}
 	encoded, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil {
-		return nil, errToken
+		return nil, errInvalidToken
 	}
 	token := &jayv1.ResumeToken{}
 	if proto.Unmarshal(encoded, token) != nil {
-		return nil, errToken
+		return nil, errInvalidToken
 	}
 	if token.GetBackendServer() == "" || token.GetRequestId() == "" || len(token.GetNonce()) != nonceBytes {
-		return nil, errToken
+		return nil, errInvalidToken
 	}
 	return token, nil
 }
 
-// resumeStream continues a stream after Last-Event-ID, at whichever entry the
-// caller's new connection came to.
+// resumeStream continues a stream after Last-Event-ID. Any entry can do so.
 func (e *Entry) resumeStream(c echo.Context) error {
 	call := callOf(c)
 	notFound := refuse(http.StatusNotFound, CodeStreamNotFound, "no such stream")
@@ -66,9 +65,9 @@
 	}
 	server, ok := call.table.BackendServer(token.GetBackendServer())
 	if !ok && token.GetGeneration() > call.table.Generation() {
-		// The catalog here is older than the stream: the server is not known yet,
-		// which is no proof that the stream is gone.
-		return notReached("the backend server that keeps the stream is not known here yet")
+		// The catalog of this entry is older than the stream: the stream may exist
+		// although its server is not in the catalog yet.
+		return streamNotReached("the backend server that keeps the stream is not known to this entry yet")
 	}
 	if !ok {
 		return notFound
@@ -88,17 +87,18 @@
 	a.generation = max(token.GetGeneration(), call.table.Generation())
 	a.chunks = relay.ReceiverAt(next)
 	a.dial, a.limits, a.timeouts = e.node, e.settings.Attempts, e.settings.Timeouts
-	a.unacked = uint64(a.limits.ResumeChunks) //nolint:gosec // not negative by the setting's rule
-	a.detach = c.Request().Header.Get(HeaderResume) == resumeKeep
+	a.ackLag = uint64(a.limits.ResumeChunks) //nolint:gosec // not negative by the setting's rule
+	a.resumable = c.Request().Header.Get(HeaderResume) == resumeKeep
 	client := newCaller(c.Response(), token.GetRequestId(), ms(e.settings.Timeouts.CallerWriteMS))
-	to := &sseSink{caller: client, mint: e.resumeToken}
+	to := &sseSink{caller: client, newToken: e.resumeToken}
 	to.Begin(a)
 	a.follow(c.Request().Context(), to)
-	to.finish(resumed(a, to.Started(), notFound))
+	to.finish(resumeResult(a, to.Started(), notFound))
 	return nil
 }
 
-// nextAfter is the number of the first chunk wanted after the last event seen.
+// nextAfter returns the sequence number of the chunk after the last received
+// event, false when the event id is not valid.
 func nextAfter(lastEventID string) (uint64, bool) {
 	if lastEventID == "" {
 		return 0, true
@@ -107,21 +107,21 @@
 	return last + 1, err == nil && last+1 != 0
 }
 
-// resumed is the result of a stream that was continued.
+// resumed returns the result of a resumed stream.
 //
-// "No such stream" is final: the caller gives up what it began. Only the agent
-// knows that, and says so in a refusal; an end of the run says that the stream
-// was known, and silence says nothing at all.
-func resumed(a *attempt, started bool, notFound *Error) result {
+// "No such stream" is final for the caller, so it is returned only when the agent
+// reports that it does not have the stream. An agent that does not respond may
+// still have it.
+func resumeResult(a *attempt, started bool, notFound *Error) result {
 	r := result{outcome: a.outcome(), attempts: a.number, end: a.end, server: a.server}
 	switch {
 	case r.outcome == jayv1.Outcome_OUTCOME_DONE:
 	case !started && a.end.GetRefusal() == jayv1.Refusal_REFUSAL_NOT_FOUND:
 		r.err = notFound
 	case !started && a.end == nil:
-		r.err = notReached("the backend server that keeps the stream can't be reached now")
+		r.err = streamNotReached("the backend server that keeps the stream can't be reached at present")
 	case r.outcome == jayv1.Outcome_OUTCOME_NOT_RUN:
-		r.err = refuseForNow(http.StatusServiceUnavailable, CodeStreamBroken, "the request was not run", ms(int(a.end.GetRetryAfterMs())))
+		r.err = refuseTemporarily(http.StatusServiceUnavailable, CodeStreamBroken, "the request was not run", ms(int(a.end.GetRetryAfterMs())))
 	default:
 		r.err = &Error{
 			Status: http.StatusBadGateway, Code: CodeStreamBroken, Outcome: r.outcome,
@@ -131,9 +131,10 @@
 	return r
 }
 
-// notReached says that the stream may be kept, but not reached from here now.
-func notReached(message string) *Error {
-	e := refuseForNow(http.StatusServiceUnavailable, CodeStreamNotReached, message, 0)
+// notReached returns the error for a stream that may exist but can't be reached
+// from this entry at present.
+func streamNotReached(message string) *Error {
+	e := refuseTemporarily(http.StatusServiceUnavailable, CodeStreamNotReached, message, 0)
 	e.Outcome = jayv1.Outcome_OUTCOME_UNKNOWN
 	return e
 }
--- a/internal/entry/rollouts.go
+++ b/internal/entry/rollouts.go
@@ -7,7 +7,8 @@
 	"github.com/jayproxy/jayproxy/internal/control"
 )
 
-// startRollouts takes up the entry's share of control work.
+// startRollouts starts the control service, which performs this entry's share of
+// rollouts.
 func (e *Entry) startRollouts() error {
 	service, err := control.Start(e.ctx, control.Options{
 		Name: e.settings.Name, Boot: strconv.FormatInt(e.started.UnixNano(), 36),
@@ -21,14 +22,14 @@
 	return nil
 }
 
-// tellLeases adds the leases that the entry holds to its status.
-func (e *Entry) tellLeases(status *jayv1.ProcessStatus) {
+// addLeases adds the leases that the entry holds to its status.
+func (e *Entry) addLeases(status *jayv1.ProcessStatus) {
 	if service := e.rollouts.Load(); service != nil {
 		status.Leases = service.Leases()
 	}
 }
 
-// stopRollouts gives the entry's leases back.
+// stopRollouts stops the control service and releases its leases.
 func (e *Entry) stopRollouts() {
 	if service := e.rollouts.Load(); service != nil {
 		service.Close()
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -13,109 +13,111 @@
 	"github.com/jayproxy/jayproxy/internal/catalog"
 )
 
-// serve takes a request through the limits and its attempts to its answer.
+// serve checks the limits, hands the work off and completes the answer.
 func (e *Entry) serve(c echo.Context, w *work, tokens float64, open func(*caller) finisher) error {
 	leave, refusal := e.enter(w.workspace, tokens)
 	if refusal != nil {
 		return refusal
 	}
 	defer leave()
-	defer e.leaveLimits(w.workspace.GetName())
-	if refusal := e.heldBack(w); refusal != nil {
+	defer e.releaseLimits(w.workspace.GetName())
+	if refusal := e.checkQuarantine(w); refusal != nil {
 		return refusal
 	}
 	ctx := c.Request().Context()
 	if w.nonRepeatable {
-		// A booking that has begun is not broken off because its caller hung up:
-		// that would turn a call that ends well into one of unknown outcome.
+		// A call that may run at most once is not cancelled when its caller
+		// disconnects: a cancelled call would have an unknown outcome.
 		ctx = context.WithoutCancel(ctx)
 	}
-	if refusal := e.take(ctx, w); refusal != nil {
+	if refusal := e.takeClaim(ctx, w); refusal != nil {
 		return refusal
 	}
 	client := newCaller(c.Response(), w.id, ms(e.settings.Timeouts.CallerWriteMS))
 	client.onToken = e.tokenMeter(w)
 	to := open(client)
-	r := e.handOver(ctx, w, to)
-	e.settle(w, r)
-	e.measure(w, r)
+	r := e.handOff(ctx, w, to)
+	e.recordResult(w, r)
+	e.recordMetrics(w, r)
 	to.finish(r)
 	return nil
 }
 
-// enter counts the request in, or refuses it before anything was done for it.
+// enter admits the request under the entry's and the workspace's limits, or
+// refuses it. The returned function must be called when the request ends.
 func (e *Entry) enter(workspace *jayv1.Workspace, tokens float64) (func(), *Error) {
 	if e.stopping.Load() && !e.serving.Load() {
-		return nil, refuseForNow(http.StatusServiceUnavailable, CodeOverloaded, "the entry is stopping", 0)
+		return nil, refuseTemporarily(http.StatusServiceUnavailable, CodeOverloaded, "the entry is stopping", 0)
 	}
 	leave, refusal := e.streams.enter(workspace.GetName())
 	if refusal != nil {
 		return nil, refusal
 	}
-	if refusal := e.withinLimits(workspace, tokens); refusal != nil {
+	if refusal := e.checkLimits(workspace, tokens); refusal != nil {
 		leave()
 		return nil, refusal
 	}
 	return leave, nil
 }
 
-// streamCount bounds the requests under way, in all and for each workspace.
+// streamCount limits the requests in flight, in total and per workspace.
 type streamCount struct {
 	mu           sync.Mutex
 	max          int
 	perWorkspace int
-	all          int
-	of           map[string]int
+	total        int
+	byWorkspace  map[string]int
 	idle         chan struct{}
 }
 
 func newStreamCount(limits LimitSettings) *streamCount {
-	return &streamCount{max: limits.Streams, perWorkspace: limits.StreamsPerWorkspace, of: map[string]int{}}
+	return &streamCount{max: limits.Streams, perWorkspace: limits.StreamsPerWorkspace, byWorkspace: map[string]int{}}
 }
 
 func (s *streamCount) enter(workspace string) (func(), *Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.all >= s.max {
-		return nil, refuseForNow(http.StatusServiceUnavailable, CodeTooManyStreams, "too many requests are under way", 0)
+	if s.total >= s.max {
+		return nil, refuseTemporarily(http.StatusServiceUnavailable, CodeTooManyStreams, "too many requests are in flight at this entry", 0)
 	}
-	if s.of[workspace] >= s.perWorkspace {
-		return nil, refuseForNow(http.StatusTooManyRequests, CodeTooManyStreams, "too many requests of the workspace are under way", 0)
+	if s.byWorkspace[workspace] >= s.perWorkspace {
+		return nil, refuseTemporarily(http.StatusTooManyRequests, CodeTooManyStreams, "too many requests of the workspace are in flight at this entry", 0)
 	}
-	s.all++
-	s.of[workspace]++
+	s.total++
+	s.byWorkspace[workspace]++
 	return func() { s.leave(workspace) }, nil
 }
 
-// hold keeps a graceful stop waiting for work that no caller waits for.
-func (s *streamCount) hold() func() {
+// addBackground makes a graceful shutdown wait for background work until the
+// returned function is called.
+func (s *streamCount) addBackground() func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all++
+	s.total++
 	return func() { s.leave("") }
 }
 
 func (s *streamCount) leave(workspace string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all--
+	s.total--
 	if workspace != "" {
-		s.of[workspace]--
+		s.byWorkspace[workspace]--
 	}
-	if s.of[workspace] == 0 {
-		delete(s.of, workspace)
+	if s.byWorkspace[workspace] == 0 {
+		delete(s.byWorkspace, workspace)
 	}
-	if s.all == 0 && s.idle != nil {
+	if s.total == 0 && s.idle != nil {
 		close(s.idle)
 		s.idle = nil
 	}
 }
 
-// wait returns when no request is under way, or the context ends.
+// wait returns when no request is in flight, or with the context's error.
 func (s *streamCount) wait(ctx context.Context) error {
 	for {
 		s.mu.Lock()
-		if s.all == 0 {
+		if s.total == 0 {
 			s.mu.Unlock()
 			return nil
 		}
@@ -144,7 +146,7 @@
 	classLabelPrefix  = "class:"
 )
 
-// labels of a request: its workspace and its class.
+// labels returns the metric labels of a request: its workspace and its class.
 func labels(w *work) [2]string {
 	return [2]string{w.workspace.GetName(), classLabelPrefix + catalog.ClassName(w.class)}
 }
@@ -164,8 +166,8 @@
 	}
 }
 
-// measure keeps what a finished request cost.
-func (e *Entry) measure(w *work, r result) {
+// recordMetrics records the metrics of a finished request.
+func (e *Entry) recordMetrics(w *work, r result) {
 	const permille = 1000
 	usage := r.end.GetUsage()
 	for _, label := range labels(w) {
@@ -181,7 +183,7 @@
 		e.metrics.Value(metricCachedShare, label, int64(permille)*int64(usage.GetCachedTokens())/int64(usage.GetPromptTokens()))
 		e.metrics.Value(metricRecomputed, label, int64(usage.GetRecomputedTokens()))
 	}
-	klog.V(1).InfoS("request over", "request", w.id, "workspace", w.workspace.GetName(), "server", r.server,
+	klog.V(1).InfoS("request finished", "request", w.id, "workspace", w.workspace.GetName(), "server", r.server,
 		"attempts", r.attempts, "outcome", OutcomeName(r.outcome))
 }
 
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -13,14 +13,14 @@
 
 const servicesPrefix = "/services/"
 
-// serveService is the handler of plain services, any method.
+// serveService handles requests of any method to plain services.
 func (e *Entry) serveService(c echo.Context) error {
 	call := callOf(c)
 	w, refusal := e.serviceWork(c, call)
 	if refusal != nil {
 		return refusal
 	}
-	return e.serve(c, w, 0, func(client *caller) finisher { return &serviceSink{caller: client, finishAnyway: w.nonRepeatable} })
+	return e.serve(c, w, 0, func(client *caller) finisher { return &serviceSink{caller: client, runToEnd: w.nonRepeatable} })
 }
 
 func (e *Entry) serviceWork(c echo.Context, call *call) (*work, *Error) {
@@ -32,16 +32,16 @@
 	if request.ContentLength > e.settings.Limits.BodyBytes {
 		return nil, refuse(http.StatusRequestEntityTooLarge, CodeBodyTooLarge, "the body is longer than the limit")
 	}
-	target := pathBelow(request)
-	ruled, ok := catalog.CallPath(target)
+	target := servicePath(request)
+	rulePath, ok := catalog.CallPath(target)
 	if !ok {
 		return nil, invalid("the path is not a clean absolute path")
 	}
 	w := &work{
-		service: service, method: request.Method, path: target, headers: passedHeaders(request.Header),
+		service: service, method: request.Method, path: target, headers: forwardedHeaders(request.Header),
 		key: request.Header.Get(HeaderIdempotencyKey),
 	}
-	w.nonRepeatable = catalog.NonRepeatable(service, request.Method, ruled)
+	w.nonRepeatable = catalog.NonRepeatable(service, request.Method, rulePath)
 	w.repeatable = !w.nonRepeatable && safeMethod(request.Method)
 	if len(w.key) > e.settings.Limits.KeyBytes {
 		return nil, invalid("the idempotency key is longer than the limit")
@@ -56,8 +56,9 @@
 	return w, nil
 }
 
-// pathBelow is the path and query below the service, as the caller wrote it.
-func pathBelow(request *http.Request) string {
+// servicePath returns path and query below the service's prefix, escaped as the
+// caller sent them.
+func servicePath(request *http.Request) string {
 	target := strings.TrimPrefix(request.URL.EscapedPath(), servicesPrefix)
 	_, target, _ = strings.Cut(target, "/")
 	target = "/" + target
@@ -67,21 +68,21 @@
 	return target
 }
 
-// serviceBody streams the body, bounded in size and in patience.
+// serviceBody returns the body as a stream with a size limit and a read timeout.
 func (e *Entry) serviceBody(c echo.Context) bodySource {
 	request := c.Request()
 	if request.Body == nil || request.Body == http.NoBody {
-		return &wholeBody{}
+		return &bufferedBody{}
 	}
-	patient := &patientReader{
-		from: request.Body, control: http.NewResponseController(c.Response()),
-		patience: ms(e.settings.Timeouts.CallerReadMS),
+	timed := &timeoutReader{
+		reader: request.Body, control: http.NewResponseController(c.Response()),
+		timeout: ms(e.settings.Timeouts.CallerReadMS),
 	}
-	bounded := &boundedReader{from: patient, left: e.settings.Limits.BodyBytes}
+	bounded := &boundedReader{from: timed, remaining: e.settings.Limits.BodyBytes}
 	return newStreamedBody(bounded, e.settings.Limits.KeptBodyBytes)
 }
 
-// safeMethod tells whether a call may be started again by its method alone.
+// safeMethod reports whether the HTTP method alone makes a call repeatable.
 func safeMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -90,28 +91,29 @@
 	return false
 }
 
-// hopHeaders concern one connection, or the entry itself, and go no further.
+// hopHeaders are the hop-by-hop headers and those meant for the entry itself.
+// They are not forwarded.
 var hopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Authorization": true, "Content-Length": true, "Host": true,
 }
 
-func passedHeaders(header http.Header) []*jayv1.Header {
+func forwardedHeaders(header http.Header) []*jayv1.Header {
 	dropped := connectionHeaders(header)
-	var passed []*jayv1.Header
+	var forwarded []*jayv1.Header
 	for name, values := range header {
 		if hopHeaders[name] || dropped[name] {
 			continue
 		}
 		for _, value := range values {
-			passed = append(passed, &jayv1.Header{Name: name, Value: value})
+			forwarded = append(forwarded, &jayv1.Header{Name: name, Value: value})
 		}
 	}
-	return passed
+	return forwarded
 }
 
-// connectionHeaders are those that the caller's Connection header names.
+// connectionHeaders returns the header names listed in the Connection header.
 func connectionHeaders(header http.Header) map[string]bool {
 	named := map[string]bool{}
 	for _, line := range header["Connection"] {
@@ -122,8 +124,9 @@
 	return named
 }
 
-// passesBack keeps a service from speaking in the entry's name.
-func passesBack(name string) bool {
+// forwardedToCaller reports whether a service's response header is forwarded. A
+// service must not set the entry's own X-Jay headers.
+func forwardedToCaller(name string) bool {
 	canonical := http.CanonicalHeaderKey(name)
 	return !hopHeaders[canonical] && !strings.HasPrefix(canonical, "X-Jay-")
 }
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -32,21 +32,22 @@
 	Ledger   LedgerSettings  `toml:"ledger"`
 
 	Seeds []string `toml:"seeds" validate:"dive,ip_port" doc:"QUIC addresses of entries and agents to ask for the catalog while no other process is known, or none that knows it. Name some agents: they are all that is left when every entry is replaced while the platform is down."`
-	// Spread of the catalog between processes.
+	// Spread configures the distribution of the catalog between processes.
 	Spread spread.Settings `toml:"spread"`
-	// Control is the entry's share of rollouts.
+	// Control configures the entry's share of rollouts.
 	Control control.Settings `toml:"control"`
 
 	// CallersListener replaces the listener of CallersAddress: a socket that a
-	// supervisor holds open while processes come and go. nil: the entry opens its own.
+	// supervisor keeps open across restarts of the process. nil: the entry opens
+	// its own.
 	CallersListener net.Listener `toml:"-"`
-	// Holder is the catalog to serve by; nil: the entry makes its own.
+	// Holder holds the catalog to serve; nil: the entry creates an empty one.
 	Holder *catalog.Holder `toml:"-"`
 	// Platform replaces the client of PlatformURL, e.g. in tests.
 	Platform platform.Platform `toml:"-"`
 }
 
-// LimitSettings bound what callers may ask of one entry.
+// LimitSettings are the limits on callers' requests at one entry.
 type LimitSettings struct {
 	BodyBytes           int64 `toml:"body_bytes" validate:"gt=0" unit:"bytes" doc:"Longest request body."`
 	AnswerBytes         int64 `toml:"answer_bytes" validate:"gt=0" unit:"bytes" doc:"Longest answer that is not streamed; it is held whole until it is complete."`
@@ -59,7 +60,7 @@
 	KeyBytes            int   `toml:"key_bytes" validate:"gt=0,lte=512" unit:"bytes" doc:"Longest idempotency key."`
 }
 
-// TimeoutSettings of an entry, in milliseconds.
+// TimeoutSettings are the timeouts of an entry, in milliseconds.
 type TimeoutSettings struct {
 	DeadlineMS    int `toml:"deadline_ms" validate:"gt=0" unit:"ms" doc:"Time to the first token after which a request is given up, when no rule says otherwise."`
 	OfferMS       int `toml:"offer_ms" validate:"gt=0" unit:"ms" doc:"Wait for an agent's answer to an offer."`
@@ -71,7 +72,7 @@
 	KeysReloadMS  int `toml:"keys_reload_ms" validate:"gt=0" unit:"ms" doc:"Interval of reading the keys folder again."`
 }
 
-// AttemptSettings bound the attempts of a request.
+// AttemptSettings limit the attempts of a request.
 type AttemptSettings struct {
 	Max            int     `toml:"max" validate:"gt=0" unit:"attempts" doc:"Attempts of a request, declined offers included."`
 	MaxDeclines    int     `toml:"max_declines" validate:"gte=0" unit:"offers" doc:"Offers that agents may decline for cost before one is final."`
@@ -84,7 +85,7 @@
 	ResumeChunks   int     `toml:"resume_chunks" validate:"gte=0" unit:"chunks" doc:"Chunks of a stream that stay unacknowledged behind the last one passed on, for a caller that lost its connection and resumes."`
 }
 
-// LedgerSettings of the at-most-once claims.
+// LedgerSettings configure the claims of calls that may run at most once.
 type LedgerSettings struct {
 	WindowMS int `toml:"window_ms" validate:"gt=0" unit:"ms" doc:"Wait for further claims before a transaction is sent."`
 	InFlight int `toml:"in_flight" validate:"gt=0" unit:"transactions" doc:"Transactions under way at once."`
@@ -93,7 +94,7 @@
 	TrimMS   int `toml:"trim_ms" validate:"gte=100" unit:"ms" doc:"Time between two pages of 500 claims that are looked over for old ones, by one entry of all."`
 }
 
-// Default returns the settings that a file starts from.
+// Default returns the default settings, which a settings file overrides.
 func Default() Settings {
 	return Settings{
 		CallersAddress: "127.0.0.1:0", OperatorsAddress: "127.0.0.1:0",
--- a/internal/entry/sinks.go
+++ b/internal/entry/sinks.go
@@ -9,38 +9,38 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// errAnswerTooLarge ends an answer that would have to be held whole beyond its bound.
+// errAnswerTooLarge is returned for a buffered answer beyond its size limit.
 var errAnswerTooLarge = errors.New("the answer is longer than the limit")
 
-// caller is the writing side of a caller's connection.
+// caller writes the response on a caller's connection.
 type caller struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
-	// patience is how long one write may take.
-	patience time.Duration
-	id       string
-	attempts uint32
-	started  bool
-	first    time.Time
-	last     time.Time
-	onToken  func(now time.Time, sincePrevious time.Duration)
+	// writeTimeout limits the duration of one write.
+	writeTimeout time.Duration
+	id           string
+	attempts     uint32
+	started      bool
+	first        time.Time
+	last         time.Time
+	onToken      func(now time.Time, sincePrevious time.Duration)
 }
 
-func newCaller(w http.ResponseWriter, id string, patience time.Duration) *caller {
+func newCaller(w http.ResponseWriter, id string, writeTimeout time.Duration) *caller {
 	w.Header().Set(HeaderRequestID, id)
-	return &caller{w: w, control: http.NewResponseController(w), patience: patience, id: id}
+	return &caller{w: w, control: http.NewResponseController(w), writeTimeout: writeTimeout, id: id}
 }
 
-// Begin notes the attempt.
+// Begin sets the number of the attempt for the response headers.
 func (c *caller) Begin(a *attempt) { c.attempts = a.number }
 
-// Started is true once the head went out.
+// Started reports whether the status and headers were sent.
 func (c *caller) Started() bool { return c.started }
 
-// write sends bytes at once. A reader that takes none for longer than the
-// patience gets cut off: its stream must not hold memory for ever.
+// write sends bytes and flushes them. A caller that does not read within the
+// write timeout is cut off, so that its stream does not occupy memory forever.
 func (c *caller) write(parts ...[]byte) error {
-	_ = c.control.SetWriteDeadline(time.Now().Add(c.patience))
+	_ = c.control.SetWriteDeadline(time.Now().Add(c.writeTimeout))
 	for _, part := range parts {
 		if _, err := c.w.Write(part); err != nil {
 			return err
@@ -57,7 +57,7 @@
 	c.w.WriteHeader(status)
 }
 
-// token notes the time of a chunk for the histograms.
+// token reports the time of a chunk to onToken.
 func (c *caller) token() {
 	now := time.Now()
 	since := time.Duration(0)
@@ -72,9 +72,9 @@
 	}
 }
 
-// fail writes the error as the whole answer.
+// fail writes the error as the complete answer.
 func (c *caller) fail(e *Error) {
-	_ = c.control.SetWriteDeadline(time.Now().Add(c.patience))
+	_ = c.control.SetWriteDeadline(time.Now().Add(c.writeTimeout))
 	c.w.Header().Set(HeaderAttempts, strconv.Itoa(int(c.attempts)))
 	e.write(c.w, c.id)
 }
@@ -89,21 +89,21 @@
 	sseOutcome = []byte(": outcome=")
 )
 
-// sseSink writes chunks as server-sent events, their ids being the sequence.
+// sseSink writes chunks as server-sent events whose ids are sequence numbers.
 type sseSink struct {
 	*caller
-	mint func(*attempt) string
-	now  *attempt
-	line []byte
+	newToken func(*attempt) string
+	current  *attempt
+	event    []byte
 }
 
-// Begin notes the attempt whose token the head will carry.
+// Begin sets the attempt whose resume token is sent in the response headers.
 func (s *sseSink) Begin(a *attempt) {
 	s.caller.Begin(a)
-	s.now = a
+	s.current = a
 }
 
-// Head is ignored: a model's answer has none.
+// Head ignores the head: model answers have none.
 func (s *sseSink) Head(*jayv1.ServiceHead) error { return nil }
 
 // Chunk writes one event.
@@ -112,26 +112,26 @@
 		s.open()
 	}
 	s.token()
-	s.line = append(s.line[:0], sseID...)
-	s.line = strconv.AppendUint(s.line, seq, 10)
-	s.line = append(s.line, sseData...)
-	s.line = append(s.line, data...)
-	s.line = append(s.line, sseEnd...)
-	return s.write(s.line)
+	s.event = append(s.event[:0], sseID...)
+	s.event = strconv.AppendUint(s.event, seq, 10)
+	s.event = append(s.event, sseData...)
+	s.event = append(s.event, data...)
+	s.event = append(s.event, sseEnd...)
+	return s.write(s.event)
 }
 
 func (s *sseSink) open() {
 	h := s.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
-	if s.now != nil {
-		h.Set(HeaderResumeToken, s.mint(s.now))
+	if s.current != nil {
+		h.Set(HeaderResumeToken, s.newToken(s.current))
 	}
 	s.start(http.StatusOK)
 }
 
-// finish ends the stream: whole, or with an explicit error event, so that a
-// stream that was cut is never taken for a complete one.
+// finish ends the stream with a completion marker or with an error event, so that
+// a truncated stream can't be mistaken for a complete one.
 func (s *sseSink) finish(r result) {
 	if !s.started && r.err != nil {
 		s.fail(r.err)
@@ -150,23 +150,23 @@
 	_ = s.write(outcome, sseDone)
 }
 
-// plainSink holds an answer until it is whole.
+// plainSink buffers an answer until it is complete.
 type plainSink struct {
 	*caller
 	limit int64
 	body  []byte
 }
 
-// Begin drops what an earlier attempt left behind: an answer never mixes two.
+// Begin discards the bytes of an earlier attempt.
 func (s *plainSink) Begin(a *attempt) {
 	s.caller.Begin(a)
 	s.body = s.body[:0]
 }
 
-// Head is ignored: a model's answer has none.
+// Head ignores the head: model answers have none.
 func (s *plainSink) Head(*jayv1.ServiceHead) error { return nil }
 
-// Chunk appends to the answer.
+// Chunk appends to the buffered answer.
 func (s *plainSink) Chunk(_ uint64, data []byte) error {
 	if int64(len(s.body)+len(data)) > s.limit {
 		return errAnswerTooLarge
@@ -189,22 +189,23 @@
 	_ = s.write(s.body)
 }
 
-// serviceSink passes a plain service's answer on as it comes.
+// serviceSink streams a plain service's answer to the caller.
 type serviceSink struct {
 	*caller
 	head *jayv1.ServiceHead
-	// finishAnyway: the call goes on to its end when the caller is gone.
-	finishAnyway bool
-	gone         bool
+	// runToEnd: the call continues to its end when the caller disconnects.
+	runToEnd   bool
+	callerGone bool
 }
 
-// Begin forgets the head of an earlier attempt.
+// Begin discards the head of an earlier attempt.
 func (s *serviceSink) Begin(a *attempt) {
 	s.caller.Begin(a)
 	s.head = nil
 }
 
-// Head is kept until the first byte: an attempt that ends before may be repeated.
+// Head keeps the head until the first byte of the body: an attempt that ends
+// before may be repeated.
 func (s *serviceSink) Head(head *jayv1.ServiceHead) error {
 	s.head = head
 	return nil
@@ -216,12 +217,12 @@
 		s.open()
 	}
 	s.token()
-	if s.gone {
+	if s.callerGone {
 		return nil
 	}
 	err := s.write(data)
-	if err != nil && s.finishAnyway {
-		s.gone = true
+	if err != nil && s.runToEnd {
+		s.callerGone = true
 		return nil
 	}
 	return err
@@ -230,15 +231,15 @@
 func (s *serviceSink) open() {
 	h := s.w.Header()
 	for _, header := range s.head.GetHeaders() {
-		if passesBack(header.GetName()) {
+		if forwardedToCaller(header.GetName()) {
 			h.Add(header.GetName(), header.GetValue())
 		}
 	}
 	s.start(int(max(s.head.GetStatus(), http.StatusOK)))
 }
 
-// finish ends the answer. A body that can't be completed has no place for an
-// error: the connection is cut, so that the caller sees a short answer as broken.
+// finish ends the answer. If the body can't be completed, the connection is
+// aborted so that the caller can detect the truncated answer.
 func (s *serviceSink) finish(r result) {
 	switch {
 	case r.err != nil && !s.started:
--- a/internal/entry/startup.go
+++ b/internal/entry/startup.go
@@ -12,7 +12,7 @@
 	"github.com/jayproxy/jayproxy/internal/warmup"
 )
 
-// Names of the metrics of a start, under the label of the entry's name.
+// Names of the startup metrics, labelled with the entry's name.
 const (
 	metricStartServing    = "start_serving"
 	metricStartConfigured = "start_configured"
@@ -20,7 +20,7 @@
 	metricWarmupRefused   = "warmup_refused"
 )
 
-// startup holds the requests that come before the first configuration.
+// startup counts and limits the requests that wait for the first configuration.
 type startup struct {
 	mu   sync.Mutex
 	gate *warmup.Gate
@@ -57,9 +57,9 @@
 	return s.gate.Waiting()
 }
 
-// configured returns the table in force. A request that came before the first
-// one waits for it: callers of an entry that was just replaced would otherwise
-// be turned away for as long as it reads its configuration, each time they come.
+// configured returns the catalog table in force. Before the first configuration
+// is loaded, requests wait for it: otherwise callers of an entry that was just
+// replaced would be refused, and use up their retries, until it is loaded.
 func (e *Entry) configured(ctx context.Context, id string) (*catalog.Table, *Error) {
 	table := e.holder.Current()
 	if table.Generation() > 0 {
@@ -79,16 +79,16 @@
 		return e.holder.Current(), nil
 	}
 	e.metrics.Count(metricWarmupRefused, e.settings.Name, 1)
-	return nil, refuseForNow(http.StatusServiceUnavailable, CodeNoConfiguration, "no configuration is known here yet", 0)
+	return nil, refuseTemporarily(http.StatusServiceUnavailable, CodeNoConfiguration, "this entry has no configuration yet", 0)
 }
 
-// waitConfigured waits until the gate has a verdict, the caller leaves or the
-// entry stops.
+// waitConfigured waits until the gate has a verdict, the caller disconnects or
+// the entry stops.
 func (e *Entry) waitConfigured(ctx context.Context, arrived time.Time) warmup.Verdict {
-	patience := time.NewTimer(ms(e.settings.Timeouts.WarmupMS))
-	defer patience.Stop()
+	timeout := time.NewTimer(ms(e.settings.Timeouts.WarmupMS))
+	defer timeout.Stop()
 	for {
-		// Before the look at the search: what is adopted after the look is not missed.
+		// Taken before the check below, so that an adoption after it is not missed.
 		next := e.holder.Next()
 		if verdict := e.startup.again(e.search(), time.Since(arrived)); verdict != warmup.Wait {
 			return verdict
@@ -96,7 +96,7 @@
 		select {
 		case <-next:
 		case <-e.spread.Loaded():
-		case <-patience.C:
+		case <-timeout.C:
 		case <-ctx.Done():
 			return warmup.TurnAwayUnknown
 		case <-e.ctx.Done():
@@ -105,7 +105,7 @@
 	}
 }
 
-// search tells how far the entry has come in finding its first configuration.
+// search returns the state of the search for the first configuration.
 func (e *Entry) search() warmup.Search {
 	loaded := false
 	select {
@@ -122,8 +122,8 @@
 	return warmup.Running
 }
 
-// watchStart logs and measures when the entry knows its first configuration:
-// from then on, and no sooner, its callers are served.
+// watchStart logs and records when the first configuration is in force. Callers
+// are served from then on.
 func (e *Entry) watchStart(ctx context.Context) {
 	e.metrics.Time(metricStartServing, e.settings.Name, time.Since(e.started))
 	loaded := e.spread.Loaded()
@@ -139,7 +139,7 @@
 		select {
 		case <-next:
 		case <-loaded:
-			klog.InfoS("entry has found no configuration; callers are turned away until one comes",
+			klog.InfoS("entry found no configuration; requests are refused until one is received",
 				"name", e.settings.Name, "afterStart", time.Since(e.started), "waiting", e.startup.waiting())
 			loaded = nil
 		case <-ctx.Done():
--- a/internal/entry/work.go
+++ b/internal/entry/work.go
@@ -11,45 +11,45 @@
 	"github.com/jayproxy/jayproxy/internal/routing"
 )
 
-// work is one caller's request, checked and ready to be handed over.
+// work is one caller's request, checked and ready for handoff.
 type work struct {
 	id        string
 	workspace *jayv1.Workspace
 	class     jayv1.Class
 	priority  uint32
 	started   time.Time
-	// deadline to the first byte of the answer.
+	// deadline for the first byte of the answer.
 	deadline time.Time
 
-	pool     *jayv1.Pool
-	service  *jayv1.Service
-	model    string
-	version  string
-	adapter  string
-	apiPath  string
-	stream   bool
-	maxOut   uint32
-	route    *routing.Request
-	policy   *routing.PoolPolicy
-	method   string
-	path     string
-	headers  []*jayv1.Header
-	body     bodySource
-	keepOpen bool
-
-	// hashes of what all attempts of its caller have in common; nil: the body is
-	// not held whole.
+	pool      *jayv1.Pool
+	service   *jayv1.Service
+	model     string
+	version   string
+	adapter   string
+	apiPath   string
+	stream    bool
+	maxOut    uint32
+	route     *routing.Request
+	policy    *routing.PoolPolicy
+	method    string
+	path      string
+	headers   []*jayv1.Header
+	body      bodySource
+	resumable bool
+
+	// hashes identify repeated requests of the same caller with the same content;
+	// nil when the body is not buffered completely.
 	hashes *quarantine.Hashes
 
 	nonRepeatable bool
-	// repeatable work may be started again when its outcome is unknown.
+	// repeatable: the request may run again when its outcome is unknown.
 	repeatable bool
 	key        string
-	// claim of the key, held while the call is under way.
+	// claim on the idempotency key, nil when the call needs none.
 	claim *ledger.Claim
 }
 
-// target names the pool or service, apart from each other.
+// target returns a name of the pool or service that is unique across both kinds.
 func (w *work) target() string {
 	if w.service != nil {
 		return catalog.KindService + "/" + w.service.GetName()
@@ -64,7 +64,7 @@
 	return table.BackendServersOfPool(w.pool.GetName())
 }
 
-// offer makes the head of a hand-over.
+// offer returns the Offer message that starts a handoff.
 func (w *work) offer(now time.Time, number uint32, d routing.Decision, generation uint64, nonce []byte) *jayv1.Offer {
 	return &jayv1.Offer{
 		RequestId: w.id, Attempt: number, Workspace: w.workspace.GetName(),
@@ -77,71 +77,71 @@
 		Generation: generation, Incarnation: d.Incarnation,
 		NonRepeatable: w.nonRepeatable, IdempotencyKey: w.key,
 		Method: w.method, Path: w.path, Headers: w.headers,
-		// A body always follows, if only an empty last frame: the agent runs
-		// nothing before it, so an offer whose answer is lost is proven not run.
+		// A body always follows, at least an empty last frame. The agent runs
+		// nothing before it, so an offer whose reply is lost has not run.
 		HasBody: true,
 		Stream:  w.stream, Nonce: nonce, ApiPath: w.apiPath,
 	}
 }
 
 func remainingMS(now, deadline time.Time) uint32 {
-	left := deadline.Sub(now).Milliseconds()
-	const most = 1 << 31
-	return uint32(min(max(left, 1), most)) //nolint:gosec // bounded above
+	remaining := deadline.Sub(now).Milliseconds()
+	const maxMS = 1 << 31
+	return uint32(min(max(remaining, 1), maxMS)) //nolint:gosec // bounded above
 }
 
-// bodySource gives a body piece by piece.
+// bodySource reads a request body piece by piece.
 type bodySource interface {
 	// Next returns a piece; last is true with the final one, which may be empty.
 	Next() (piece []byte, last bool, err error)
-	// Rewind starts again from the front, false when that is no longer possible.
+	// Rewind restarts from the beginning, false when that is no longer possible.
 	Rewind() bool
 }
 
-// pieceBytes is the size of a Data frame.
+// pieceBytes is the maximum size of a Data frame.
 const pieceBytes = 64 << 10
 
-// wholeBody is a body that is held whole.
-type wholeBody struct {
-	body []byte
-	at   int
+// bufferedBody is a body that is completely in memory.
+type bufferedBody struct {
+	body   []byte
+	offset int
 }
 
 // Next returns the next piece.
-func (b *wholeBody) Next() ([]byte, bool, error) {
-	end := min(b.at+pieceBytes, len(b.body))
-	piece := b.body[b.at:end]
-	b.at = end
+func (b *bufferedBody) Next() ([]byte, bool, error) {
+	end := min(b.offset+pieceBytes, len(b.body))
+	piece := b.body[b.offset:end]
+	b.offset = end
 	return piece, end == len(b.body), nil
 }
 
 // Rewind always succeeds.
-func (b *wholeBody) Rewind() bool {
-	b.at = 0
+func (b *bufferedBody) Rewind() bool {
+	b.offset = 0
 	return true
 }
 
-// streamedBody passes a body on as it comes and keeps its front, up to a
-// bound, for a further attempt.
+// streamedBody reads a body as it arrives and keeps its beginning, up to a
+// limit, for a further attempt.
 type streamedBody struct {
-	from   io.Reader
-	kept   []byte
-	keep   int
-	at     int
-	lost   bool
-	ended  bool
-	buffer []byte
+	reader     io.Reader
+	kept       []byte
+	maxKept    int
+	offset     int
+	overflowed bool
+	ended      bool
+	buffer     []byte
 }
 
-func newStreamedBody(from io.Reader, keep int) *streamedBody {
-	return &streamedBody{from: from, keep: keep}
+func newStreamedBody(reader io.Reader, maxKept int) *streamedBody {
+	return &streamedBody{reader: reader, maxKept: maxKept}
 }
 
-// Next returns kept bytes first, then reads on.
+// Next returns the kept bytes first, then continues to read.
 func (b *streamedBody) Next() ([]byte, bool, error) {
-	if b.at < len(b.kept) {
-		piece := b.kept[b.at:]
-		b.at = len(b.kept)
+	if b.offset < len(b.kept) {
+		piece := b.kept[b.offset:]
+		b.offset = len(b.kept)
 		return piece, b.ended, nil
 	}
 	if b.ended {
@@ -150,28 +150,28 @@
 	if b.buffer == nil {
 		b.buffer = make([]byte, pieceBytes)
 	}
-	n, err := b.from.Read(b.buffer)
+	n, err := b.reader.Read(b.buffer)
 	b.ended = err == io.EOF //nolint:errorlint // io.Reader returns io.EOF itself
 	if err != nil && !b.ended {
 		return nil, false, err
 	}
-	b.remember(b.buffer[:n])
+	b.keepFront(b.buffer[:n])
 	return b.buffer[:n], b.ended, nil
 }
 
-func (b *streamedBody) remember(piece []byte) {
-	if b.lost || len(b.kept)+len(piece) > b.keep {
-		b.lost = true
+func (b *streamedBody) keepFront(piece []byte) {
+	if b.overflowed || len(b.kept)+len(piece) > b.maxKept {
+		b.overflowed = true
 		b.kept = nil
-		b.at = 0
+		b.offset = 0
 		return
 	}
 	b.kept = append(b.kept, piece...)
-	b.at = len(b.kept)
+	b.offset = len(b.kept)
 }
 
-// Rewind fails once more was read than is kept.
+// Rewind fails once more bytes were read than may be kept.
 func (b *streamedBody) Rewind() bool {
-	b.at = 0
-	return !b.lost
+	b.offset = 0
+	return !b.overflowed
 }
