--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -68,8 +68,8 @@
 	stream *transport.Stream
 	chunks relay.Receiver
 	// acked is the sequence number up to which the agent may discard chunks. It
-	// stays ackLag chunks behind the last one passed on: chunks written to a
-	// caller's connection may never have reached the caller, who then resumes
+	// stays at least ackLag chunks behind the last one passed on: chunks written
+	// to a caller's connection may never have reached the caller, who then resumes
 	// through another entry.
 	acked        uint64
 	ackLag       uint64
@@ -106,7 +106,7 @@
 func (a *attempt) fire(event string) {
 	next, err := a.chart.Next(a.state, event)
 	if err != nil {
-		klog.ErrorS(err, "attempt", "request", a.id, "attempt", a.number)
+		klog.ErrorS(err, "invalid state transition of attempt", "request", a.id, "attempt", a.number)
 		return
 	}
 	a.state = next
--- a/internal/entry/attempt_test.go
+++ b/internal/entry/attempt_test.go
@@ -15,7 +15,7 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// cancelWatch is an agent that tells of each stream whether it was cancelled.
+// cancelWatch is an agent that reports for each stream whether it was cancelled.
 type cancelWatch struct {
 	node      *transport.Node
 	cancelled chan bool
@@ -56,22 +56,20 @@
 	return node
 }
 
-// Story: a caller who may come back loses its connection just while the entry
-// acknowledges a chunk to the agent. The send fails, and that looked like a
-// fault of the link with nobody waiting: the run was cancelled at the agent, and
-// the caller's return found no stream any more.
-func TestACallerWhoLeavesDuringAnAcknowledgementMayComeBack(t *testing.T) {
+// Guards against cancelling a resumable request when its caller disconnects while
+// the entry sends an acknowledgement to the agent, which fails as a link error.
+func TestDisconnectDuringAcknowledgementKeepsResumableStream(t *testing.T) {
 	sendFailed := eris.New("send frame: deadline exceeded")
 	for _, tt := range []struct {
-		name   string
-		err    error
-		detach bool
-		cancel bool
+		name      string
+		err       error
+		resumable bool
+		cancel    bool
 	}{
-		{"comes back, seen while a chunk was written", errCallerGone, true, false},
-		{"comes back, seen while an acknowledgement was sent", sendFailed, true, false},
-		{"never comes back, seen while a chunk was written", errCallerGone, false, true},
-		{"never comes back, seen while an acknowledgement was sent", sendFailed, false, true},
+		{"resumable, disconnect noticed while writing a chunk", errCallerGone, true, false},
+		{"resumable, disconnect noticed while sending an acknowledgement", sendFailed, true, false},
+		{"not resumable, disconnect noticed while writing a chunk", errCallerGone, false, true},
+		{"not resumable, disconnect noticed while sending an acknowledgement", sendFailed, false, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			authority, err := keys.NewAuthority(time.Hour)
@@ -79,7 +77,7 @@
 			agent := newCancelWatch(t, authority)
 			self := nodeOf(t, authority, keys.RoleEntry, "e1", func(context.Context, keys.Identity, *transport.Stream) {})
 			a := newAttempt("req-e1-00", 1)
-			a.resumable, a.timeouts, a.limits = tt.detach, Default().Timeouts, Default().Attempts
+			a.resumable, a.timeouts, a.limits = tt.resumable, Default().Timeouts, Default().Attempts
 			a.dial, a.address = self, agent.node.Address()
 			a.stream, err = self.Open(t.Context(), agent.node.Address(), keys.RoleAgent)
 			require.NoError(t, err)
@@ -87,18 +85,19 @@
 			require.NoError(t, a.stream.Send(ack))
 			a.fire(eventAccept)
 			a.fire(eventBodySent)
-			ctx, leave := context.WithCancel(t.Context())
-			leave()
+			ctx, disconnect := context.WithCancel(t.Context())
+			disconnect()
 			a.interrupted(ctx, tt.err)
 			assert.True(t, a.ended())
-			assert.True(t, a.endedByCaller(), "the server is not blamed")
+			assert.True(t, a.endedByCaller(), "the end is attributed to the caller, not to the server")
 			assert.Equal(t, tt.cancel, <-agent.cancelled)
 		})
 	}
 }
 
-// A stream whose request never began is not lost: its caller may ask anew.
-func TestAResumedStreamThatWasNotRunSaysWhenToComeBack(t *testing.T) {
+// The caller of a stream whose request never ran must get NOT_RUN and a
+// Retry-After, so that it sends the request again.
+func TestResumedStreamThatWasNotRunHasRetryAfter(t *testing.T) {
 	a := newAttempt("req-e1-00", 1)
 	for _, event := range []string{eventAccept, eventBodySent, eventLinkLost, eventResume} {
 		a.fire(event)
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -198,13 +198,13 @@
 
 // boundedReader returns a typed error once more than its limit was read.
 type boundedReader struct {
-	from      io.Reader
+	reader    io.Reader
 	remaining int64
 }
 
 // Read reads from the body.
 func (b *boundedReader) Read(p []byte) (int, error) {
-	n, err := b.from.Read(p)
+	n, err := b.reader.Read(p)
 	b.remaining -= int64(n)
 	if b.remaining < 0 {
 		return 0, refuse(http.StatusRequestEntityTooLarge, CodeBodyTooLarge, "the body is longer than the limit")
--- a/internal/entry/callers_test.go
+++ b/internal/entry/callers_test.go
@@ -15,12 +15,12 @@
 	"github.com/jayproxy/jayproxy/internal/entry"
 )
 
-func TestPlainAnswerComesWholeWithItsOutcome(t *testing.T) {
-	s := newSite(t, "b1")
+func TestPlainAnswerIsCompleteWithOutcome(t *testing.T) {
+	s := newDeployment(t, "b1")
 	e := s.entry("e1")
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatPlain)
 	require.Equal(t, http.StatusOK, r.status, r.body)
-	assert.JSONEq(t, wholeAnswer, r.body)
+	assert.JSONEq(t, completeAnswer, r.body)
 	assert.Equal(t, "done", r.header.Get(entry.HeaderOutcome))
 	assert.Equal(t, "1", r.header.Get(entry.HeaderAttempts))
 	assert.NotEmpty(t, r.header.Get(entry.HeaderRequestID))
@@ -31,8 +31,8 @@
 	assert.JSONEq(t, chatPlain, string(sent))
 }
 
-func TestStreamComesInOrderAndSaysThatItIsWhole(t *testing.T) {
-	s := newSite(t, "b1")
+func TestStreamIsOrderedAndMarkedComplete(t *testing.T) {
+	s := newDeployment(t, "b1")
 	s.agents[0].set(func(f *fakeAgent) { f.answer = tokens(100) })
 	e := s.entry("e1", func(settings *entry.Settings) { settings.Attempts.ResumeChunks = 10 })
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
@@ -43,12 +43,12 @@
 	assert.Equal(t, "done", r.trailer.Get(entry.HeaderOutcome))
 	assert.NotEmpty(t, r.header.Get(entry.HeaderResumeToken))
 	require.Eventually(t, func() bool {
-		return s.agents[0].seen(func(f *fakeAgent) int { return int(f.acked) }) == 64
-	}, time.Second, time.Millisecond, "the agent may let go of what was passed on")
+		return s.agents[0].count(func(f *fakeAgent) int { return int(f.acked) }) == 64
+	}, time.Second, time.Millisecond, "the agent gets acknowledgements for the chunks that were passed on")
 }
 
-func TestBadInputGetsATypedError(t *testing.T) {
-	s := newSite(t, "b1")
+func TestInvalidRequestGetsTypedError(t *testing.T) {
+	s := newDeployment(t, "b1")
 	e := s.entry("e1", func(settings *entry.Settings) {
 		settings.Limits.BodyBytes = 2000
 		settings.Limits.PromptBytes = 1000
@@ -89,7 +89,7 @@
 			assert.Equal(t, r.header.Get(entry.HeaderRequestID), got.RequestID)
 		})
 	}
-	assert.Zero(t, s.agents[0].seen(func(f *fakeAgent) int { return len(f.offers) }), "nothing of it reached an agent")
+	assert.Zero(t, s.agents[0].count(func(f *fakeAgent) int { return len(f.offers) }), "no invalid request reached an agent")
 	assert.Equal(t, http.StatusOK, call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatPlain).status)
 }
 
@@ -111,8 +111,8 @@
 	return body.Error
 }
 
-func TestWithoutACatalogCallersAreRefusedAsNotRun(t *testing.T) {
-	s := newSite(t)
+func TestRequestsWithoutCatalogAreRefusedAsNotRun(t *testing.T) {
+	s := newDeployment(t)
 	e := s.entry("e1", func(settings *entry.Settings) { settings.Holder = catalog.NewHolder() })
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatPlain)
 	assert.Equal(t, http.StatusServiceUnavailable, r.status)
@@ -128,8 +128,8 @@
 	assert.Equal(t, http.StatusOK, call(t, "GET", e.AdminURL()+"/readyz", "", "").status)
 }
 
-func TestModelsListsWhatTheWorkspaceMayUse(t *testing.T) {
-	s := newSite(t, "b1")
+func TestModelsListsModelsAllowedForWorkspace(t *testing.T) {
+	s := newDeployment(t, "b1")
 	s.resources = append(s.resources, &jayv1.Resource{Kind: &jayv1.Resource_Rule{Rule: &jayv1.Rule{
 		Name: "no-other", Workspaces: []string{"other"}, Models: []string{"modelos"}, Deny: true,
 	}}})
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -30,9 +30,9 @@
 		Incarnation: uint64(e.started.UnixNano()), //nolint:gosec // after 1970
 		Settings:    e.settings.Spread, Node: e.node, Holder: e.holder, Seeds: e.settings.Seeds,
 		Store: store, VMs: e.platform, OnVMs: e.receiveVMs,
-		OnNews:    func(_ keys.Identity, news []*jayv1.MemberNews) { e.picker.receiveUpdate(time.Now(), news) },
-		News:      func() []*jayv1.MemberNews { return e.picker.update(time.Now()) },
-		OnCrashes: func(news []*jayv1.CrashNews) { e.crashes.receive(time.Now(), news) },
+		OnNews:    func(_ keys.Identity, updates []*jayv1.MemberNews) { e.picker.receive(time.Now(), updates) },
+		News:      func() []*jayv1.MemberNews { return e.picker.digest(time.Now()) },
+		OnCrashes: func(updates []*jayv1.CrashNews) { e.crashes.receive(time.Now(), updates) },
 		Crashes:   func(all bool) []*jayv1.CrashNews { return e.crashes.digest(time.Now(), all) },
 		Leaving:   e.stopping.Load, Process: e.addLeases,
 	})
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -21,8 +21,8 @@
 	// maxFullDigestCrashes in a digest for a process that may have just started.
 	maxDigestCrashes     = 8
 	maxFullDigestCrashes = 24
-	// recordTimeError is the maximum delay that a record's time gains on its way
-	// through other processes.
+	// recordTimeError is by how much the time of a record may be too late after
+	// other processes passed it on.
 	recordTimeError = time.Second
 	// maxCrashRecords is the maximum number of records kept for digests.
 	maxCrashRecords = 4096
@@ -127,7 +127,7 @@
 	if all {
 		limit = maxFullDigestCrashes
 	}
-	var urgent, others []*jayv1.CrashNews
+	var first, others []*jayv1.CrashNews
 	for record, at := range c.records {
 		age := now.Sub(at)
 		if age >= crashSendPeriod && !all {
@@ -136,12 +136,12 @@
 		f := record.crash.Request
 		update := &jayv1.CrashNews{Request: f[:], Server: record.crash.Server, Cleared: record.cleared, AgeMs: uint32(max(0, age.Milliseconds()))} //nolint:gosec // minutes
 		if record.cleared || c.book.Verdict(now, f).Held {
-			urgent = append(urgent, update)
+			first = append(first, update)
 			continue
 		}
 		others = append(others, update)
 	}
-	updates := append(urgent, others...)
+	updates := append(first, others...)
 	return updates[:min(len(updates), limit)]
 }
 
--- a/internal/entry/crashes_test.go
+++ b/internal/entry/crashes_test.go
@@ -19,14 +19,15 @@
 	return (&quarantine.Identity{Target: fmt.Sprint(n)}).Fingerprint()
 }
 
-func (c *crashes) holds(now time.Time, n int) bool {
+func (c *crashes) isQuarantined(now time.Time, n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.book.Verdict(now, requestNumber(n)).Held
 }
 
-// Guards against entries that count each for itself: words go through others.
-func TestCrashesAddUpOverEntries(t *testing.T) {
+// Guards against entries that count only their own crashes: records also arrive
+// through other entries.
+func TestCrashesOfSeveralEntriesAddUp(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	first, second, third := newCrashes(), newCrashes(), newCrashes()
 	first.add(now, now, crashOf(1, "a"))
@@ -34,20 +35,20 @@
 	second.add(now, now, crashOf(1, "c"))
 	second.receive(now, first.digest(now, false))
 	third.receive(now, second.digest(now, false))
-	assert.True(t, third.holds(now, 1))
-	assert.False(t, first.holds(now, 1))
+	assert.True(t, third.isQuarantined(now, 1))
+	assert.False(t, first.isQuarantined(now, 1))
 	first.receive(now, third.digest(now, false))
-	assert.True(t, first.holds(now, 1))
+	assert.True(t, first.isQuarantined(now, 1))
 	late := newCrashes()
 	later := now.Add(time.Minute)
-	assert.Empty(t, first.digest(later, false), "by then all know it")
+	assert.Empty(t, first.digest(later, false), "old records are not sent to running entries any more")
 	late.receive(later, first.digest(later, true))
-	assert.True(t, late.holds(later, 1), "one that starts later learns it")
+	assert.True(t, late.isQuarantined(later, 1), "an entry that starts later receives the old records too")
 }
 
-// Guards against a request that stays suspected where an old word comes after
-// its whole run.
-func TestAWholeRunGoesBeforeOlderCrashes(t *testing.T) {
+// Guards against a request that stays suspect because an old crash record arrives
+// after the record of its complete run.
+func TestCompleteRunOverridesOlderCrashes(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	one, other := newCrashes(), newCrashes()
 	for _, engine := range []string{"a", "b", "c"} {
@@ -55,24 +56,24 @@
 	}
 	old := one.digest(now, false)
 	other.receive(now, old)
-	whole := now.Add(2 * time.Second)
-	one.add(whole, whole, crashRecord{crash: quarantine.Strike{Request: requestNumber(1)}, cleared: true})
-	assert.False(t, one.holds(whole, 1))
-	other.receive(whole, one.digest(whole, false))
-	assert.False(t, other.holds(whole, 1))
-	for _, word := range old {
-		word.AgeMs = 2000
+	complete := now.Add(2 * time.Second)
+	one.add(complete, complete, crashRecord{crash: quarantine.Strike{Request: requestNumber(1)}, cleared: true})
+	assert.False(t, one.isQuarantined(complete, 1))
+	other.receive(complete, one.digest(complete, false))
+	assert.False(t, other.isQuarantined(complete, 1))
+	for _, record := range old {
+		record.AgeMs = 2000
 	}
-	one.receive(whole, old)
-	assert.False(t, one.holds(whole, 1))
-	again := whole.Add(5 * time.Second)
+	one.receive(complete, old)
+	assert.False(t, one.isQuarantined(complete, 1))
+	again := complete.Add(5 * time.Second)
 	for _, engine := range []string{"d", "e", "f"} {
 		one.add(again, again, crashOf(1, engine))
 	}
-	assert.True(t, one.holds(again, 1), "crashes since count")
+	assert.True(t, one.isQuarantined(again, 1), "crashes after the complete run count")
 }
 
-func TestWordsOnCrashesAreBoundedAndForgotten(t *testing.T) {
+func TestCrashRecordsAreBoundedAndExpire(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	c := newCrashes()
 	for n := range 100 {
@@ -84,9 +85,9 @@
 	assert.Len(t, c.digest(now, false), maxDigestCrashes)
 	all := c.digest(now, true)
 	assert.Len(t, all, maxFullDigestCrashes)
-	held := requestNumber(1000)
-	for _, word := range all[:3] {
-		assert.Equal(t, held[:], word.GetRequest(), "what is held goes first")
+	quarantined := requestNumber(1000)
+	for _, record := range all[:3] {
+		assert.Equal(t, quarantined[:], record.GetRequest(), "records of quarantined requests come first")
 	}
 	c.receive(now, []*jayv1.CrashNews{{Request: []byte("short"), Server: "a"}, {}})
 	c.expire(now.Add(crashSettings().Forget))
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -22,59 +22,57 @@
 	"github.com/jayproxy/jayproxy/internal/platform/platformtest"
 )
 
-// Story: an engine takes every request and fails it, while its agent answers
-// offers as a healthy one does. Each caller that is sent there loses an attempt.
-func TestAServerThatTakesWorkAndFailsItIsLeftOut(t *testing.T) {
-	s := newSite(t, "b1", "b2", "b3", "b4")
+// Guards against placing requests on a server whose engine fails every request
+// while its agent still accepts offers.
+func TestServerThatAcceptsAndFailsRequestsIsEjected(t *testing.T) {
+	s := newDeployment(t, "b1", "b2", "b3", "b4")
 	s.agents[0].set(func(f *fakeAgent) {
 		f.answer = func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
-			return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine broke"}
+			return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine failed"}
 		}
 	})
 	e := s.entry("e1")
-	taken := func(f *fakeAgent) int { return len(f.bodies) }
-	for n := 0; s.agents[0].seen(taken) == 0; n++ {
-		require.Less(t, n, 500, "the failing server was never tried")
-		call(t, "POST", e.CallersURL()+chatPath, keyQuarry, differentPrompt(n))
+	accepted := func(f *fakeAgent) int { return len(f.bodies) }
+	for n := 0; s.agents[0].count(accepted) == 0; n++ {
+		require.Less(t, n, 500, "no request was sent to the failing server")
+		call(t, "POST", e.CallersURL()+chatPath, keyQuarry, distinctPrompt(n))
 	}
 	const requests = 300
 	for n := range requests {
-		r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, differentPrompt(1000+n))
-		assert.Equal(t, http.StatusOK, r.status, "started again elsewhere")
+		r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, distinctPrompt(1000+n))
+		assert.Equal(t, http.StatusOK, r.status, "the request is retried on another server")
 	}
-	failed := s.agents[0].seen(taken)
+	failed := s.agents[0].count(accepted)
 	t.Logf("%d of %d requests went to the failing server", failed, requests)
-	assert.LessOrEqual(t, failed, 5, "three in a row eject it, one more ends its probation")
+	assert.LessOrEqual(t, failed, 5, "three failures in a row eject the server, one more returns it from probation to ejection")
 }
 
-func differentPrompt(n int) string {
+func distinctPrompt(n int) string {
 	return fmt.Sprintf(`{"model":"modelos","messages":[{"role":"user","content":"%s"}]}`, strings.Repeat(fmt.Sprint(n, " "), 300))
 }
 
-// Story: the platform is down, an entry is replaced, and callers are sent to
-// the new one as soon as it listens. It gets the catalog from a peer.
-func TestAnEntryThatStartsDuringAnOutageServesAtOnce(t *testing.T) {
-	s := newSite(t, "b1")
+// An entry that starts while the platform is down gets the catalog from a peer.
+func TestEntryStartedDuringPlatformOutageServes(t *testing.T) {
+	s := newDeployment(t, "b1")
 	table := platformtest.New()
 	table.SetDown(true)
-	peer := s.entry("e1", with(table))
+	peer := s.entry("e1", withPlatform(table))
 	began := time.Now()
-	started := s.entry("e2", with(table), func(settings *entry.Settings) {
+	started := s.entry("e2", withPlatform(table), func(settings *entry.Settings) {
 		settings.Holder = catalog.NewHolder()
 		settings.Seeds = []string{peer.Address()}
 	})
 	require.Eventually(t, func() bool {
 		return call(t, "POST", started.CallersURL()+chatPath, keyQuarry, chatPlain).status == http.StatusOK
 	}, 3*time.Second, time.Millisecond)
-	t.Logf("first good answer %v after the start began", time.Since(began).Round(time.Millisecond))
+	t.Logf("first successful answer %v after the start", time.Since(began).Round(time.Millisecond))
 }
 
-// Story: an operator asks any entry why a request went where it did; another
-// entry has served it.
-func TestARequestIsExplainedByWhicheverEntryIsAsked(t *testing.T) {
-	s := newSite(t, "b1")
+// Any entry can explain a request that another entry served.
+func TestAnyEntryExplainsRequest(t *testing.T) {
+	s := newDeployment(t, "b1")
 	table := platformtest.New()
-	served, asked := s.entry("e1", with(table)), s.entry("e2", with(table))
+	served, asked := s.entry("e1", withPlatform(table)), s.entry("e2", withPlatform(table))
 	table.SetVMs([]platform.VM{
 		{Name: "e1", Role: "entry", Address: served.Address(), State: platform.VMLive},
 		{Name: "e2", Role: "entry", Address: asked.Address(), State: platform.VMLive},
@@ -100,37 +98,35 @@
 	assert.Equal(t, connect.CodeNotFound, connect.CodeOf(err))
 }
 
-// Story: every entry is replaced, and callers reach a new one while it still
-// asks its peers for the configuration. Turned away each time, a caller who
-// comes again at once has spent its tries before the entry knows a workspace.
-func TestCallersOfAnEntryThatStartsWaitForItsConfiguration(t *testing.T) {
-	s := newSite(t, "b1")
+// Guards against an entry that refuses requests while it still fetches its first
+// configuration: callers would use up their retries.
+func TestRequestsWaitForFirstConfiguration(t *testing.T) {
+	s := newDeployment(t, "b1")
 	table := platformtest.New()
 	table.SetDown(true)
-	peer := s.entry("e1", with(table))
-	for try := range 5 {
-		started := s.entry(fmt.Sprintf("e%d", 2+try), with(table), func(settings *entry.Settings) {
+	peer := s.entry("e1", withPlatform(table))
+	for n := range 5 {
+		started := s.entry(fmt.Sprintf("e%d", 2+n), withPlatform(table), func(settings *entry.Settings) {
 			settings.Holder = catalog.NewHolder()
 			settings.Seeds = []string{peer.Address()}
 		})
 		began := time.Now()
 		r := call(t, "POST", started.CallersURL()+chatPath, keyQuarry, chatPlain)
-		assert.Equal(t, http.StatusOK, r.status, "try %d: %s", try, r.body)
-		t.Logf("the first request was answered after %v", time.Since(began).Round(time.Millisecond))
+		assert.Equal(t, http.StatusOK, r.status, "try %d: %s", n, r.body)
+		t.Logf("first request answered after %v", time.Since(began).Round(time.Millisecond))
 	}
 }
 
-// Story: an entry starts while nothing that knows a configuration is reachable,
-// and more callers come than it may keep. Those beyond the bound hear at once
-// that nothing ran, the others when the search has ended; none is kept longer.
-func TestWaitsForAConfigurationAreBounded(t *testing.T) {
-	const kept, callers = 3, 12
-	s := newSite(t)
+// While an entry can't get a configuration, requests wait for it only up to
+// WarmupMS, and only WarmupRequests of them; the others are refused at once.
+func TestWaitForConfigurationIsBounded(t *testing.T) {
+	const maxWaiting, callers = 3, 12
+	s := newDeployment(t)
 	table := platformtest.New()
 	table.SetDown(true)
-	e := s.entry("e1", with(table), func(settings *entry.Settings) {
+	e := s.entry("e1", withPlatform(table), func(settings *entry.Settings) {
 		settings.Holder = catalog.NewHolder()
-		settings.Limits.WarmupRequests, settings.Timeouts.WarmupMS = kept, 500
+		settings.Limits.WarmupRequests, settings.Timeouts.WarmupMS = maxWaiting, 500
 	})
 	began := time.Now()
 	waits := make(chan time.Duration, callers)
@@ -149,19 +145,19 @@
 			waited++
 		}
 	}
-	assert.LessOrEqual(t, waited, kept)
+	assert.LessOrEqual(t, waited, maxWaiting)
 	assert.Positive(t, waited)
 }
 
-// heldSocket opens a socket as a supervisor does and returns what hands out
-// listeners on it.
-func heldSocket(t *testing.T) func(settings *entry.Settings) {
+// sharedSocket opens a socket as a supervisor does. The returned function sets a
+// listener on it as the entry's CallersListener.
+func sharedSocket(t *testing.T) func(settings *entry.Settings) {
 	t.Helper()
-	held, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	socket, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = held.Close() })
+	t.Cleanup(func() { _ = socket.Close() })
 	return func(settings *entry.Settings) {
-		file, err := held.File()
+		file, err := socket.File()
 		require.NoError(t, err)
 		defer func() { _ = file.Close() }()
 		settings.CallersListener, err = net.FileListener(file)
@@ -169,18 +165,17 @@
 	}
 }
 
-// Story: an entry's process dies and is started again at its address. Callers
-// who connect in between were refused, some ten thousand times a second for one
-// who comes back at once, and had no tries left when the entry was there.
-func TestCallersWhoConnectWhileAnEntryIsReplacedAreServed(t *testing.T) {
+// Guards against refused connections while an entry restarts at the same address:
+// callers must wait in the backlog of the inherited socket.
+func TestConnectionsDuringRestartAreServed(t *testing.T) {
 	const callers = 5
-	s := newSite(t, "b1")
-	socket := heldSocket(t)
+	s := newDeployment(t, "b1")
+	socket := sharedSocket(t)
 	first := s.entry("e1", socket)
 	url := first.CallersURL()
 	require.Equal(t, http.StatusOK, call(t, "POST", url+chatPath, keyQuarry, chatPlain).status)
 	first.Close()
-	// Callers who come anew: a kept connection was cut with its entry.
+	// New connections: the kept-alive ones were closed with the first entry.
 	http.DefaultClient.CloseIdleConnections()
 	answers := make(chan int, callers)
 	for range callers {
@@ -188,65 +183,63 @@
 	}
 	select {
 	case status := <-answers:
-		require.Fail(t, "answered while no entry runs", "%d", status)
+		require.Fail(t, "got an answer although no entry is running", "%d", status)
 	case <-time.After(50 * time.Millisecond):
 	}
 	second := s.entry("e1", socket)
-	assert.Equal(t, url, second.CallersURL(), "the address stays")
+	assert.Equal(t, url, second.CallersURL(), "the address does not change")
 	for range callers {
 		assert.Equal(t, http.StatusOK, <-answers)
 	}
 }
 
-// stuckStore is a platform whose list of VMs answers only when it is let go,
-// even after its reader has given up.
-type stuckStore struct {
+// blockedPlatform is a platform whose list of VMs blocks until it is released, even
+// after its context has ended.
+type blockedPlatform struct {
 	platform.Platform
-	asked    chan struct{}
-	givenUp  chan struct{}
-	released chan struct{}
+	asked     chan struct{}
+	cancelled chan struct{}
+	released  chan struct{}
 }
 
-func newStuckStore() *stuckStore {
-	const reads = 100 // more than a test makes
-	return &stuckStore{
+func newBlockedPlatform() *blockedPlatform {
+	const reads = 100 // more than any test makes
+	return &blockedPlatform{
 		Platform: platformtest.New(), released: make(chan struct{}),
-		asked: make(chan struct{}, reads), givenUp: make(chan struct{}, reads),
+		asked: make(chan struct{}, reads), cancelled: make(chan struct{}, reads),
 	}
 }
 
-func (s *stuckStore) List(ctx context.Context, _ uint64) (platform.VMList, error) {
+func (s *blockedPlatform) List(ctx context.Context, _ uint64) (platform.VMList, error) {
 	s.asked <- struct{}{}
 	<-ctx.Done()
-	s.givenUp <- struct{}{}
+	s.cancelled <- struct{}{}
 	<-s.released
 	return platform.VMList{}, ctx.Err()
 }
 
-// Story: an entry is ending, and something that it waits for takes its time.
-// Its port was closed last: callers who came meanwhile were taken in by a
-// process that had ended its work, and were turned away or cut off with it.
-// They belong to its successor.
-func TestAnEntryThatEndsTakesNoFurtherCaller(t *testing.T) {
+// Guards against an entry that accepts connections while it closes: its port must
+// close first, so that callers reach the successor on the same socket.
+func TestClosingEntryAcceptsNoConnection(t *testing.T) {
 	const callers = 5
-	s := newSite(t, "b1")
-	socket := heldSocket(t)
-	store := newStuckStore()
-	ending := s.entry("e1", socket, with(store), func(settings *entry.Settings) {
+	s := newDeployment(t, "b1")
+	socket := sharedSocket(t)
+	store := newBlockedPlatform()
+	closing := s.entry("e1", socket, withPlatform(store), func(settings *entry.Settings) {
 		settings.Spread.PullTimeout = time.Hour
 	})
 	<-store.asked
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		ending.Close()
+		closing.Close()
 	}()
-	<-store.givenUp
+	<-store.cancelled
 	s.entry("e2", socket)
 	for n := range callers {
-		r := call(t, "POST", ending.CallersURL()+chatPath, keyQuarry, chatPlain)
+		r := call(t, "POST", closing.CallersURL()+chatPath, keyQuarry, chatPlain)
 		assert.Equal(t, http.StatusOK, r.status, r.body)
-		assert.True(t, strings.HasPrefix(r.header.Get(entry.HeaderRequestID), "req-e2-"), "caller %d came to the entry that ends", n)
+		assert.True(t, strings.HasPrefix(r.header.Get(entry.HeaderRequestID), "req-e2-"), "request %d reached the entry that is closing", n)
 	}
 	close(store.released)
 	<-closed
--- a/internal/entry/fakeagent_test.go
+++ b/internal/entry/fakeagent_test.go
@@ -17,27 +17,30 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// fakeAgent speaks the agent's side of wire.proto and is scripted by its fields.
+// fakeAgent implements the agent's side of the protocol in wire.proto. Its fields
+// script its behaviour.
 type fakeAgent struct {
 	name string
 	node *transport.Node
 
 	mu sync.Mutex
-	// refuse, when set, may answer an offer with a refusal; nil accepts.
+	// refuse returns the refusal of an offer; nil accepts it.
 	refuse func(offer *jayv1.Offer) *jayv1.OfferReply
-	// answer makes the chunks of an accepted request; it may block.
+	// answer emits the chunks of an accepted request and returns its End; it may
+	// block.
 	answer func(offer *jayv1.Offer, body []byte, emit func(data string)) *jayv1.End
-	// cut aborts the link after so many chunks, as often as it says.
+	// cuts is how many times the link is aborted: first after cutAfter chunks,
+	// then one chunk later each time.
 	cutAfter, cuts int
-	// forget: resumes find nothing, as after a restart of the agent.
+	// forget: resumes find no stream, as after a restart of the agent.
 	forget bool
-	// wrongCount is added to the count of chunks in the end.
+	// wrongCount is added to the number of chunks in the End frame.
 	wrongCount uint64
-	// cutBody aborts the link before the body is complete, as often as it says.
+	// cutBody is how many times the link is aborted before the body is complete.
 	cutBody int
-	// cutReply aborts the link in place of an acceptance, as often as it says.
+	// cutReply is how many times the link is aborted instead of accepting an offer.
 	cutReply int
-	// head of a plain service's answer.
+	// head of a plain service's answer, nil for none.
 	head *jayv1.ServiceHead
 
 	offers  []*jayv1.Offer
@@ -57,7 +60,7 @@
 	grown     *sync.Cond
 	chunks    []string
 	end       *jayv1.End
-	// first chunk that is still kept.
+	// first is the sequence number of the first chunk that is still kept.
 	first uint64
 }
 
@@ -81,8 +84,8 @@
 	change(f)
 }
 
-// seen reads a figure under the lock.
-func (f *fakeAgent) seen(read func(f *fakeAgent) int) int {
+// count reads a number under the lock.
+func (f *fakeAgent) count(read func(f *fakeAgent) int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return read(f)
@@ -102,7 +105,9 @@
 	return f.offers[len(f.offers)-1]
 }
 
-func (f *fakeAgent) ran(id string) int { return f.seen(func(f *fakeAgent) int { return f.runs[id] }) }
+func (f *fakeAgent) runCount(id string) int {
+	return f.count(func(f *fakeAgent) int { return f.runs[id] })
+}
 
 func (f *fakeAgent) serve(ctx context.Context, _ keys.Identity, s *transport.Stream) {
 	first := &jayv1.ClientFrame{}
@@ -111,13 +116,13 @@
 	}
 	switch frame := first.GetFrame().(type) {
 	case *jayv1.ClientFrame_Offer:
-		f.takeOffer(ctx, frame.Offer, s)
+		f.handleOffer(ctx, frame.Offer, s)
 	case *jayv1.ClientFrame_Resume:
-		f.takeResume(ctx, frame.Resume, s)
+		f.handleResume(ctx, frame.Resume, s)
 	}
 }
 
-func (f *fakeAgent) takeOffer(ctx context.Context, offer *jayv1.Offer, s *transport.Stream) {
+func (f *fakeAgent) handleOffer(ctx context.Context, offer *jayv1.Offer, s *transport.Stream) {
 	f.mu.Lock()
 	f.offers = append(f.offers, offer)
 	refuse := f.refuse
@@ -129,7 +134,7 @@
 			reply = refusal
 		}
 	}
-	if f.take(&f.cutReply) {
+	if f.useFault(&f.cutReply) {
 		s.Abort()
 	} else if s.Send(&jayv1.ServerFrame{Frame: &jayv1.ServerFrame_OfferReply{OfferReply: reply}}) != nil || !reply.GetAccepted() {
 		return
@@ -164,8 +169,8 @@
 
 func key(id string, attempt uint32) string { return fmt.Sprintf("%s/%d", id, attempt) }
 
-// take counts a scripted fault down.
-func (f *fakeAgent) take(left *int) bool {
+// useFault uses up one of the scripted faults, false when none is left.
+func (f *fakeAgent) useFault(left *int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if *left == 0 {
@@ -176,7 +181,7 @@
 }
 
 func (f *fakeAgent) readBody(s *transport.Stream) ([]byte, bool) {
-	if f.take(&f.cutBody) {
+	if f.useFault(&f.cutBody) {
 		s.Abort()
 		return nil, false
 	}
@@ -193,7 +198,7 @@
 	}
 }
 
-func (f *fakeAgent) takeResume(ctx context.Context, resume *jayv1.Resume, s *transport.Stream) {
+func (f *fakeAgent) handleResume(ctx context.Context, resume *jayv1.Resume, s *transport.Stream) {
 	f.mu.Lock()
 	f.resumes++
 	kept := f.kept[key(resume.GetRequestId(), resume.GetAttempt())]
@@ -209,13 +214,14 @@
 	f.send(ctx, s, kept, resume.GetNextSeq())
 }
 
-// send passes kept chunks on from a number, and listens for Ack and Cancel.
+// send sends the kept chunks from a sequence number on, and receives Ack and
+// Cancel.
 func (f *fakeAgent) send(ctx context.Context, s *transport.Stream, kept *keptStream, from uint64) {
-	heard := make(chan struct{})
+	received := make(chan struct{})
 	go func() {
-		defer close(heard)
+		defer close(received)
 		if errors.Is(f.listen(s, kept), io.EOF) {
-			kept.forget()
+			kept.discard()
 		}
 	}()
 	f.mu.Lock()
@@ -228,7 +234,7 @@
 		chunk, end := kept.wait(from)
 		if end != nil {
 			_ = s.Send(&jayv1.ServerFrame{Frame: &jayv1.ServerFrame_End{End: end}})
-			<-heard // The last Ack may cross the End.
+			<-received // The last Ack may arrive after the End was sent.
 			return
 		}
 		if f.cutNow(from) {
@@ -254,8 +260,8 @@
 	return true
 }
 
-// listen takes what the entry says. An entry that ends its side has the whole
-// answer, and its word that it passed chunks on lets go of them.
+// listen receives the entry's frames until an error. io.EOF means that the entry
+// has the complete answer.
 func (f *fakeAgent) listen(s *transport.Stream, kept *keptStream) error {
 	for {
 		frame := &jayv1.ClientFrame{}
@@ -278,7 +284,7 @@
 	k.first = max(k.first, next)
 }
 
-func (k *keptStream) forget() {
+func (k *keptStream) discard() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.first = uint64(len(k.chunks)) + 1
@@ -321,7 +327,7 @@
 	return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_DONE, Usage: &jayv1.Usage{PromptTokens: 100, CachedTokens: 60, OutputTokens: 3}}
 }
 
-// tokens answers with n chunks when streaming, else with one whole answer.
+// tokens answers a streaming request with n chunks, any other with one answer.
 func tokens(n int) func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
 	return func(offer *jayv1.Offer, _ []byte, emit func(string)) *jayv1.End {
 		if offer.GetService() != "" {
@@ -329,7 +335,7 @@
 			return done()
 		}
 		if !offer.GetStream() {
-			emit(wholeAnswer)
+			emit(completeAnswer)
 			return done()
 		}
 		for i := range n {
@@ -339,7 +345,7 @@
 	}
 }
 
-// paced answers with n chunks, one each interval.
+// paced answers with n chunks, one per interval.
 func paced(n int, interval time.Duration) func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
 	return func(_ *jayv1.Offer, _ []byte, emit func(string)) *jayv1.End {
 		ticker := time.NewTicker(interval)
@@ -352,4 +358,4 @@
 	}
 }
 
-const wholeAnswer = `{"id":"c","object":"chat.completion","model":"modelos","choices":[{"index":0,"message":{"role":"assistant","content":"ready"},"finish_reason":"stop"}],"usage":{"prompt_tokens":100,"completion_tokens":1,"total_tokens":101,"prompt_tokens_details":{"cached_tokens":60}}}`
+const completeAnswer = `{"id":"c","object":"chat.completion","model":"modelos","choices":[{"index":0,"message":{"role":"assistant","content":"ready"},"finish_reason":"stop"}],"usage":{"prompt_tokens":100,"completion_tokens":1,"total_tokens":101,"prompt_tokens_details":{"cached_tokens":60}}}`
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -139,7 +139,7 @@
 	h.last.end, h.last.reply = a.end, a.reply
 	h.last.outcome = a.outcome()
 	h.recordCrash(a)
-	klog.V(2).InfoS("attempt over", "request", a.id, "attempt", a.number, "server", a.server, "state", a.state, "refusal", t.Refusal)
+	klog.V(2).InfoS("attempt ended", "request", a.id, "attempt", a.number, "server", a.server, "state", a.state, "refusal", t.Refusal)
 }
 
 // refusalOf returns the agent's reason for not running the request, given before
--- a/internal/entry/handover_test.go
+++ b/internal/entry/handover_test.go
@@ -26,10 +26,10 @@
 	return &jayv1.OfferReply{Refusal: jayv1.Refusal_REFUSAL_COST, CostMs: 500}
 }
 
-// Story: every backend server declines for cost, each sending the request on
-// to the next. After three declines the offer is final, so the caller is served.
-func TestAtMostThreeDeclinesThenTheOfferIsFinal(t *testing.T) {
-	s := newSite(t, "b1", "b2", "b3", "b4", "b5", "b6")
+// Guards against a request that is never served because every backend server
+// declines it for cost.
+func TestOfferIsFinalAfterThreeDeclines(t *testing.T) {
+	s := newDeployment(t, "b1", "b2", "b3", "b4", "b5", "b6")
 	for _, a := range s.agents {
 		a.set(func(f *fakeAgent) { f.refuse = decline })
 	}
@@ -38,21 +38,20 @@
 	require.Equal(t, http.StatusOK, r.status, r.body)
 	declined := -1
 	for _, a := range s.agents {
-		declined += a.seen(func(f *fakeAgent) int { return len(f.offers) })
+		declined += a.count(func(f *fakeAgent) int { return len(f.offers) })
 	}
 	assert.LessOrEqual(t, declined, 3)
 }
 
-// Story: an engine crashes before the first token of a model's answer. The
-// work can be repeated and the caller has seen nothing, so it is started again
-// elsewhere; but when every server crashes, retries must not multiply the load.
-func TestLostModelWorkIsStartedAgainWithinTheBudget(t *testing.T) {
-	s := newSite(t, "b1", "b2", "b3")
-	var broken atomic.Int64
-	broken.Store(1)
+// A model request that failed before its first token is retried on another
+// server, but the retry budget limits the load when every server fails.
+func TestLostModelRequestIsRetriedWithinBudget(t *testing.T) {
+	s := newDeployment(t, "b1", "b2", "b3")
+	var failures atomic.Int64
+	failures.Store(1)
 	answer := func(offer *jayv1.Offer, body []byte, emit func(string)) *jayv1.End {
-		if broken.Add(-1) >= 0 {
-			return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine broke"}
+		if failures.Add(-1) >= 0 {
+			return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine failed"}
 		}
 		return tokens(3)(offer, body, emit)
 	}
@@ -64,7 +63,7 @@
 	assert.Len(t, texts(r.body), 3)
 	assert.Equal(t, "2", r.header.Get(entry.HeaderAttempts))
 
-	broken.Store(1 << 30)
+	failures.Store(1 << 30)
 	const requests = 20
 	for range requests {
 		r = call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
@@ -73,15 +72,15 @@
 	}
 	attempts := 0
 	for _, a := range s.agents {
-		attempts += a.seen(func(f *fakeAgent) int { return len(f.bodies) })
+		attempts += a.count(func(f *fakeAgent) int { return len(f.bodies) })
 	}
 	assert.LessOrEqual(t, attempts, 2+requests+4)
 }
 
-// Story: a request is lost at one server, and every other server refuses to
-// start it again. The last word was a refusal, but "not run" would be a lie.
-func TestARefusalAfterALostAttemptIsNotCalledNotRun(t *testing.T) {
-	s := newSite(t, "b1", "b2", "b3")
+// A request that was lost at one server may have run, so its outcome stays
+// unknown when all other servers refuse it.
+func TestRefusalAfterLostAttemptHasUnknownOutcome(t *testing.T) {
+	s := newDeployment(t, "b1", "b2", "b3")
 	var lost atomic.Bool
 	refuse := func(*jayv1.Offer) *jayv1.OfferReply {
 		if lost.Load() {
@@ -91,7 +90,7 @@
 	}
 	answer := func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
 		lost.Store(true)
-		return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine broke"}
+		return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine failed"}
 	}
 	for _, a := range s.agents {
 		a.set(func(f *fakeAgent) { f.refuse, f.answer = refuse, answer })
@@ -102,10 +101,10 @@
 	assert.Greater(t, r.header.Get(entry.HeaderAttempts), "1")
 }
 
-// Story: an engine hangs. A foreman on a breakdown call must not wait for it
-// for ever: at the deadline he gets a final answer that says what is known.
-func TestARequestIsGivenUpAtItsDeadline(t *testing.T) {
-	s := newSite(t, "b1")
+// A request to an engine that hangs ends at its deadline with an unknown outcome
+// and is cancelled at the agent.
+func TestRequestTimesOutAtDeadline(t *testing.T) {
+	s := newDeployment(t, "b1")
 	release := make(chan struct{})
 	defer close(release)
 	s.agents[0].set(func(f *fakeAgent) {
@@ -129,51 +128,50 @@
 	assert.EqualValues(t, 90, offer.GetEnginePriority())
 	assert.LessOrEqual(t, offer.GetDeadlineMs(), uint32(200))
 	require.Eventually(t, func() bool {
-		return s.agents[0].seen(func(f *fakeAgent) int { return f.cancels }) == 1
-	}, time.Second, time.Millisecond, "the slot is freed")
+		return s.agents[0].count(func(f *fakeAgent) int { return f.cancels }) == 1
+	}, time.Second, time.Millisecond, "the request is cancelled at the agent")
 }
 
-// Story: a server shuts down for a replacement. Whoever says so first, agent
-// or platform, later requests go elsewhere.
-func TestALeavingServerGetsNoNewWork(t *testing.T) {
+// A server that the platform lists as leaving gets no new requests.
+func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	table := platformtest.New()
-	s := newSite(t, "b1", "b2")
-	e := s.entry("e1", with(table))
+	s := newDeployment(t, "b1", "b2")
+	e := s.entry("e1", withPlatform(table))
 	n := 0
-	// send makes requests whose prompts have nothing in common, so that they
-	// spread, and returns how many offers b1 got for them.
+	// send makes requests whose prompts share no prefix, so that both servers get
+	// some, and returns the number of offers that b1 got for them.
 	send := func() int {
 		offers := func(f *fakeAgent) int { return len(f.offers) }
-		before := s.agents[0].seen(offers)
+		before := s.agents[0].count(offers)
 		for range 16 {
 			n++
 			prompt := strings.Repeat(strconv.Itoa(n), 400)
 			body := `{"model":"modelos","messages":[{"role":"user","content":"` + prompt + `"}]}`
 			assert.Equal(t, http.StatusOK, call(t, "POST", e.CallersURL()+chatPath, keyQuarry, body).status)
 		}
-		return s.agents[0].seen(offers) - before
+		return s.agents[0].count(offers) - before
 	}
 	require.Eventually(t, func() bool { return send() > 0 }, 3*time.Second, time.Millisecond)
 	table.SetVMs([]platform.VM{
 		{Name: "b1", Role: "backend", State: platform.VMLeaving}, {Name: "e1", Role: "entry", State: platform.VMLive},
 	})
-	said := time.Now()
-	require.Eventually(t, func() bool { return time.Since(said) >= 3*time.Second }, 4*time.Second, 10*time.Millisecond)
+	listedAt := time.Now()
+	require.Eventually(t, func() bool { return time.Since(listedAt) >= 3*time.Second }, 4*time.Second, 10*time.Millisecond)
 	for range 6 {
-		assert.Zero(t, send(), "3 s after the list said that it leaves")
+		assert.Zero(t, send(), "b1 gets no offer 3 s after it was listed as leaving")
 	}
 }
 
-// Story: a workspace's limit of 3 requests a second is shared by the three
-// entries that the platform lists; a tenfold load must not get a tenfold limit.
-func TestALimitIsSharedByTheEntriesOfTheList(t *testing.T) {
+// Guards against each entry granting a workspace's full limit: the entries that
+// the platform lists share it.
+func TestLimitIsSharedByListedEntries(t *testing.T) {
 	table := platformtest.New()
-	s := newSite(t, "b1")
+	s := newDeployment(t, "b1")
 	s.declareWorkspace("small", "k3", "secret-three", &jayv1.Limits{RequestsPerSecond: 3})
 	var vms []platform.VM
 	var entries []*entry.Entry
 	for _, name := range []string{"e1", "e2", "e3"} {
-		e := s.entry(name, with(table))
+		e := s.entry(name, withPlatform(table))
 		entries = append(entries, e)
 		vms = append(vms, platform.VM{Name: name, Role: "entry", Address: e.Address(), State: platform.VMLive})
 	}
@@ -195,16 +193,15 @@
 			assert.NotEmpty(t, r.header.Get("Retry-After"))
 		}
 	}
-	assert.LessOrEqual(t, admitted, 6, "3 for the first second and what the calls' own time allows")
+	assert.LessOrEqual(t, admitted, 6, "3 in the first second, and more for the time that the calls take")
 	assert.Positive(t, refused)
 	assert.Equal(t, http.StatusOK, call(t, "POST", entries[0].CallersURL()+chatPath, keyOther, chatPlain).status)
 }
 
-// Story: entries are replaced one by one under load, each with open streams.
-// A caller whose stream is cut, or whose request meets a closed door, would
-// have to start over.
-func TestAGracefulStopCutsNoRequest(t *testing.T) {
-	s := newSite(t, "b1", "b2")
+// Guards against streams that are truncated, or requests that are refused, while
+// entries are replaced one by one under load.
+func TestGracefulShutdownInterruptsNoRequest(t *testing.T) {
+	s := newDeployment(t, "b1", "b2")
 	for _, a := range s.agents {
 		a.set(func(f *fakeAgent) { f.answer = paced(20, 5*time.Millisecond) })
 	}
@@ -213,15 +210,15 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	var wg sync.WaitGroup
-	var whole, cut atomic.Int64
+	var complete, failed atomic.Int64
 	for range 8 {
 		wg.Go(func() {
 			for ctx.Err() == nil {
 				r := call(t, "POST", current.Load().CallersURL()+chatPath, keyQuarry, chatStream)
 				if r.err == nil && r.status == http.StatusOK && len(texts(r.body)) == 20 {
-					whole.Add(1)
+					complete.Add(1)
 				} else {
-					cut.Add(1)
+					failed.Add(1)
 				}
 			}
 		})
@@ -233,13 +230,13 @@
 	}
 	cancel()
 	wg.Wait()
-	assert.Zero(t, cut.Load())
-	assert.Positive(t, whole.Load())
-	t.Logf("%d streams whole over three replacements, %d cut", whole.Load(), cut.Load())
+	assert.Zero(t, failed.Load())
+	assert.Positive(t, complete.Load())
+	t.Logf("three replacements: %d streams complete, %d truncated or refused", complete.Load(), failed.Load())
 }
 
-func TestStoppingTurnsNotReadyBeforeTheListenerCloses(t *testing.T) {
-	s := newSite(t, "b1")
+func TestShutdownReportsNotReadyBeforeListenerCloses(t *testing.T) {
+	s := newDeployment(t, "b1")
 	e := s.entry("e1", func(settings *entry.Settings) { settings.Timeouts.GraceMS = 300 })
 	stopped := make(chan error, 1)
 	go func() { stopped <- e.Shutdown(context.Background()) }()
@@ -247,12 +244,12 @@
 		return call(t, "GET", e.AdminURL()+"/readyz", "", "").status == http.StatusServiceUnavailable
 	}, time.Second, time.Millisecond)
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatPlain)
-	assert.Equal(t, http.StatusOK, r.status, "the balancer may not have noticed yet")
+	assert.Equal(t, http.StatusOK, r.status, "requests are served until the load balancer has seen the readiness change")
 	require.NoError(t, <-stopped)
 }
 
 func TestMetricsAndDecisionsAreShownByWorkspaceAndClass(t *testing.T) {
-	s := newSite(t, "b1", "b2")
+	s := newDeployment(t, "b1", "b2")
 	e := s.entry("e1")
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
 	call(t, "POST", e.CallersURL()+chatPath, keyQuarry, `{"model":"none","messages":[{}]}`)
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -14,9 +14,9 @@
 	"github.com/jayproxy/jayproxy/internal/entry"
 )
 
-// Story: a caller sends its body a byte an hour. It holds a place that others need.
-func TestASlowBodyIsCutOff(t *testing.T) {
-	s := newSite(t, "b1")
+// Guards against callers that send their body slowly and occupy request slots.
+func TestSlowBodyIsCutOff(t *testing.T) {
+	s := newDeployment(t, "b1")
 	e := s.entry("e1", func(settings *entry.Settings) { settings.Timeouts.CallerReadMS = 100 })
 	reader, writer := io.Pipe()
 	defer func() { _ = writer.Close() }()
@@ -30,31 +30,31 @@
 	assert.Equal(t, http.StatusRequestTimeout, response.StatusCode)
 }
 
-// Story: packets to a server arrive and its answers don't. Offers there must
-// not hold a caller for long, and the work goes elsewhere: it never ran.
-func TestAOneWayCutIsLeftAfterTheOffersWait(t *testing.T) {
-	s := newSite(t, "b1", "b2")
-	silent := make(chan struct{})
-	defer close(silent)
+// An agent that receives offers but never replies delays a request only by the
+// offer timeout; the request then goes to another server.
+func TestSilentAgentIsAbandonedAfterOfferTimeout(t *testing.T) {
+	s := newDeployment(t, "b1", "b2")
+	release := make(chan struct{})
+	defer close(release)
 	s.agents[0].set(func(f *fakeAgent) {
 		f.refuse = func(*jayv1.Offer) *jayv1.OfferReply {
-			<-silent
+			<-release
 			return nil
 		}
 	})
 	e := s.entry("e1", func(settings *entry.Settings) { settings.Timeouts.OfferMS = 150 })
 	offers := func(f *fakeAgent) int { return len(f.offers) }
-	for n := 0; s.agents[0].seen(offers) == 0; n++ {
+	for n := 0; s.agents[0].count(offers) == 0; n++ {
 		require.Less(t, n, 200)
 		began := time.Now()
-		r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, differentPrompt(n))
+		r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, distinctPrompt(n))
 		assert.Equal(t, http.StatusOK, r.status, r.body)
 		assert.Less(t, time.Since(began), 2*time.Second)
 	}
 }
 
-func TestRequestsAtOnceAreBounded(t *testing.T) {
-	s := newSite(t, "b1")
+func TestConcurrentRequestsAreBounded(t *testing.T) {
+	s := newDeployment(t, "b1")
 	release := make(chan struct{})
 	s.agents[0].set(func(f *fakeAgent) {
 		f.answer = func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
@@ -68,14 +68,14 @@
 		wg.Go(func() { call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatPlain) })
 	}
 	require.Eventually(t, func() bool {
-		return s.agents[0].seen(func(f *fakeAgent) int { return len(f.bodies) }) == 2
+		return s.agents[0].count(func(f *fakeAgent) int { return len(f.bodies) }) == 2
 	}, 3*time.Second, time.Millisecond)
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatPlain)
 	assert.Equal(t, http.StatusTooManyRequests, r.status)
 	assert.Equal(t, string(entry.CodeTooManyStreams), errorOf(t, r).Code)
 	wg.Go(func() { call(t, "POST", e.CallersURL()+chatPath, keyOther, chatPlain) })
 	require.Eventually(t, func() bool {
-		return s.agents[0].seen(func(f *fakeAgent) int { return len(f.bodies) }) == 3
+		return s.agents[0].count(func(f *fakeAgent) int { return len(f.bodies) }) == 3
 	}, 3*time.Second, time.Millisecond)
 	r = call(t, "POST", e.CallersURL()+chatPath, keyOther, chatPlain)
 	assert.Equal(t, http.StatusServiceUnavailable, r.status)
--- a/internal/entry/openai_test.go
+++ b/internal/entry/openai_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestAnOpenAIClientGetsAnswersStreamsAndModels(t *testing.T) {
-	s := newSite(t, "b1")
+	s := newDeployment(t, "b1")
 	client := openAIClient(s.entry("e1"), keyQuarry)
 	answer, err := client.Chat.Completions.New(t.Context(), hello("modelos"))
 	require.NoError(t, err)
@@ -46,7 +46,7 @@
 }
 
 func TestAnOpenAIClientGetsTypedErrors(t *testing.T) {
-	s := newSite(t, "b1")
+	s := newDeployment(t, "b1")
 	e := s.entry("e1")
 	var fault *openai.Error
 	_, err := openAIClientOf(e, "jay_k1_wrong").Chat.Completions.New(t.Context(), hello("modelos"))
@@ -70,7 +70,7 @@
 		chunks++
 	}
 	assert.Equal(t, 1, chunks)
-	require.ErrorContains(t, stream.Err(), string(entry.CodeStreamBroken), "a cut answer is never taken for a whole one")
+	require.ErrorContains(t, stream.Err(), string(entry.CodeStreamBroken), "a truncated answer must be reported as an error")
 }
 
 func openAIClientOf(e *entry.Entry, key string) *openai.Client {
--- a/internal/entry/operators_test.go
+++ b/internal/entry/operators_test.go
@@ -29,8 +29,8 @@
 
 const inForceWithin = 5 * time.Second
 
-// controlNode is the control part of one process: link, spread and, at an
-// entry, the operators' listener.
+// controlNode is the control part of one process: transport, spread and, for an
+// entry, the operators' server.
 type controlNode struct {
 	holder    *catalog.Holder
 	node      *transport.Node
@@ -38,7 +38,7 @@
 	operators *operatorServer
 }
 
-// controlPlane makes the control parts of processes over one platform.
+// controlPlane starts the control parts of processes on one platform.
 type controlPlane struct {
 	t         *testing.T
 	authority *keys.Authority
@@ -106,7 +106,7 @@
 	_ = n.node.Close()
 }
 
-// jayctl runs the command line as the named person.
+// jayctl runs the command line with the keys of one operator.
 func (p *controlPlane) jayctl(keysDir string, entries []*controlNode, args ...string) (code int, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	for _, entry := range entries {
@@ -155,8 +155,8 @@
 	}
 }
 
-// An operator applies at one entry of three; the change must be in force at
-// every entry and at the agent within the promised time, and show in status.
+// A change applied at one of three entries must be in force at every entry and
+// agent within inForceWithin, and be shown by status.
 func TestAppliedDeclarationsAreInForceEverywhere(t *testing.T) {
 	p := newControlPlane(t)
 	a, b, c := p.start(keys.RoleEntry, "entry-1", true), p.start(keys.RoleEntry, "entry-2", true), p.start(keys.RoleEntry, "entry-3", true)
@@ -208,7 +208,7 @@
 	assert.Equal(t, ctl.ExitRefused, code)
 	assert.Contains(t, errs, "role viewer may not call")
 	code, _, _ = p.jayctl(agentKeys, []*controlNode{a}, "list")
-	assert.Equal(t, ctl.ExitUnreachable, code, "an agent's certificate gets in nowhere here")
+	assert.Equal(t, ctl.ExitUnreachable, code, "an agent's certificate is not accepted")
 	code, _, errs = p.jayctl(ana, []*controlNode{dead, a}, "apply", dir)
 	assert.Equal(t, ctl.ExitOK, code, errs)
 	code, _, _ = p.jayctl(ana, []*controlNode{dead}, "list")
@@ -223,9 +223,8 @@
 	assert.Equal(t, ctl.ExitUsage, code)
 }
 
-// The platform is down for long and an entry VM is replaced meanwhile. The new
-// entry knows one address; it must serve by the newest configuration that its
-// peers have, and refuse changes as unavailable or unknown, never as accepted.
+// An entry that starts while the platform is down must serve the newest
+// configuration of its peers and must not accept changes.
 func TestEntryThatStartsInAnOutageAdoptsFromPeers(t *testing.T) {
 	p := newControlPlane(t)
 	a := p.start(keys.RoleEntry, "entry-1", true)
@@ -248,9 +247,8 @@
 	requireInForce(t, 2, a, b, agent)
 }
 
-// An operator watches while others change things; the entry that serves the
-// watch goes away. No change may be missing or shown twice.
-func TestWatchGoesOnAtAnotherEntry(t *testing.T) {
+// A watch that continues at another entry must not miss or repeat a change.
+func TestWatchContinuesAtAnotherEntry(t *testing.T) {
 	p := newControlPlane(t)
 	a, b := p.start(keys.RoleEntry, "entry-1", true), p.start(keys.RoleEntry, "entry-2", true)
 	ana := p.keysOf(keys.Identity{Role: keys.RoleOperator, Name: "ana"})
@@ -277,7 +275,7 @@
 	assert.Equal(t, ctl.ExitOK, <-done)
 }
 
-// lockedBuffer is written by the command and read by the test.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/internal/entry/picker.go
+++ b/internal/entry/picker.go
@@ -32,14 +32,14 @@
 	p := &picker{members: membership.New(membership.DefaultSettings()), listed: map[string]platform.VM{}}
 	p.router = routing.New(routing.Options{
 		Policy: settings.Policy, DataCentre: settings.DataCentre, Region: settings.Region,
-		// Entries draw different random candidates.
+		// The seed only varies the random candidates between entries.
 		Seed: xxh3.HashString(settings.Name), Membership: p.members,
 	})
 	return p
 }
 
 // next chooses the backend server that the work is offered to next.
-func (p *picker) next(now time.Time, table *catalog.Table, w *work, tries []routing.Tried) (routing.Decision, error) {
+func (p *picker) next(now time.Time, table *catalog.Table, w *work, tried []routing.Tried) (routing.Decision, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.adopt(now, table)
@@ -48,7 +48,7 @@
 		set = setOf(w.target(), w.servers(p.table))
 		p.sets[w.target()] = set
 	}
-	return p.router.Choose(now, w.route, w.policy, set, tries)
+	return p.router.Choose(now, w.route, w.policy, set, tried)
 }
 
 // adopt applies the backend servers of a newer generation. An older one is
@@ -185,7 +185,7 @@
 	p.members.VMs(now, list)
 }
 
-// entries returns the number of live entries in the platform's list.
+// liveEntries returns the number of live entries in the platform's list.
 func (p *picker) liveEntries() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,13 +198,13 @@
 	return n
 }
 
-func (p *picker) receiveUpdate(now time.Time, news []*jayv1.MemberNews) {
+func (p *picker) receive(now time.Time, updates []*jayv1.MemberNews) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.members.News(now, news)
+	p.members.News(now, updates)
 }
 
-func (p *picker) update(now time.Time) []*jayv1.MemberNews {
+func (p *picker) digest(now time.Time) []*jayv1.MemberNews {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.members.Tell(now)
--- a/internal/entry/prune_test.go
+++ b/internal/entry/prune_test.go
@@ -14,9 +14,8 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// Every caller of a deployment is refused within seconds. An operator applied
-// a folder that holds one new workspace only; what it does not declare, which
-// is everything else, was deleted with it.
+// Guards against an apply of a folder with one workspace that deletes all
+// undeclared resources without an explicit --prune.
 func TestAFolderWithOneWorkspaceDoesNotDeleteTheRest(t *testing.T) {
 	p := newControlPlane(t)
 	a := p.start(keys.RoleEntry, "entry-1", true)
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -107,7 +107,7 @@
 	return last + 1, err == nil && last+1 != 0
 }
 
-// resumed returns the result of a resumed stream.
+// resumeResult returns the result of a resumed stream.
 //
 // "No such stream" is final for the caller, so it is returned only when the agent
 // reports that it does not have the stream. An agent that does not respond may
@@ -131,7 +131,7 @@
 	return r
 }
 
-// notReached returns the error for a stream that may exist but can't be reached
+// streamNotReached returns the error for a stream that may exist but can't be reached
 // from this entry at present.
 func streamNotReached(message string) *Error {
 	e := refuseTemporarily(http.StatusServiceUnavailable, CodeStreamNotReached, message, 0)
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -14,7 +14,7 @@
 )
 
 // serve checks the limits, hands the work off and completes the answer.
-func (e *Entry) serve(c echo.Context, w *work, tokens float64, open func(*caller) finisher) error {
+func (e *Entry) serve(c echo.Context, w *work, tokens float64, newSink func(*caller) finisher) error {
 	leave, refusal := e.enter(w.workspace, tokens)
 	if refusal != nil {
 		return refusal
@@ -35,7 +35,7 @@
 	}
 	client := newCaller(c.Response(), w.id, ms(e.settings.Timeouts.CallerWriteMS))
 	client.onToken = e.tokenMeter(w)
-	to := open(client)
+	to := newSink(client)
 	r := e.handOff(ctx, w, to)
 	e.recordResult(w, r)
 	e.recordMetrics(w, r)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -78,7 +78,7 @@
 		reader: request.Body, control: http.NewResponseController(c.Response()),
 		timeout: ms(e.settings.Timeouts.CallerReadMS),
 	}
-	bounded := &boundedReader{from: timed, remaining: e.settings.Limits.BodyBytes}
+	bounded := &boundedReader{reader: timed, remaining: e.settings.Limits.BodyBytes}
 	return newStreamedBody(bounded, e.settings.Limits.KeptBodyBytes)
 }
 
--- a/internal/entry/service_test.go
+++ b/internal/entry/service_test.go
@@ -19,10 +19,11 @@
 
 const confirmPath = "/services/reservas/confirm"
 
-// serviceSite has one agent beside a plain service and a platform in memory.
-func serviceSite(t *testing.T) (*site, *fakeAgent, *platformtest.Memory) {
+// serviceDeployment returns a deployment with one agent of a plain service, that
+// agent and a platform in memory.
+func serviceDeployment(t *testing.T) (*deployment, *fakeAgent, *platformtest.Memory) {
 	t.Helper()
-	s := newSite(t)
+	s := newDeployment(t)
 	agent := s.addAgent("r1", "", "reservas")
 	head := &jayv1.ServiceHead{Status: 201, Headers: []*jayv1.Header{
 		{Name: "X-Booking", Value: "17"}, {Name: "X-Jay-Outcome", Value: "forged"}, {Name: "Connection", Value: "close"},
@@ -31,15 +32,15 @@
 	return s, agent, platformtest.New()
 }
 
-func with(p platform.Platform) func(*entry.Settings) {
+func withPlatform(p platform.Platform) func(*entry.Settings) {
 	return func(s *entry.Settings) {
 		s.Platform = p
 		s.Ledger.SettleMS = 400
 	}
 }
 
-func TestAServiceCallPassesBothWays(t *testing.T) {
-	s, agent, _ := serviceSite(t)
+func TestServiceCallForwardsRequestAndResponse(t *testing.T) {
+	s, agent, _ := serviceDeployment(t)
 	scripted := func(_ *jayv1.Offer, body []byte, emit func(string)) *jayv1.End {
 		for piece := range strings.SplitSeq(string(body), " ") {
 			emit(piece + ".")
@@ -63,18 +64,18 @@
 	}
 	assert.Equal(t, "kept", names["X-Own"])
 	assert.NotContains(t, names, "X-Drop")
-	assert.NotContains(t, names, "Authorization", "the caller's key stays here")
+	assert.NotContains(t, names, "Authorization", "the caller's API key is not forwarded")
 }
 
-// Story: a caller confirms a booking, the answer is lost on its way back, and
-// the caller sends it again with the same key, through other entries at once.
-func TestOneKeyRunsOnceThroughAllEntries(t *testing.T) {
-	s, agent, table := serviceSite(t)
+// Guards against a call that runs twice when it is repeated with the same
+// idempotency key through several entries at once.
+func TestIdempotencyKeyRunsOnceAcrossEntries(t *testing.T) {
+	s, agent, table := serviceDeployment(t)
 	agent.set(func(f *fakeAgent) { f.answer = paced(1, 30*time.Millisecond) })
-	entries := []*entry.Entry{s.entry("e1", with(table)), s.entry("e2", with(table)), s.entry("e3", with(table))}
+	entries := []*entry.Entry{s.entry("e1", withPlatform(table)), s.entry("e2", withPlatform(table)), s.entry("e3", withPlatform(table))}
 	var mu sync.Mutex
 	statuses := map[int]int{}
-	var winner, named string
+	var winner, duplicateOf string
 	var wg sync.WaitGroup
 	for i := range 30 {
 		wg.Go(func() {
@@ -85,43 +86,42 @@
 			if r.status == 201 {
 				winner = r.header.Get(entry.HeaderRequestID)
 			} else {
-				named = errorOf(t, r).RequestID
+				duplicateOf = errorOf(t, r).RequestID
 			}
 		})
 	}
 	wg.Wait()
 	assert.Equal(t, map[int]int{201: 1, 409: 29}, statuses)
-	assert.Equal(t, winner, named, "a duplicate is told of the first request")
-	assert.Equal(t, 1, agent.ran(winner))
-	assert.Equal(t, 1, agent.seen(func(f *fakeAgent) int { return len(f.runs) }))
+	assert.Equal(t, winner, duplicateOf, "a duplicate's error names the first request")
+	assert.Equal(t, 1, agent.runCount(winner))
+	assert.Equal(t, 1, agent.count(func(f *fakeAgent) int { return len(f.runs) }))
 	require.Eventually(t, func() bool {
 		r := call(t, "POST", entries[2].CallersURL()+confirmPath, keyQuarry, "b", entry.HeaderIdempotencyKey, "booking-9")
 		return r.status == 409 && errorOf(t, r).Outcome == "done"
 	}, time.Second, 5*time.Millisecond)
 }
 
-// Story: the platform's table is down. A confirmation that went ahead could
-// not be told from its repetition later; it is refused, and truly did not run.
-func TestWithoutTheTableACallThatMayRunOnceIsRefused(t *testing.T) {
-	s, agent, table := serviceSite(t)
+// Without the platform's table no claim can be taken, so a call that may run at
+// most once must be refused without running.
+func TestAtMostOnceCallIsRefusedWithoutTable(t *testing.T) {
+	s, agent, table := serviceDeployment(t)
 	table.SetDown(true)
-	e := s.entry("e1", with(table))
+	e := s.entry("e1", withPlatform(table))
 	r := call(t, "POST", e.CallersURL()+confirmPath, keyQuarry, "b", entry.HeaderIdempotencyKey, "k")
 	assert.Equal(t, http.StatusServiceUnavailable, r.status)
 	assert.Equal(t, "2", r.header.Get("Retry-After"))
 	got := errorOf(t, r)
 	assert.Equal(t, string(entry.CodeClaimsUnavailable), got.Code)
 	assert.Equal(t, "not_run", got.Outcome)
-	assert.Zero(t, agent.seen(func(f *fakeAgent) int { return len(f.offers) }))
+	assert.Zero(t, agent.count(func(f *fakeAgent) int { return len(f.offers) }))
 	r = call(t, "POST", e.CallersURL()+"/services/reservas/other", keyQuarry, "b")
-	assert.Equal(t, 201, r.status, "calls that need no claim go on")
+	assert.Equal(t, 201, r.status, "calls that need no claim are served")
 }
 
-// Story: the backend server refuses the call as it shuts down, which proves
-// that it did not run. The caller is told so and repeats it with its key; its
-// own earlier claim must not stand in its way.
-func TestAKeyIsFreeAgainAfterAProvenRefusal(t *testing.T) {
-	s, agent, table := serviceSite(t)
+// A call that was refused and did not run releases its claim, so that the caller
+// can repeat it with the same key.
+func TestRefusedCallReleasesItsKey(t *testing.T) {
+	s, agent, table := serviceDeployment(t)
 	refusing := true
 	scripted := func(*jayv1.Offer) *jayv1.OfferReply {
 		agent.mu.Lock()
@@ -132,7 +132,7 @@
 		return nil
 	}
 	agent.set(func(f *fakeAgent) { f.refuse = scripted })
-	e := s.entry("e1", with(table))
+	e := s.entry("e1", withPlatform(table))
 	r := call(t, "POST", e.CallersURL()+confirmPath, keyQuarry, "b", entry.HeaderIdempotencyKey, "k")
 	assert.Equal(t, http.StatusServiceUnavailable, r.status)
 	assert.Equal(t, "not_run", r.header.Get(entry.HeaderOutcome))
@@ -142,23 +142,22 @@
 	assert.Equal(t, 201, r.status, r.body)
 }
 
-// Story: the link is cut after the whole call was handed over and cannot be
-// resumed: the booking may stand. A second try could book twice, "not run"
-// could be a lie. Only "unknown" is true, and the key stays claimed.
-func TestACallThatWasHandedOverAndLostIsUnknownAndNeverRepeated(t *testing.T) {
+// A call whose link is lost after the handoff and can't be resumed may have run:
+// its outcome is unknown, it is not repeated, and its key stays claimed.
+func TestLostCallIsUnknownAndNotRepeated(t *testing.T) {
 	for _, key := range []string{"k", ""} {
-		s, agent, table := serviceSite(t)
+		s, agent, table := serviceDeployment(t)
 		other := s.addAgent("r2", "", "reservas")
 		for _, a := range []*fakeAgent{agent, other} {
 			a.set(func(f *fakeAgent) { f.forget, f.cuts = true, 1 })
 		}
-		e := s.entry("e1", with(table))
+		e := s.entry("e1", withPlatform(table))
 		r := call(t, "POST", e.CallersURL()+confirmPath, keyQuarry, "b", entry.HeaderIdempotencyKey, key)
 		assert.Equal(t, http.StatusBadGateway, r.status, r.body)
 		assert.Equal(t, "unknown", errorOf(t, r).Outcome)
 		assert.Equal(t, "false", r.header.Get("X-Should-Retry"))
 		runs := func(f *fakeAgent) int { return len(f.runs) }
-		assert.Equal(t, 1, agent.seen(runs)+other.seen(runs))
+		assert.Equal(t, 1, agent.count(runs)+other.count(runs))
 		if key != "" {
 			r = call(t, "POST", e.CallersURL()+confirmPath, keyQuarry, "b", entry.HeaderIdempotencyKey, key)
 			assert.Equal(t, http.StatusConflict, r.status)
@@ -166,18 +165,18 @@
 	}
 }
 
-// Story: the link breaks while the body is on its way. Nothing can have run,
-// so the call goes to another backend server by itself.
-func TestALinkLostBeforeTheBodysEndIsProvenNotRun(t *testing.T) {
-	s, agent, table := serviceSite(t)
+// A call whose link is lost before the end of its body did not run, so it is
+// retried on another backend server.
+func TestLinkLostBeforeEndOfBodyIsNotRun(t *testing.T) {
+	s, agent, table := serviceDeployment(t)
 	other := s.addAgent("r2", "", "reservas")
 	s.addAgent("r3", "", "reservas")
 	agent.set(func(f *fakeAgent) { f.cutBody = 2 })
 	other.set(func(f *fakeAgent) { f.cutBody = 2 })
-	e := s.entry("e1", with(table))
+	e := s.entry("e1", withPlatform(table))
 	cutsLeft := func(f *fakeAgent) int { return f.cutBody }
 	retried := false
-	for n := 0; agent.seen(cutsLeft)+other.seen(cutsLeft) > 0; n++ {
+	for n := 0; agent.count(cutsLeft)+other.count(cutsLeft) > 0; n++ {
 		require.Less(t, n, 200)
 		r := call(t, "POST", e.CallersURL()+confirmPath, keyQuarry, strings.Repeat("b", 300<<10), entry.HeaderIdempotencyKey, strconv.Itoa(n))
 		require.Contains(t, []int{200, 201}, r.status, r.body)
@@ -185,56 +184,55 @@
 		id := r.header.Get(entry.HeaderRequestID)
 		ran := 0
 		for _, a := range s.agents {
-			ran += a.ran(id)
+			ran += a.runCount(id)
 		}
 		require.Equal(t, 1, ran)
 	}
 	assert.True(t, retried)
 }
 
-// Story: an agent takes a call that has no body, and the link breaks before its
-// word gets back. Were the call handed over with the offer, it would run there
-// and, called not run, once more elsewhere.
-func TestALostAcceptanceOfACallWithoutBodyIsProvenNotRun(t *testing.T) {
-	s, agent, table := serviceSite(t)
+// Guards against a call without a body that runs twice because the link is lost
+// before the agent's acceptance arrives.
+func TestLostAcceptanceWithoutBodyIsNotRun(t *testing.T) {
+	s, agent, table := serviceDeployment(t)
 	other := s.addAgent("r2", "", "reservas")
 	agent.set(func(f *fakeAgent) { f.cutReply = 1 })
 	other.set(func(f *fakeAgent) { f.cutReply = 1 })
 	s.addAgent("r3", "", "reservas")
-	e := s.entry("e1", with(table))
+	e := s.entry("e1", withPlatform(table))
 	cutsLeft := func(f *fakeAgent) int { return f.cutReply }
-	for n := 0; agent.seen(cutsLeft)+other.seen(cutsLeft) > 0; n++ {
+	for n := 0; agent.count(cutsLeft)+other.count(cutsLeft) > 0; n++ {
 		require.Less(t, n, 200)
 		r := call(t, "POST", e.CallersURL()+confirmPath, keyQuarry, "", entry.HeaderIdempotencyKey, strconv.Itoa(n))
 		require.Contains(t, []int{200, 201}, r.status, r.body)
 		id := r.header.Get(entry.HeaderRequestID)
 		ran := 0
 		for _, a := range s.agents {
-			ran += a.ran(id)
+			ran += a.runCount(id)
 		}
 		require.Equal(t, 1, ran)
 	}
 }
 
-func TestACallWithoutAKeyGetsOneAttempt(t *testing.T) {
-	s, agent, table := serviceSite(t)
+func TestAtMostOnceCallWithoutKeyGetsOneAttempt(t *testing.T) {
+	s, agent, table := serviceDeployment(t)
 	other := s.addAgent("r2", "", "reservas")
 	full := func(*jayv1.Offer) *jayv1.OfferReply {
 		return &jayv1.OfferReply{Refusal: jayv1.Refusal_REFUSAL_QUEUE_FULL}
 	}
 	agent.set(func(f *fakeAgent) { f.refuse = full })
 	other.set(func(f *fakeAgent) { f.refuse = full })
-	e := s.entry("e1", with(table))
+	e := s.entry("e1", withPlatform(table))
 	r := call(t, "POST", e.CallersURL()+confirmPath, keyQuarry, "b")
 	assert.Equal(t, http.StatusServiceUnavailable, r.status)
 	assert.Equal(t, "1", r.header.Get(entry.HeaderAttempts))
 	assert.Equal(t, "not_run", errorOf(t, r).Outcome)
 }
 
-// Story: a caller hangs up while its booking is being made. Broken off, it
-// would be of unknown outcome; carried through, its key tells that it is done.
-func TestABookingIsCarriedThroughWhenItsCallerHangsUp(t *testing.T) {
-	s, agent, table := serviceSite(t)
+// A call that may run at most once continues when its caller disconnects, so that
+// its outcome is known.
+func TestAtMostOnceCallContinuesAfterDisconnect(t *testing.T) {
+	s, agent, table := serviceDeployment(t)
 	started, finish := make(chan struct{}), make(chan struct{})
 	scripted := func(_ *jayv1.Offer, _ []byte, emit func(string)) *jayv1.End {
 		emit("begun")
@@ -244,7 +242,7 @@
 		return done()
 	}
 	agent.set(func(f *fakeAgent) { f.answer = scripted })
-	e := s.entry("e1", with(table))
+	e := s.entry("e1", withPlatform(table))
 	response := open(t, "POST", e.CallersURL()+confirmPath, keyQuarry, "b", entry.HeaderIdempotencyKey, "k")
 	<-started
 	require.NoError(t, response.Body.Close())
@@ -253,15 +251,14 @@
 		r := call(t, "POST", e.CallersURL()+confirmPath, keyQuarry, "b", entry.HeaderIdempotencyKey, "k")
 		return r.status == 409 && errorOf(t, r).Outcome == "done"
 	}, 2*time.Second, 5*time.Millisecond)
-	assert.Zero(t, agent.seen(func(f *fakeAgent) int { return f.cancels }))
+	assert.Zero(t, agent.count(func(f *fakeAgent) int { return f.cancels }))
 }
 
-// Story: a caller, or a library on its way, writes the path of a booking in
-// another form. Matched as written it passes for a call that may be repeated,
-// and the service, which decodes it, books without a claim.
-func TestACallThatMayRunOnceIsKnownInEveryFormOfItsPath(t *testing.T) {
-	s, agent, table := serviceSite(t)
-	e := s.entry("e1", with(table))
+// Guards against a call that avoids its at-most-once rule through another
+// spelling of its path that the service treats as the same.
+func TestAtMostOnceRuleMatchesEverySpellingOfPath(t *testing.T) {
+	s, agent, table := serviceDeployment(t)
+	e := s.entry("e1", withPlatform(table))
 	for n, path := range []string{"/confirm", "/%63onfirm", "/confirm/", "/confirm/9", "/confirm%2F9", "/confirm;v=1", "/confirm?x=/other"} {
 		r := call(t, "POST", e.CallersURL()+"/services/reservas"+path, keyQuarry, "b", entry.HeaderIdempotencyKey, strconv.Itoa(n))
 		assert.Equal(t, 201, r.status, "%s: %s", path, r.body)
@@ -270,7 +267,7 @@
 	for _, path := range []string{"//confirm", "/x/../confirm", "/x/%2e%2e/confirm", "/./confirm", "/x%2F..%2Fconfirm"} {
 		request, err := http.NewRequestWithContext(t.Context(), "POST", e.CallersURL(), strings.NewReader("b"))
 		require.NoError(t, err)
-		request.URL.Opaque = "/services/reservas" + path // as written
+		request.URL.Opaque = "/services/reservas" + path // sent unescaped
 		request.Header.Set("Authorization", "Bearer "+keyQuarry)
 		response, err := http.DefaultClient.Do(request)
 		require.NoError(t, err)
@@ -282,9 +279,9 @@
 	assert.False(t, agent.last().GetNonRepeatable())
 }
 
-func TestALongServiceBodyIsBounded(t *testing.T) {
-	s, agent, table := serviceSite(t)
-	e := s.entry("e1", with(table), func(settings *entry.Settings) { settings.Limits.BodyBytes = 100 << 10 })
+func TestServiceBodyIsBounded(t *testing.T) {
+	s, agent, table := serviceDeployment(t)
+	e := s.entry("e1", withPlatform(table), func(settings *entry.Settings) { settings.Limits.BodyBytes = 100 << 10 })
 	reader := struct{ *strings.Reader }{strings.NewReader(strings.Repeat("x", 200<<10))}
 	request, err := http.NewRequestWithContext(t.Context(), "POST", e.CallersURL()+"/services/reservas/x", reader)
 	require.NoError(t, err)
@@ -293,5 +290,5 @@
 	require.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	assert.Equal(t, http.StatusRequestEntityTooLarge, response.StatusCode)
-	assert.Zero(t, agent.seen(func(f *fakeAgent) int { return len(f.runs) }))
+	assert.Zero(t, agent.count(func(f *fakeAgent) int { return len(f.runs) }))
 }
--- a/internal/entry/sinks.go
+++ b/internal/entry/sinks.go
@@ -21,8 +21,8 @@
 	id           string
 	attempts     uint32
 	started      bool
-	first        time.Time
-	last         time.Time
+	firstChunkAt time.Time
+	lastChunkAt  time.Time
 	onToken      func(now time.Time, sincePrevious time.Duration)
 }
 
@@ -61,12 +61,12 @@
 func (c *caller) token() {
 	now := time.Now()
 	since := time.Duration(0)
-	if c.first.IsZero() {
-		c.first = now
+	if c.firstChunkAt.IsZero() {
+		c.firstChunkAt = now
 	} else {
-		since = now.Sub(c.last)
+		since = now.Sub(c.lastChunkAt)
 	}
-	c.last = now
+	c.lastChunkAt = now
 	if c.onToken != nil {
 		c.onToken(now, since)
 	}
--- a/internal/entry/site_test.go
+++ b/internal/entry/site_test.go
@@ -23,19 +23,20 @@
 	keyOther  = "jay_k2_secret-two"
 )
 
-// site is an authority, agents and the catalog that declares them.
-type site struct {
+// deployment is a certificate authority, agents and the catalog that declares
+// them.
+type deployment struct {
 	t         *testing.T
 	authority *keys.Authority
 	agents    []*fakeAgent
 	resources []*jayv1.Resource
 }
 
-func newSite(t *testing.T, agents ...string) *site {
+func newDeployment(t *testing.T, agents ...string) *deployment {
 	t.Helper()
 	authority, err := keys.NewAuthority(time.Hour)
 	require.NoError(t, err)
-	s := &site{t: t, authority: authority}
+	s := &deployment{t: t, authority: authority}
 	s.declareWorkspace("quarry", "k1", "secret-one", nil)
 	s.declareWorkspace("other", "k2", "secret-two", nil)
 	s.resources = append(s.resources,
@@ -52,14 +53,14 @@
 	return s
 }
 
-func (s *site) declareWorkspace(name, id, secret string, limits *jayv1.Limits) {
+func (s *deployment) declareWorkspace(name, id, secret string, limits *jayv1.Limits) {
 	salt := []byte("salt-of-" + id)
 	s.resources = append(s.resources, &jayv1.Resource{Kind: &jayv1.Resource_Workspace{Workspace: &jayv1.Workspace{
 		Name: name, Limits: limits, Keys: []*jayv1.ApiKey{{Id: id, Salt: salt, Hash: catalog.HashSecret(salt, secret)}},
 	}}})
 }
 
-func (s *site) addAgent(name, pool, service string) *fakeAgent {
+func (s *deployment) addAgent(name, pool, service string) *fakeAgent {
 	s.t.Helper()
 	agent := newFakeAgent(s.t, s.authority, name)
 	s.agents = append(s.agents, agent)
@@ -69,8 +70,8 @@
 	return agent
 }
 
-// entry starts an entry that serves the site's catalog.
-func (s *site) entry(name string, change ...func(*entry.Settings)) *entry.Entry {
+// entry starts an entry that serves the deployment's catalog.
+func (s *deployment) entry(name string, change ...func(*entry.Settings)) *entry.Entry {
 	s.t.Helper()
 	settings := entry.Default()
 	settings.DataCentre, settings.Region = "sala-a", "norte"
@@ -103,7 +104,7 @@
 	return creds
 }
 
-// reply is an answer read whole.
+// reply is a response that was read to its end.
 type reply struct {
 	status  int
 	header  http.Header
@@ -141,7 +142,7 @@
 	chatStream = `{"model":"modelos","stream":true,"messages":[{"role":"system","content":"rules"},{"role":"user","content":"hello"}]}`
 )
 
-// texts returns the contents of a stream's chunks, in order.
+// texts returns the content texts of a stream's chunks, in order.
 func texts(body string) []string {
 	var all []string
 	scanner := bufio.NewScanner(strings.NewReader(body))
--- a/internal/entry/startup.go
+++ b/internal/entry/startup.go
@@ -73,7 +73,7 @@
 	}
 	waited := time.Since(arrived)
 	e.metrics.Time(metricWarmupWait, e.settings.Name, waited)
-	klog.V(1).InfoS("request before the first configuration", "request", id, "waited", waited,
+	klog.V(1).InfoS("request received before the first configuration", "request", id, "waited", waited,
 		"served", verdict == warmup.Serve, "full", verdict == warmup.TurnAwayFull)
 	if verdict == warmup.Serve {
 		return e.holder.Current(), nil
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -17,11 +17,10 @@
 	"github.com/jayproxy/jayproxy/internal/entry"
 )
 
-// Story: a foreman reads an answer as it is written. The link between entry
-// and agent breaks in the middle, several times. Without resume he would see
-// half a sentence; with a resume at the wrong place a word twice.
-func TestALinkLostInMidStreamLosesAndDoublesNothing(t *testing.T) {
-	s := newSite(t, "b1")
+// Guards against lost or duplicate chunks when the link between entry and agent
+// is lost several times during a stream.
+func TestLinkLossNeitherDropsNorDuplicatesChunks(t *testing.T) {
+	s := newDeployment(t, "b1")
 	s.agents[0].set(func(f *fakeAgent) { f.answer = tokens(20) })
 	s.agents[0].set(func(f *fakeAgent) { f.cutAfter, f.cuts = 4, 5 })
 	e := s.entry("e1")
@@ -32,18 +31,17 @@
 		want = append(want, fmt.Sprintf("t%d ", i))
 	}
 	assert.Equal(t, want, texts(r.body))
-	assert.Equal(t, 5, s.agents[0].seen(func(f *fakeAgent) int { return f.resumes }))
-	assert.Equal(t, 1, s.agents[0].ran(r.header.Get(entry.HeaderRequestID)))
+	assert.Equal(t, 5, s.agents[0].count(func(f *fakeAgent) int { return f.resumes }))
+	assert.Equal(t, 1, s.agents[0].runCount(r.header.Get(entry.HeaderRequestID)))
 	assert.True(t, strings.HasSuffix(r.body, "data: [DONE]\n\n"))
 }
 
-// Story: the engine dies after a few words and nothing can bring the rest.
-// A stream that just ended would look like a complete, short answer.
-func TestAStreamThatCannotBeCompletedEndsInAnErrorEvent(t *testing.T) {
-	s := newSite(t, "b1")
+// Guards against a truncated stream that looks like a complete, short answer.
+func TestTruncatedStreamEndsWithErrorEvent(t *testing.T) {
+	s := newDeployment(t, "b1")
 	scripted := func(_ *jayv1.Offer, _ []byte, emit func(string)) *jayv1.End {
 		emit(`{"choices":[{"delta":{"content":"half"}}]}`)
-		return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine broke"}
+		return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine failed"}
 	}
 	s.agents[0].set(func(f *fakeAgent) { f.answer = scripted })
 	e := s.entry("e1")
@@ -56,11 +54,10 @@
 	assert.Equal(t, "unknown", r.trailer.Get(entry.HeaderOutcome))
 }
 
-// Story: the agent says that an answer is complete but its tail never came.
-// Counted chunks show it, and a resume that brings nothing must not hold the
-// caller for ever.
-func TestAnAnswerThatLacksItsTailIsNotCalledDone(t *testing.T) {
-	s := newSite(t, "b1")
+// An answer with fewer chunks than its End frame counts is not complete, and
+// resumes that bring no further chunk must end.
+func TestAnswerWithMissingChunksIsNotComplete(t *testing.T) {
+	s := newDeployment(t, "b1")
 	s.agents[0].set(func(f *fakeAgent) { f.wrongCount = 1 })
 	e := s.entry("e1")
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
@@ -68,8 +65,8 @@
 	assert.NotContains(t, r.body, "[DONE]")
 }
 
-func TestACallerThatGoesAwayFreesTheSlot(t *testing.T) {
-	s := newSite(t, "b1")
+func TestDisconnectCancelsRequest(t *testing.T) {
+	s := newDeployment(t, "b1")
 	s.agents[0].set(func(f *fakeAgent) { f.answer = paced(1000, 5*time.Millisecond) })
 	e := s.entry("e1")
 	response := open(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
@@ -77,15 +74,14 @@
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
 	require.Eventually(t, func() bool {
-		return s.agents[0].seen(func(f *fakeAgent) int { return f.cancels }) == 1
+		return s.agents[0].count(func(f *fakeAgent) int { return f.cancels }) == 1
 	}, 3*time.Second, 5*time.Millisecond)
 }
 
-// Story: a caller's connection breaks and the balancer brings it to another
-// entry. With its token and the last event it saw it gets the rest; with
-// another workspace's key it must learn nothing, not even that the stream exists.
-func TestACallerResumesAtAnotherEntry(t *testing.T) {
-	s := newSite(t, "b1")
+// A caller can resume its stream at another entry. With the key of another
+// workspace the stream must appear not to exist.
+func TestStreamResumesAtAnotherEntry(t *testing.T) {
+	s := newDeployment(t, "b1")
 	s.agents[0].set(func(f *fakeAgent) { f.answer = paced(40, 2*time.Millisecond) })
 	first, second := s.entry("e1"), s.entry("e2")
 	response := open(t, "POST", first.CallersURL()+chatPath, keyQuarry, chatStream, entry.HeaderResume, "keep")
@@ -93,9 +89,9 @@
 	seen := readEvents(t, response, 5)
 	require.NoError(t, response.Body.Close())
 
-	stranger := call(t, "GET", second.CallersURL()+"/v1/streams/"+token, keyOther, "", "Last-Event-ID", "4")
-	assert.Equal(t, http.StatusNotFound, stranger.status)
-	assert.Equal(t, string(entry.CodeStreamNotFound), errorOf(t, stranger).Code)
+	otherWorkspace := call(t, "GET", second.CallersURL()+"/v1/streams/"+token, keyOther, "", "Last-Event-ID", "4")
+	assert.Equal(t, http.StatusNotFound, otherWorkspace.status)
+	assert.Equal(t, string(entry.CodeStreamNotFound), errorOf(t, otherWorkspace).Code)
 
 	rest := call(t, "GET", second.CallersURL()+"/v1/streams/"+token, keyQuarry, "", "Last-Event-ID", "4")
 	require.Equal(t, http.StatusOK, rest.status, rest.body)
@@ -106,16 +102,15 @@
 	}
 	assert.Contains(t, rest.body, "id: 5\n")
 	assert.True(t, strings.HasSuffix(rest.body, "data: [DONE]\n\n"))
-	assert.Zero(t, s.agents[0].seen(func(f *fakeAgent) int { return f.cancels }))
+	assert.Zero(t, s.agents[0].count(func(f *fakeAgent) int { return f.cancels }))
 }
 
-// Story: an entry has passed a whole answer on to the caller's connection and
-// let the agent forget it, but the connection broke and the caller has seen
-// five words. What was written to a connection is not what was read from it.
-func TestACallerResumesAnAnswerThatWasPassedOnWhole(t *testing.T) {
-	const words = 200
-	s := newSite(t, "b1")
-	s.agents[0].set(func(f *fakeAgent) { f.answer = tokens(words) })
+// Guards against an agent that discards an answer once it was written to the
+// caller's connection: the caller may have received only a part of it.
+func TestStreamResumesAfterCompleteRelay(t *testing.T) {
+	const chunks = 200
+	s := newDeployment(t, "b1")
+	s.agents[0].set(func(f *fakeAgent) { f.answer = tokens(chunks) })
 	e := s.entry("e1")
 	response := open(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream, entry.HeaderResume, "keep")
 	token := response.Header.Get(entry.HeaderResumeToken)
@@ -128,7 +123,7 @@
 	assert.Equal(t, texts(string(all)), append(seen, texts(rest.body)...))
 }
 
-// readEvents reads the texts of the first n events.
+// readEvents reads the first n events and returns their texts.
 func readEvents(t *testing.T, response *http.Response, n int) []string {
 	t.Helper()
 	var read strings.Builder
@@ -141,12 +136,11 @@
 	return texts(read.String())[:n]
 }
 
-// Story: a caller opens many long answers and reads none of them. Held in
-// memory they would bring the entry down; stuck in the link that all streams to
-// a backend server share they would stop everybody's answers.
+// Guards against callers that open long streams and don't read them: they must
+// not block the link that all streams of a backend server share.
 func TestSlowReadersAreCutOffAndHarmNobody(t *testing.T) {
 	const slow = 8
-	s := newSite(t, "b1")
+	s := newDeployment(t, "b1")
 	long := strings.Repeat("x", 64<<10)
 	scripted := func(offer *jayv1.Offer, body []byte, emit func(string)) *jayv1.End {
 		if offer.GetWorkspace() == "other" {
@@ -170,12 +164,13 @@
 		require.Less(t, time.Since(began), 1400*time.Millisecond, "held up by slow readers")
 	}
 	require.Eventually(t, func() bool {
-		return s.agents[0].seen(func(f *fakeAgent) int { return f.cancels }) == slow
+		return s.agents[0].count(func(f *fakeAgent) int { return f.cancels }) == slow
 	}, 10*time.Second, 10*time.Millisecond)
 }
 
-// begun is a stream that its caller may resume, five words read.
-func begun(t *testing.T, e *entry.Entry) (token string) {
+// startStream starts a resumable stream, disconnects after five events and returns the
+// resume token.
+func startStream(t *testing.T, e *entry.Entry) (token string) {
 	t.Helper()
 	response := open(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream, entry.HeaderResume, "keep")
 	token = response.Header.Get(entry.HeaderResumeToken)
@@ -185,16 +180,15 @@
 	return token
 }
 
-// Story: an engine breaks in mid-answer, or the agent beside it is not reached
-// for a while, and a caller comes back for its stream. It was told that no such
-// stream exists, gave up, and never heard that its work may have run.
-func TestOnlyAStreamThatIsNotKnownIsCalledSo(t *testing.T) {
-	broken := func(_ *jayv1.Offer, _ []byte, emit func(string)) *jayv1.End {
+// Guards against "no such stream" for a stream whose engine failed or whose agent
+// can't be reached: the caller would not learn that its request may have run.
+func TestOnlyUnknownStreamIsNotFound(t *testing.T) {
+	failing := func(_ *jayv1.Offer, _ []byte, emit func(string)) *jayv1.End {
 		for i := range 5 {
 			emit(fmt.Sprintf(`{"choices":[{"delta":{"content":"t%d "}}]}`, i))
 		}
-		time.Sleep(50 * time.Millisecond) // Until the caller has left.
-		return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine broke"}
+		time.Sleep(50 * time.Millisecond) // Until the caller has disconnected.
+		return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine failed"}
 	}
 	for _, tt := range []struct {
 		name       string
@@ -203,17 +197,17 @@
 		code       entry.Code
 		retryAfter string
 	}{
-		{"the agent has forgotten it", func(f *fakeAgent) { f.set(func(f *fakeAgent) { f.forget = true }) },
+		{"the agent does not have the stream", func(f *fakeAgent) { f.set(func(f *fakeAgent) { f.forget = true }) },
 			http.StatusNotFound, entry.CodeStreamNotFound, ""},
-		{"the engine broke", func(*fakeAgent) {}, http.StatusBadGateway, entry.CodeStreamBroken, ""},
-		{"the agent is not reached", func(f *fakeAgent) { _ = f.node.Close() },
+		{"the engine failed", func(*fakeAgent) {}, http.StatusBadGateway, entry.CodeStreamBroken, ""},
+		{"the agent can't be reached", func(f *fakeAgent) { _ = f.node.Close() },
 			http.StatusServiceUnavailable, entry.CodeStreamNotReached, "1"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newSite(t, "b1")
-			s.agents[0].set(func(f *fakeAgent) { f.answer = broken })
+			s := newDeployment(t, "b1")
+			s.agents[0].set(func(f *fakeAgent) { f.answer = failing })
 			e := s.entry("e1", func(settings *entry.Settings) { settings.Attempts.ResumeTries = 2 })
-			token := begun(t, e)
+			token := startStream(t, e)
 			tt.change(s.agents[0])
 			r := call(t, "GET", e.CallersURL()+"/v1/streams/"+token, keyQuarry, "", "Last-Event-ID", "4")
 			assert.Equal(t, tt.status, r.status, r.body)
@@ -225,12 +219,10 @@
 	}
 }
 
-// Story: a backend server is added, an entry that knows it begins a stream
-// there, and the caller comes back at an entry whose catalog is older by a
-// moment. It was told that no such stream exists. Only an entry that knows the
-// removal of the server may say so.
-func TestAServerThatIsNotKnownYetIsNoLostStream(t *testing.T) {
-	s := newSite(t, "b1")
+// Guards against "no such stream" from an entry whose catalog does not contain
+// the stream's backend server yet. Only a newer catalog without it is proof.
+func TestStreamOfServerNotYetInCatalogIsRetryable(t *testing.T) {
+	s := newDeployment(t, "b1")
 	others := slices.DeleteFunc(slices.Clone(s.resources), func(r *jayv1.Resource) bool { return r.GetBackendServer() != nil })
 	at := func(generation uint64, resources []*jayv1.Resource) func(*entry.Settings) {
 		return func(settings *entry.Settings) {
@@ -240,7 +232,7 @@
 	}
 	s.agents[0].set(func(f *fakeAgent) { f.answer = paced(40, 2*time.Millisecond) })
 	newer, older := s.entry("e1", at(2, s.resources)), s.entry("e2", at(1, others))
-	token := begun(t, newer)
+	token := startStream(t, newer)
 	resume := func(e *entry.Entry) reply {
 		return call(t, "GET", e.CallersURL()+"/v1/streams/"+token, keyQuarry, "", "Last-Event-ID", "4", entry.HeaderResume, "keep")
 	}
@@ -249,7 +241,7 @@
 	assert.Equal(t, http.StatusServiceUnavailable, r.status, r.body)
 	assert.Equal(t, string(entry.CodeStreamNotReached), errorOf(t, r).Code)
 	assert.Equal(t, "1", r.header.Get("Retry-After"))
-	assert.Empty(t, r.header.Get("X-Should-Retry"), "to ask again runs nothing")
+	assert.Empty(t, r.header.Get("X-Should-Retry"), "resuming again runs nothing")
 
 	older.Catalog().Adopt(catalog.Build(&jayv1.Snapshot{Generation: 2, Resources: s.resources}))
 	r = resume(older)
