--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -157,8 +157,8 @@
 // AdminURL of the port for health, metrics and debugging.
 func (a *Agent) AdminURL() string { return "http://" + a.adminAt.Addr().String() }
 
-// Leave refuses new work from now on and says so with every answer.
-func (a *Agent) Leave() {
+// StartDrain refuses new work from now on and says so with every answer.
+func (a *Agent) StartDrain() {
 	if !a.leaving.Swap(true) {
 		klog.InfoS("leaving, no new work is taken", "backendServer", a.settings.Name)
 	}
@@ -175,7 +175,7 @@
 // its reader has the whole answer, and stops. When the context or the drain
 // time ends first, what still runs is cut; the error says so.
 func (a *Agent) Shutdown(ctx context.Context) error {
-	a.Leave()
+	a.StartDrain()
 	ctx, cancel := context.WithTimeout(ctx, millis(a.settings.DrainMS))
 	defer cancel()
 	a.works.close()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -108,7 +108,7 @@
 		"busy":        {engine.ErrRefused, jayv1.Outcome_OUTCOME_NOT_RUN, jayv1.Refusal_REFUSAL_QUEUE_FULL},
 		"invalid": {errors.Join(engine.ErrRefused, engine.ErrInvalid), jayv1.Outcome_OUTCOME_NOT_RUN,
 			jayv1.Refusal_REFUSAL_INVALID},
-		"broken": {engine.ErrBroken, jayv1.Outcome_OUTCOME_UNKNOWN, 0},
+		"broken": {engine.ErrInterrupted, jayv1.Outcome_OUTCOME_UNKNOWN, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -233,6 +233,6 @@
 	for _, path := range []string{"/livez", "/readyz", "/metrics", "/debug/state"} {
 		assert.Equal(t, http.StatusOK, status(path), path)
 	}
-	b.agent.Leave()
+	b.agent.StartDrain()
 	assert.Equal(t, http.StatusServiceUnavailable, status("/readyz"))
 }
--- a/internal/agent/fake_test.go
+++ b/internal/agent/fake_test.go
@@ -151,7 +151,7 @@
 		}
 	}
 	if len(s.events) == 0 {
-		return engine.Event{}, engine.ErrBroken
+		return engine.Event{}, engine.ErrInterrupted
 	}
 	event := s.events[0]
 	s.events = s.events[1:]
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -48,10 +48,10 @@
 }
 
 func newOrderDesk(a *Agent) *orderDesk {
-	d := &orderDesk{agent: a, pending: map[uint64]*pendingOrder{}, gate: ordergate.NewChecked(ordergate.DefaultSettle)}
+	d := &orderDesk{agent: a, pending: map[uint64]*pendingOrder{}, gate: ordergate.NewChecked(ordergate.DefaultSettleTime)}
 	if a.settings.Platform != "" {
 		d.table = platform.NewClient(a.settings.Platform, platform.ClientOptions{})
-		d.gate = ordergate.New(ordergate.DefaultSettle)
+		d.gate = ordergate.New(ordergate.DefaultSettleTime)
 	}
 	return d
 }
@@ -67,7 +67,7 @@
 		case <-ticker.C:
 		}
 		incarnation := d.agent.model.cache.incarnation()
-		d.with(func(now time.Time) []ordergate.Action { return d.gate.SawIncarnation(now, incarnation) })
+		d.with(func(now time.Time) []ordergate.Action { return d.gate.ObserveIncarnation(now, incarnation) })
 	}
 }
 
@@ -91,11 +91,11 @@
 		if p != nil {
 			p.done <- a.Err
 		}
-	case ordergate.ReadFloor:
+	case ordergate.ReadWatermark:
 		d.agent.goRun(d.readFloor)
-	case ordergate.WriteFloor:
+	case ordergate.WriteWatermark:
 		d.agent.goRun(func() { d.writeFloor(a) })
-	case ordergate.Pass:
+	case ordergate.Forward:
 		d.agent.goRun(func() { d.pass(a.ID) })
 	}
 }
@@ -108,7 +108,7 @@
 	rows, err := d.table.Get(ctx, d.key())
 	if err != nil {
 		klog.ErrorS(err, "floor of orders not read", "backendServer", d.agent.settings.Name)
-		d.with(func(time.Time) []ordergate.Action { return d.gate.FloorFailed() })
+		d.with(func(time.Time) []ordergate.Action { return d.gate.WatermarkFailed() })
 		return
 	}
 	var row platform.Row
@@ -119,24 +119,24 @@
 }
 
 func (d *orderDesk) tookFloor(row platform.Row) {
-	var floor ordergate.Floor
+	var floor ordergate.Watermark
 	if len(row.Value) > 0 {
 		if err := json.Unmarshal(row.Value, &floor); err != nil {
 			klog.ErrorS(err, "floor of orders not understood", "row", row.Key)
-			d.with(func(time.Time) []ordergate.Action { return d.gate.FloorFailed() })
+			d.with(func(time.Time) []ordergate.Action { return d.gate.WatermarkFailed() })
 			return
 		}
 	}
-	d.with(func(now time.Time) []ordergate.Action { return d.gate.FloorRead(now, floor, row.Version) })
+	d.with(func(now time.Time) []ordergate.Action { return d.gate.WatermarkRead(now, floor, row.Version) })
 }
 
 // writeFloor raises the floor before the order is passed. A write whose answer
 // was lost counts as failed: the order is refused, and the next one reads the
 // row first.
-func (d *orderDesk) writeFloor(action ordergate.WriteFloor) {
-	value, err := json.Marshal(action.Floor)
+func (d *orderDesk) writeFloor(action ordergate.WriteWatermark) {
+	value, err := json.Marshal(action.Watermark)
 	if err != nil {
-		d.with(func(time.Time) []ordergate.Action { return d.gate.FloorFailed() })
+		d.with(func(time.Time) []ordergate.Action { return d.gate.WatermarkFailed() })
 		return
 	}
 	ctx, cancel := context.WithTimeout(d.agent.ctx, floorTimeout)
@@ -148,13 +148,13 @@
 	switch {
 	case err != nil:
 		klog.ErrorS(err, "floor of orders not written", "backendServer", d.agent.settings.Name)
-		d.with(func(time.Time) []ordergate.Action { return d.gate.FloorFailed() })
+		d.with(func(time.Time) []ordergate.Action { return d.gate.WatermarkFailed() })
 	case result.Committed:
-		d.with(func(now time.Time) []ordergate.Action { return d.gate.FloorWritten(now, result.Commit) })
+		d.with(func(now time.Time) []ordergate.Action { return d.gate.WatermarkWritten(now, result.Commit) })
 	case len(result.Failed) > 0:
 		d.tookFloor(result.Failed[0])
 	default:
-		d.with(func(time.Time) []ordergate.Action { return d.gate.FloorFailed() })
+		d.with(func(time.Time) []ordergate.Action { return d.gate.WatermarkFailed() })
 	}
 }
 
@@ -172,11 +172,11 @@
 	refused := errors.Is(err, engine.ErrNotReached) || errors.Is(err, engine.ErrRefused) ||
 		errors.Is(err, engine.ErrStaleFence) || errors.Is(err, engine.ErrUnsupported)
 	if err != nil && !refused {
-		err = eris.Wrapf(ordergate.ErrUnknown, "%v", err)
+		err = eris.Wrapf(ordergate.ErrIndeterminate, "%v", err)
 	}
 	klog.InfoS("order passed", "backendServer", d.agent.settings.Name, "kind", order.GetKind().String(),
 		"fence", order.GetFence(), "seq", order.GetSeq(), "error", err)
-	d.with(func(now time.Time) []ordergate.Action { return d.gate.Passed(now, err, refused) })
+	d.with(func(now time.Time) []ordergate.Action { return d.gate.Forwarded(now, err, refused) })
 }
 
 // submit brings an order through the gate and waits for its end.
@@ -186,7 +186,7 @@
 	case order.GetBackendServer() != d.agent.settings.Name || d.agent.model == nil:
 		return errOrderInvalid
 	case d.table == nil && (!declared || !server.GetChecksFencing()):
-		return ordergate.ErrNoFloor
+		return ordergate.ErrNoWatermark
 	}
 	p := &pendingOrder{order: order, done: make(chan error, 1)}
 	d.with(func(now time.Time) []ordergate.Action {
@@ -198,7 +198,7 @@
 	case err := <-p.done:
 		return err
 	case <-ctx.Done():
-		return ordergate.ErrUnknown
+		return ordergate.ErrIndeterminate
 	}
 }
 
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -55,7 +55,7 @@
 	holder := catalog.NewHolder()
 	b := newBench(t, func(s *agent.Settings) { s.Catalog = holder })
 	reply := b.order(load(1, 1, "new"))
-	assert.Contains(t, reply.GetError(), ordergate.ErrNoFloor.Error())
+	assert.Contains(t, reply.GetError(), ordergate.ErrNoWatermark.Error())
 	holder.Adopt(catalog.Build(&jayv1.Snapshot{Generation: 1, Resources: []*jayv1.Resource{
 		{Kind: &jayv1.Resource_BackendServer{BackendServer: &jayv1.BackendServer{Name: "b1", Pool: "p1", ChecksFencing: true}}},
 	}}))
--- a/internal/engine/dialect/dialect.go
+++ b/internal/engine/dialect/dialect.go
@@ -104,7 +104,7 @@
 		if !connected.Load() {
 			return nil, eris.Wrapf(engine.ErrNotReached, "%s: %v", call.path, err)
 		}
-		return nil, eris.Wrapf(engine.ErrBroken, "%s: %v", call.path, err)
+		return nil, eris.Wrapf(engine.ErrInterrupted, "%s: %v", call.path, err)
 	}
 	if response.StatusCode < http.StatusMultipleChoices {
 		return response, nil
@@ -132,7 +132,7 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, limit))
 	if err != nil {
-		return nil, eris.Wrapf(engine.ErrBroken, "%s: %v", call.path, err)
+		return nil, eris.Wrapf(engine.ErrInterrupted, "%s: %v", call.path, err)
 	}
 	return body, nil
 }
@@ -162,7 +162,7 @@
 		http.StatusUnprocessableEntity, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return target == engine.ErrRefused
 	}
-	return target == engine.ErrBroken
+	return target == engine.ErrInterrupted
 }
 
 // translate replaces a status that has a meaning of its own in a call.
--- a/internal/engine/dialect/dialect_test.go
+++ b/internal/engine/dialect/dialect_test.go
@@ -177,7 +177,7 @@
 		require.ErrorIs(t, err, engine.ErrRefused)
 		server.SetFaults(sim.Faults{Grey: sim.GreyFail})
 		_, err = client.Submit(ctx, request("grey", "x", true))
-		require.ErrorIs(t, err, engine.ErrBroken)
+		require.ErrorIs(t, err, engine.ErrInterrupted)
 		assert.NotErrorIs(t, err, engine.ErrRefused)
 		require.NoError(t, client.Cancel(ctx, "runs"))
 		require.Eventually(t, func() bool { return server.Core().Runs()["waits"] == 1 }, patience, time.Millisecond)
@@ -199,7 +199,7 @@
 		require.NoError(t, err)
 		server.Crash(0)
 		_, err = collect(t, stream)
-		require.ErrorIs(t, err, engine.ErrBroken)
+		require.ErrorIs(t, err, engine.ErrInterrupted)
 		require.Eventually(t, func() bool {
 			state, err := client.State(ctx)
 			return err == nil && state.Incarnation == 2 && state.CachedBlocks == 0
--- a/internal/engine/dialect/events.go
+++ b/internal/engine/dialect/events.go
@@ -56,7 +56,7 @@
 	case errors.Is(err, engine.ErrGap), errors.Is(err, ErrMalformed):
 		return err
 	default:
-		return eris.Wrapf(engine.ErrBroken, "cache events: %v", err)
+		return eris.Wrapf(engine.ErrInterrupted, "cache events: %v", err)
 	}
 }
 
--- a/internal/engine/dialect/merle.go
+++ b/internal/engine/dialect/merle.go
@@ -136,11 +136,11 @@
 	defer response.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
 	if err != nil {
-		return nil, eris.Wrapf(engine.ErrBroken, "answer: %v", err)
+		return nil, eris.Wrapf(engine.ErrInterrupted, "answer: %v", err)
 	}
 	event, err := decodeMerleWhole(response.Header.Get("X-Merle-Id"), answer)
 	if err != nil {
-		return nil, errors.Join(engine.ErrBroken, err)
+		return nil, errors.Join(engine.ErrInterrupted, err)
 	}
 	return &wholeStream{event: event}, nil
 }
--- a/internal/engine/dialect/pica.go
+++ b/internal/engine/dialect/pica.go
@@ -87,14 +87,14 @@
 	defer response.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
 	if err != nil {
-		return nil, eris.Wrapf(engine.ErrBroken, "answer: %v", err)
+		return nil, eris.Wrapf(engine.ErrInterrupted, "answer: %v", err)
 	}
 	event, err := decodePicaEnvelope(answer)
 	if err == nil && !event.Last {
 		err = eris.Wrap(ErrMalformed, "answer without its end")
 	}
 	if err != nil {
-		return nil, errors.Join(engine.ErrBroken, err)
+		return nil, errors.Join(engine.ErrInterrupted, err)
 	}
 	event.Index = 0
 	return &wholeStream{event: event}, nil
--- a/internal/engine/dialect/sse.go
+++ b/internal/engine/dialect/sse.go
@@ -126,11 +126,11 @@
 			return engine.Event{}, ctx.Err()
 		}
 		if err != nil {
-			return engine.Event{}, eris.Wrapf(engine.ErrBroken, "stream: %v", err)
+			return engine.Event{}, eris.Wrapf(engine.ErrInterrupted, "stream: %v", err)
 		}
 		event, ok, err := s.decode(wire)
 		if err != nil {
-			return engine.Event{}, errors.Join(engine.ErrBroken, err)
+			return engine.Event{}, errors.Join(engine.ErrInterrupted, err)
 		}
 		if ok {
 			s.ended = event.Last
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,8 +19,8 @@
 	// ErrInvalid means: the engine refused the request for what it says, so that
 	// every other engine would, too. It comes together with ErrRefused.
 	ErrInvalid = errors.New("engine refused the request as invalid")
-	// ErrBroken means: the stream ended before its end; part of it may have run.
-	ErrBroken = errors.New("engine stream broken")
+	// ErrInterrupted means: the stream ended before its end; part of it may have run.
+	ErrInterrupted = errors.New("engine stream broken")
 	// ErrStaleFence means: the engine refused an order with an old fencing number.
 	ErrStaleFence = errors.New("order carries an old fencing number")
 	// ErrUnsupported means: the dialect has no such call.
--- a/internal/ordergate/gate.go
+++ b/internal/ordergate/gate.go
@@ -13,19 +13,19 @@
 var (
 	// ErrStale means that a later order is known.
 	ErrStale = errors.New("a later order is known")
-	// ErrNoFloor means that the highest number passed before is not known, since
+	// ErrNoWatermark means that the highest number passed before is not known, since
 	// the table can't be read or written.
-	ErrNoFloor = errors.New("the floor of order numbers is not known")
+	ErrNoWatermark = errors.New("the floor of order numbers is not known")
 	// ErrBusy means that too many orders wait.
 	ErrBusy = errors.New("too many orders wait")
 )
 
-// ErrUnknown means that the order went to the engine and its outcome is not known.
-var ErrUnknown = errors.New("outcome of the order is not known")
+// ErrIndeterminate means that the order went to the engine and its outcome is not known.
+var ErrIndeterminate = errors.New("outcome of the order is not known")
 
-// DefaultSettle is how long an order whose outcome is unknown may still take
+// DefaultSettleTime is how long an order whose outcome is unknown may still take
 // effect in the engine.
-const DefaultSettle = 10 * time.Second
+const DefaultSettleTime = 10 * time.Second
 
 // maxWaiting bounds the orders that wait.
 const maxWaiting = 16
@@ -44,9 +44,9 @@
 	return n.Seq < other.Seq
 }
 
-// Floor is what the table keeps: the number of the latest order that may have
+// Watermark is what the table keeps: the number of the latest order that may have
 // been passed, and the engine's incarnation then.
-type Floor struct {
+type Watermark struct {
 	Number
 	Incarnation uint64 `json:"incarnation"`
 }
@@ -54,18 +54,18 @@
 // Action is something that the caller must do.
 type Action interface{ isAction() }
 
-// ReadFloor reads the row; the caller reports FloorRead or FloorFailed.
-type ReadFloor struct{}
+// ReadWatermark reads the row; the caller reports FloorRead or FloorFailed.
+type ReadWatermark struct{}
 
-// WriteFloor writes the row if its version is still the given one; the caller
+// WriteWatermark writes the row if its version is still the given one; the caller
 // reports FloorWritten, FloorRead when another has written, or FloorFailed.
-type WriteFloor struct {
-	Floor   Floor
-	Version uint64
+type WriteWatermark struct {
+	Watermark Watermark
+	Version   uint64
 }
 
-// Pass hands the order with the id to the engine; the caller reports Passed.
-type Pass struct{ ID uint64 }
+// Forward hands the order with the id to the engine; the caller reports Passed.
+type Forward struct{ ID uint64 }
 
 // Reply ends the order with the id. Err nil: the engine has taken it.
 type Reply struct {
@@ -73,10 +73,10 @@
 	Err error
 }
 
-func (ReadFloor) isAction()  {}
-func (WriteFloor) isAction() {}
-func (Pass) isAction()       {}
-func (Reply) isAction()      {}
+func (ReadWatermark) isAction()  {}
+func (WriteWatermark) isAction() {}
+func (Forward) isAction()        {}
+func (Reply) isAction()          {}
 
 type phase int
 
@@ -148,12 +148,12 @@
 	return g.step(now)
 }
 
-// FloorRead reports the row. A row that does not exist is the zero floor.
+// WatermarkRead reports the row. A row that does not exist is the zero floor.
 //
 // The order in the row may have been handed over by an agent that has died
 // since, and may still be on its way in a slow engine. The next order waits
 // for it, unless the engine has started anew: what was on its way died with it.
-func (g *Gate) FloorRead(now time.Time, floor Floor, version uint64) []Action {
+func (g *Gate) WatermarkRead(now time.Time, floor Watermark, version uint64) []Action {
 	if g.phase == writing { // Another agent wrote; the order waits again.
 		g.waiting = append([]proposal{g.current}, g.waiting...)
 	}
@@ -168,15 +168,15 @@
 	return g.step(now)
 }
 
-// FloorFailed reports that the row could not be read or written for sure.
+// WatermarkFailed reports that the row could not be read or written for sure.
 // What waits is refused; the floor is read again before the next order.
-func (g *Gate) FloorFailed() []Action {
+func (g *Gate) WatermarkFailed() []Action {
 	var actions []Action
 	if g.phase == writing {
-		actions = append(actions, Reply{ID: g.current.id, Err: ErrNoFloor})
+		actions = append(actions, Reply{ID: g.current.id, Err: ErrNoWatermark})
 	}
 	for _, p := range g.waiting {
-		actions = append(actions, Reply{ID: p.id, Err: ErrNoFloor})
+		actions = append(actions, Reply{ID: p.id, Err: ErrNoWatermark})
 	}
 	g.waiting = nil
 	g.phase = idle
@@ -184,8 +184,8 @@
 	return actions
 }
 
-// FloorWritten reports that the row holds the current order's number.
-func (g *Gate) FloorWritten(now time.Time, version uint64) []Action {
+// WatermarkWritten reports that the row holds the current order's number.
+func (g *Gate) WatermarkWritten(now time.Time, version uint64) []Action {
 	g.version = version
 	if g.current.number.Before(g.highest) {
 		// A later order came while the row was written.
@@ -193,14 +193,14 @@
 		return append([]Action{Reply{ID: g.current.id, Err: ErrStale}}, g.step(now)...)
 	}
 	g.phase = passing
-	return []Action{Pass{ID: g.current.id}}
+	return []Action{Forward{ID: g.current.id}}
 }
 
-// Passed reports the engine's word on the current order. refused: the engine
+// Forwarded reports the engine's word on the current order. refused: the engine
 // has proved that it did not take it. With neither nil nor a refusal the order
 // may take effect at any time within the settle time; until then no later one
 // is passed, since the earlier could undo it.
-func (g *Gate) Passed(now time.Time, err error, refused bool) []Action {
+func (g *Gate) Forwarded(now time.Time, err error, refused bool) []Action {
 	g.phase = idle
 	if err == nil {
 		g.done = g.current.number
@@ -210,8 +210,8 @@
 	return append([]Action{Reply{ID: g.current.id, Err: err}}, g.step(now)...)
 }
 
-// SawIncarnation reports the engine's boot number.
-func (g *Gate) SawIncarnation(now time.Time, incarnation uint64) []Action {
+// ObserveIncarnation reports the engine's boot number.
+func (g *Gate) ObserveIncarnation(now time.Time, incarnation uint64) []Action {
 	g.incarnation = max(g.incarnation, incarnation)
 	return g.step(now)
 }
@@ -238,7 +238,7 @@
 	for g.phase == idle && len(g.waiting) > 0 {
 		if !g.known {
 			g.phase = reading
-			return append(actions, ReadFloor{})
+			return append(actions, ReadWatermark{})
 		}
 		next := g.waiting[0]
 		if next.number.Before(g.highest) {
@@ -261,8 +261,8 @@
 func (g *Gate) start() Action {
 	if !g.durable {
 		g.phase = passing
-		return Pass{ID: g.current.id}
+		return Forward{ID: g.current.id}
 	}
 	g.phase = writing
-	return WriteFloor{Floor: Floor{Number: g.current.number, Incarnation: g.incarnation}, Version: g.version}
+	return WriteWatermark{Watermark: Watermark{Number: g.current.number, Incarnation: g.incarnation}, Version: g.version}
 }
--- a/internal/ordergate/gate_test.go
+++ b/internal/ordergate/gate_test.go
@@ -22,7 +22,7 @@
 type world struct {
 	gate *ordergate.Gate
 	now  time.Time
-	row  ordergate.Floor
+	row  ordergate.Watermark
 	// version of the row; 0: no row.
 	version uint64
 	numbers map[uint64]ordergate.Number
@@ -41,7 +41,7 @@
 	w.gate = ordergate.New(settle)
 }
 
-func (w *world) sawBoot() { w.do(w.gate.SawIncarnation(w.now, w.boot)) }
+func (w *world) sawBoot() { w.do(w.gate.ObserveIncarnation(w.now, w.boot)) }
 
 type delayed struct {
 	number ordergate.Number
@@ -63,47 +63,47 @@
 	switch a := action.(type) {
 	case ordergate.Reply:
 		w.replies[a.ID] = a.Err
-	case ordergate.ReadFloor:
+	case ordergate.ReadWatermark:
 		if choose("read fails", 4) == 3 {
-			w.do(w.gate.FloorFailed())
+			w.do(w.gate.WatermarkFailed())
 			return
 		}
-		w.do(w.gate.FloorRead(w.now, w.row, w.version))
-	case ordergate.WriteFloor:
+		w.do(w.gate.WatermarkRead(w.now, w.row, w.version))
+	case ordergate.WriteWatermark:
 		w.write(a, choose("write", 4))
-	case ordergate.Pass:
+	case ordergate.Forward:
 		w.pass(a, choose("pass", 4))
 	}
 }
 
-func (w *world) write(a ordergate.WriteFloor, outcome int) {
+func (w *world) write(a ordergate.WriteWatermark, outcome int) {
 	if outcome == 3 { // not carried out
-		w.do(w.gate.FloorFailed())
+		w.do(w.gate.WatermarkFailed())
 		return
 	}
 	if a.Version != w.version {
-		w.do(w.gate.FloorRead(w.now, w.row, w.version))
+		w.do(w.gate.WatermarkRead(w.now, w.row, w.version))
 		return
 	}
-	w.row, w.version = a.Floor, w.version+1
+	w.row, w.version = a.Watermark, w.version+1
 	if outcome == 2 { // carried out, but the answer was lost
-		w.do(w.gate.FloorFailed())
+		w.do(w.gate.WatermarkFailed())
 		return
 	}
-	w.do(w.gate.FloorWritten(w.now, w.version))
+	w.do(w.gate.WatermarkWritten(w.now, w.version))
 }
 
-func (w *world) pass(a ordergate.Pass, outcome int) {
+func (w *world) pass(a ordergate.Forward, outcome int) {
 	number := w.numbers[a.ID]
 	switch outcome {
 	case 0, 1:
 		w.applied = append(w.applied, number)
-		w.do(w.gate.Passed(w.now, nil, false))
+		w.do(w.gate.Forwarded(w.now, nil, false))
 	case 2:
-		w.do(w.gate.Passed(w.now, errors.New("refused"), true))
+		w.do(w.gate.Forwarded(w.now, errors.New("refused"), true))
 	case 3: // the engine is slow; its answer was lost
 		w.inEngine = append(w.inEngine, delayed{number, w.now.Add(settle)})
-		w.do(w.gate.Passed(w.now, ordergate.ErrUnknown, false))
+		w.do(w.gate.Forwarded(w.now, ordergate.ErrIndeterminate, false))
 	}
 }
 
@@ -163,7 +163,7 @@
 			},
 			"agent restarts": func(*rapid.T) {
 				for _, action := range w.todo { // A call under way may still arrive.
-					if pass, ok := action.(ordergate.Pass); ok && choose("arrives", 2) == 1 {
+					if pass, ok := action.(ordergate.Forward); ok && choose("arrives", 2) == 1 {
 						w.inEngine = append(w.inEngine, delayed{w.numbers[pass.ID], w.now.Add(settle)})
 					}
 				}
@@ -274,7 +274,7 @@
 	id := w.propose(ordergate.Number{Fence: 1, Seq: 1})
 	w.perform(func(string, int) int { return 3 })
 	w.finish()
-	require.ErrorIs(t, w.replies[id], ordergate.ErrNoFloor)
+	require.ErrorIs(t, w.replies[id], ordergate.ErrNoWatermark)
 	assert.Empty(t, w.applied)
 	again := w.propose(ordergate.Number{Fence: 1, Seq: 1})
 	w.finish()
@@ -302,7 +302,7 @@
 	id := w.propose(ordergate.Number{Fence: 1, Seq: 2})
 	w.finish()
 	require.NotContains(t, w.replies, id, "the first may still take effect")
-	w.do(w.gate.SawIncarnation(w.now, 2))
+	w.do(w.gate.ObserveIncarnation(w.now, 2))
 	w.finish()
 	require.Contains(t, w.replies, id)
 	require.NoError(t, w.replies[id])
