--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -53,10 +53,10 @@
 		return err
 	}
 	attempts := []attemptView{}
-	for _, w := range a.works.all() {
+	for _, att := range a.attempts.all() {
 		attempts = append(attempts, attemptView{
-			ID: w.id, Workspace: w.offer.GetWorkspace(), State: w.current(),
-			AgeMS: float64(time.Since(w.offered)) / float64(time.Millisecond),
+			ID: att.id, Workspace: att.offer.GetWorkspace(), State: att.currentState(),
+			AgeMS: float64(time.Since(att.offered)) / float64(time.Millisecond),
 		})
 	}
 	sort.Slice(attempts, func(i, j int) bool { return attempts[i].ID < attempts[j].ID })
@@ -72,10 +72,10 @@
 	if a.model == nil || len(req.GetChain()) == 0 {
 		return reply
 	}
-	cached, _ := a.model.cache.look(time.Now(), req.GetChain())
+	cached, _ := a.model.cache.lookup(time.Now(), req.GetChain())
 	reply.CachedBytes = uint32(cached)
-	shared := max(cached, a.underway.bytes(req.GetChain()))
-	reply.CostMs = a.schedule.cost(admission.Request{
+	shared := max(cached, a.inFlightPrefixes.bytes(req.GetChain()))
+	reply.CostMs = a.scheduler.cost(admission.Request{
 		Class:  req.GetClass(),
 		Tokens: a.tokens(req.GetPool(), int(req.GetPromptBytes())-shared),
 	})
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -29,24 +29,24 @@
 
 // Agent is a running agent.
 type Agent struct {
-	settings Settings
-	started  time.Time
-	ctx      context.Context
-	stop     context.CancelFunc
-	node     *transport.Node
-	admin    *http.Server
-	adminAt  net.Listener
-	catalog  *catalog.Holder
-	metrics  *metrics.Registry
-	works    *registry
-	underway *underway
-	schedule *schedule
-	model    *modelBackend   // nil beside a plain service
-	service  *serviceBackend // nil beside a model engine
-	orders   *orderDesk
-	spread   *spread.Service
-	ready    chan struct{} // closed when spread is set
-	leaving  atomic.Bool
+	settings         Settings
+	started          time.Time
+	ctx              context.Context
+	stop             context.CancelFunc
+	node             *transport.Node
+	admin            *http.Server
+	adminListener    net.Listener
+	catalog          *catalog.Holder
+	metrics          *metrics.Registry
+	attempts         *attemptRegistry
+	inFlightPrefixes *inFlightPrefixes
+	scheduler        *scheduler
+	model            *modelBackend   // nil beside a plain service
+	service          *serviceBackend // nil beside a model engine
+	orders           *orderHandler
+	spread           *spread.Service
+	ready            chan struct{} // closed when spread is set
+	draining         atomic.Bool
 	// bodyBytes that all attempts hold together.
 	bodyBytes atomic.Int64
 	wg        sync.WaitGroup
@@ -64,24 +64,24 @@
 		return nil, eris.Wrap(err, "load keys")
 	}
 	a := &Agent{
-		settings: settings,
-		started:  time.Now(),
-		catalog:  settings.Catalog,
-		metrics:  metrics.New(maxMetricLabels),
-		works:    newRegistry(settings.Replay.TotalBytes),
-		underway: newUnderway(),
-		ready:    make(chan struct{}),
+		settings:         settings,
+		started:          time.Now(),
+		catalog:          settings.Catalog,
+		metrics:          metrics.New(maxMetricLabels),
+		attempts:         newAttemptRegistry(settings.Replay.TotalBytes),
+		inFlightPrefixes: newInFlightPrefixes(),
+		ready:            make(chan struct{}),
 	}
 	if a.catalog == nil {
 		a.catalog = catalog.NewHolder()
 	}
 	a.ctx, a.stop = context.WithCancel(context.Background())
-	a.schedule = newSchedule(a.ctx, settings.Queue, a.perform)
+	a.scheduler = newScheduler(a.ctx, settings.Queue, a.perform)
 	if err := a.openBackend(); err != nil {
 		a.stop()
 		return nil, err
 	}
-	a.orders = newOrderDesk(a)
+	a.orders = newOrderHandler(a)
 	if err := a.listen(creds); err != nil {
 		a.stop()
 		return nil, err
@@ -90,13 +90,13 @@
 		a.Close()
 		return nil, err
 	}
-	a.goRun(func() { creds.Watch(a.ctx, millis(settings.KeyReloadMS)) })
-	a.goRun(func() { a.schedule.loop() })
+	a.goTracked(func() { creds.Watch(a.ctx, millis(settings.KeyReloadMS)) })
+	a.goTracked(func() { a.scheduler.loop() })
 	if a.model != nil {
-		a.goRun(func() { a.model.poll(a.ctx) })
-		a.goRun(func() { a.model.cache.follow(a.ctx) })
-		a.goRun(func() { a.model.cache.repair(a.ctx) })
-		a.goRun(func() { a.orders.watch(a.ctx) })
+		a.goTracked(func() { a.model.poll(a.ctx) })
+		a.goTracked(func() { a.model.cache.followEvents(a.ctx) })
+		a.goTracked(func() { a.model.cache.repair(a.ctx) })
+		a.goTracked(func() { a.orders.watch(a.ctx) })
 	}
 	klog.InfoS("agent started", "backendServer", settings.Name, "address", a.Address(), "admin", a.AdminURL())
 	return a, nil
@@ -127,22 +127,22 @@
 
 func (a *Agent) listen(creds *transport.Credentials) error {
 	var err error
-	if a.adminAt, err = net.Listen("tcp", a.settings.Admin); err != nil {
+	if a.adminListener, err = net.Listen("tcp", a.settings.Admin); err != nil {
 		return eris.Wrapf(err, "listen on %s", a.settings.Admin)
 	}
 	a.node, err = transport.Listen(transport.Options{Address: a.settings.Listen}, creds, a.serveStream)
 	if err != nil {
-		_ = a.adminAt.Close()
+		_ = a.adminListener.Close()
 		return err
 	}
 	a.admin = &http.Server{Handler: a.adminHandler(), ReadHeaderTimeout: adminHeaderTimeout}
-	a.goRun(func() { _ = a.admin.Serve(a.adminAt) })
+	a.goTracked(func() { _ = a.admin.Serve(a.adminListener) })
 	return nil
 }
 
 // goRun runs a function that Close waits for. After Close it does nothing:
 // timers of attempts may still fire then.
-func (a *Agent) goRun(f func()) {
+func (a *Agent) goTracked(f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
@@ -155,20 +155,20 @@
 func (a *Agent) Address() string { return a.node.Address() }
 
 // AdminURL of the port for health, metrics and debugging.
-func (a *Agent) AdminURL() string { return "http://" + a.adminAt.Addr().String() }
+func (a *Agent) AdminURL() string { return "http://" + a.adminListener.Addr().String() }
 
 // StartDrain refuses new work from now on and says so with every answer.
 func (a *Agent) StartDrain() {
-	if !a.leaving.Swap(true) {
+	if !a.draining.Swap(true) {
 		klog.InfoS("leaving, no new work is taken", "backendServer", a.settings.Name)
 	}
 }
 
 // isLeaving tells whether new work is refused: the agent was told to stop, or
 // an operator drains the backend server.
-func (a *Agent) isLeaving() bool {
+func (a *Agent) isDraining() bool {
 	server, _ := a.catalog.Current().BackendServer(a.settings.Name)
-	return a.leaving.Load() || server.GetDraining()
+	return a.draining.Load() || server.GetDraining()
 }
 
 // Shutdown refuses new work, waits until every accepted request has ended and
@@ -178,8 +178,8 @@
 	a.StartDrain()
 	ctx, cancel := context.WithTimeout(ctx, millis(a.settings.DrainMS))
 	defer cancel()
-	a.works.close()
-	err := a.works.waitEmpty(ctx)
+	a.attempts.close()
+	err := a.attempts.waitEmpty(ctx)
 	a.Close()
 	return eris.Wrap(err, "drain")
 }
@@ -200,7 +200,7 @@
 
 // state is the agent's own view, sent with every answer.
 func (a *Agent) state() *jayv1.AgentState {
-	load := a.schedule.load()
+	load := a.scheduler.load()
 	state := &jayv1.AgentState{
 		BackendServer: a.settings.Name,
 		Generation:    a.catalog.Current().Generation(),
@@ -208,12 +208,12 @@
 		Queued:        uint32(load.Queued),
 		Slots:         uint32(load.Slots),
 		QueueMs:       load.QueueMS,
-		Leaving:       a.isLeaving(),
+		Leaving:       a.isDraining(),
 		Ready:         true,
 	}
-	state.PrefillTokensPerSecond = a.schedule.prefillRate()
+	state.PrefillTokensPerSecond = a.scheduler.prefillRate()
 	if a.model != nil {
-		a.model.describe(state)
+		a.model.fillState(state)
 	}
 	return state
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -19,9 +19,9 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-func TestAnswerOfTheEngineReachesTheEntryWhole(t *testing.T) {
-	b := newBench(t, nil)
-	got := readAnswer(t, b.accepted(modelOffer("r1"), `{"prompt":"x"}`))
+func TestEngineResponseReachesEntryComplete(t *testing.T) {
+	fix := newFixture(t, nil)
+	got := readAnswer(t, fix.accepted(modelOffer("r1"), `{"prompt":"x"}`))
 	assert.Equal(t, []string{"one", "two", "three"}, got.chunks)
 	assert.Equal(t, []uint64{0, 1, 2}, got.seqs)
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome())
@@ -29,14 +29,14 @@
 	assert.EqualValues(t, 1, got.end.GetIncarnation())
 	assert.EqualValues(t, 4, got.end.GetUsage().GetCachedTokens())
 	assert.Equal(t, "b1", got.end.GetState().GetBackendServer())
-	requests := b.engine.requests()
+	requests := fix.engine.requests()
 	require.Len(t, requests, 1)
 	assert.Equal(t, "w1", requests[0].Salt)
 	assert.Equal(t, `{"prompt":"x"}`, string(requests[0].Body))
 }
 
 func TestOffersThatMayNotRunHereAreRefused(t *testing.T) {
-	b := newBench(t, nil)
+	fix := newFixture(t, nil)
 	tests := map[string]struct {
 		change func(*jayv1.Offer)
 		want   jayv1.Refusal
@@ -51,54 +51,54 @@
 		t.Run(name, func(t *testing.T) {
 			offer := modelOffer("refused " + name)
 			test.change(offer)
-			_, reply := b.offer(offer)
+			_, reply := fix.offer(offer)
 			assert.False(t, reply.GetAccepted())
 			assert.Equal(t, test.want, reply.GetRefusal())
 			assert.Equal(t, "b1", reply.GetState().GetBackendServer())
 		})
 	}
-	assert.Empty(t, b.engine.requests())
+	assert.Empty(t, fix.engine.requests())
 }
 
 // A caller would get one claim drafted twice: an entry that lost its link in
 // the middle of an offer sends the same attempt again, while the first is
 // already under way.
 func TestSameAttemptOfferedTwiceRunsOnce(t *testing.T) {
-	b := newBench(t, nil)
-	readAnswer(t, b.accepted(modelOffer("r1"), "{}"))
-	_, reply := b.offer(modelOffer("r1"))
+	fix := newFixture(t, nil)
+	readAnswer(t, fix.accepted(modelOffer("r1"), "{}"))
+	_, reply := fix.offer(modelOffer("r1"))
 	assert.Equal(t, jayv1.Refusal_REFUSAL_DUPLICATE, reply.GetRefusal())
-	assert.Len(t, b.engine.requests(), 1)
+	assert.Len(t, fix.engine.requests(), 1)
 }
 
-func TestOnlyEntriesHandOverWork(t *testing.T) {
-	b := newBench(t, nil)
-	other := b.node(keys.RoleAgent, "b2")
-	s, err := other.Open(t.Context(), b.agent.Address(), keys.RoleAgent)
+func TestOnlyEntriesMayOffer(t *testing.T) {
+	fix := newFixture(t, nil)
+	other := fix.node(keys.RoleAgent, "b2")
+	s, err := other.Open(t.Context(), fix.agent.Address(), keys.RoleAgent)
 	require.NoError(t, err)
 	require.NoError(t, s.Send(offerFrame(modelOffer("r1"))))
 	require.Error(t, s.Receive(&jayv1.ServerFrame{}))
-	assert.Empty(t, b.engine.requests())
+	assert.Empty(t, fix.engine.requests())
 }
 
 // A caller that gives up must not keep a slot: cancel arrives while the
 // engine works, the engine is told, and the next request gets the slot.
 func TestCancelFreesTheSlotInTheEngine(t *testing.T) {
-	b := newBench(t, func(s *agent.Settings) { s.Queue.Slots = 1 })
+	fix := newFixture(t, func(s *agent.Settings) { s.Queue.Slots = 1 })
 	gate := make(chan struct{})
-	b.engine.set(func(f *fakeEngine) { f.gate = gate })
-	s := b.accepted(modelOffer("r1"), "{}")
-	require.Eventually(t, func() bool { return len(b.engine.requests()) == 1 }, 5*time.Second, time.Millisecond)
+	fix.engine.set(func(f *fakeEngine) { f.gate = gate })
+	s := fix.accepted(modelOffer("r1"), "{}")
+	require.Eventually(t, func() bool { return len(fix.engine.requests()) == 1 }, 5*time.Second, time.Millisecond)
 	send(t, s, cancelFrame())
 	got := readAnswer(t, s)
 	assert.Equal(t, jayv1.Outcome_OUTCOME_UNKNOWN, got.end.GetOutcome())
-	require.Eventually(t, func() bool { return len(b.engine.cancels()) == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(fix.engine.cancels()) == 1 }, 5*time.Second, time.Millisecond)
 	close(gate)
-	got = readAnswer(t, b.accepted(modelOffer("r2"), "{}"))
+	got = readAnswer(t, fix.accepted(modelOffer("r2"), "{}"))
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome())
 }
 
-func TestEngineErrorsEndAsTheyProve(t *testing.T) {
+func TestEngineErrorsMapToOutcomes(t *testing.T) {
 	tests := map[string]struct {
 		err     error
 		outcome jayv1.Outcome
@@ -112,9 +112,9 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, nil)
-			b.engine.set(func(f *fakeEngine) { f.submitErr = test.err })
-			got := readAnswer(t, b.accepted(modelOffer("r1"), "{}"))
+			fix := newFixture(t, nil)
+			fix.engine.set(func(f *fakeEngine) { f.submitErr = test.err })
+			got := readAnswer(t, fix.accepted(modelOffer("r1"), "{}"))
 			assert.Equal(t, test.outcome, got.end.GetOutcome())
 			assert.Equal(t, test.refusal, got.end.GetRefusal())
 		})
@@ -123,39 +123,39 @@
 
 // During a rollout callers would get "invalid request": the version is unloaded
 // between the acceptance of an offer and its start, and the engine refuses it.
-func TestVersionUnloadedWhileARequestWaitsIsRefusedAsSuch(t *testing.T) {
-	b := newBench(t, func(s *agent.Settings) { s.Engine.PollMS = 60_000 })
-	b.engine.set(func(f *fakeEngine) {
+func TestVersionUnloadedWhileWaitingIsRefusedAsVersion(t *testing.T) {
+	fix := newFixture(t, func(s *agent.Settings) { s.Engine.PollMS = 60_000 })
+	fix.engine.set(func(f *fakeEngine) {
 		f.state.Versions = []string{"sha256:new"}
 		f.submitErr = engine.ErrRefused
 	})
-	got := readAnswer(t, b.accepted(modelOffer("r1"), "{}"))
+	got := readAnswer(t, fix.accepted(modelOffer("r1"), "{}"))
 	assert.Equal(t, jayv1.Outcome_OUTCOME_NOT_RUN, got.end.GetOutcome())
 	assert.Equal(t, jayv1.Refusal_REFUSAL_VERSION, got.end.GetRefusal())
 	assert.Equal(t, []string{"sha256:new"}, got.end.GetState().GetVersionDigests())
 }
 
 func TestEngineDownIsRefusedWithRetryAfter(t *testing.T) {
-	b := newBench(t, nil)
-	b.engine.set(func(f *fakeEngine) { f.down = true })
-	require.Eventually(t, func() bool { return !b.probe().GetReady() }, 5*time.Second, 5*time.Millisecond)
-	_, reply := b.offer(modelOffer("r1"))
+	fix := newFixture(t, nil)
+	fix.engine.set(func(f *fakeEngine) { f.down = true })
+	require.Eventually(t, func() bool { return !fix.probe().GetReady() }, 5*time.Second, 5*time.Millisecond)
+	_, reply := fix.offer(modelOffer("r1"))
 	assert.Equal(t, jayv1.Refusal_REFUSAL_ENGINE_DOWN, reply.GetRefusal())
 	assert.NotZero(t, reply.GetRetryAfterMs())
 }
 
 // A graceful shutdown with an answer under way: new work is refused as
 // leaving, the answer goes on to its end, and only then does the agent stop.
-func TestShutdownEndsRunningWorkAndRefusesNew(t *testing.T) {
-	b := newBench(t, nil)
+func TestShutdownFinishesRunningRequestsAndRefusesNew(t *testing.T) {
+	fix := newFixture(t, nil)
 	gate := make(chan struct{})
-	b.engine.set(func(f *fakeEngine) { f.gate = gate })
-	s := b.accepted(modelOffer("r1"), "{}")
-	require.Eventually(t, func() bool { return len(b.engine.requests()) == 1 }, 5*time.Second, time.Millisecond)
+	fix.engine.set(func(f *fakeEngine) { f.gate = gate })
+	s := fix.accepted(modelOffer("r1"), "{}")
+	require.Eventually(t, func() bool { return len(fix.engine.requests()) == 1 }, 5*time.Second, time.Millisecond)
 	stopped := make(chan error, 1)
-	go func() { stopped <- b.agent.Shutdown(t.Context()) }()
-	require.Eventually(t, func() bool { return b.probe().GetLeaving() }, 5*time.Second, 5*time.Millisecond)
-	_, reply := b.offer(modelOffer("r2"))
+	go func() { stopped <- fix.agent.Shutdown(t.Context()) }()
+	require.Eventually(t, func() bool { return fix.probe().GetLeaving() }, 5*time.Second, 5*time.Millisecond)
+	_, reply := fix.offer(modelOffer("r2"))
 	assert.Equal(t, jayv1.Refusal_REFUSAL_LEAVING, reply.GetRefusal())
 	assert.True(t, reply.GetState().GetLeaving())
 	close(gate)
@@ -167,16 +167,16 @@
 
 // A rolling replacement would cut a request that was accepted while the stop
 // began.
-func TestShutdownCutsNoAcceptedRequest(t *testing.T) {
+func TestShutdownInterruptsNoAcceptedRequest(t *testing.T) {
 	const rounds, callers = 15, 16
 	for range rounds {
-		b := newBench(t, func(s *agent.Settings) { s.Queue.Slots = callers })
+		fix := newFixture(t, func(s *agent.Settings) { s.Queue.Slots = callers })
 		var group sync.WaitGroup
 		var begun atomic.Int32
 		for caller := range callers {
 			group.Go(func() {
 				for i := 0; ; i++ {
-					ok := b.tryWhole(modelOffer(fmt.Sprint("r", caller, "-", i)))
+					ok := fix.runIfAccepted(modelOffer(fmt.Sprint("r", caller, "-", i)))
 					begun.Add(1)
 					if !ok {
 						return
@@ -185,15 +185,15 @@
 			})
 		}
 		require.Eventually(t, func() bool { return begun.Load() > callers }, 5*time.Second, time.Millisecond)
-		require.NoError(t, b.agent.Shutdown(t.Context()))
+		require.NoError(t, fix.agent.Shutdown(t.Context()))
 		group.Wait()
 	}
 }
 
 // tryWhole hands a request over; false when it was refused or no link was made.
 // An accepted one must end whole.
-func (b *bench) tryWhole(offer *jayv1.Offer) bool {
-	s, err := b.entry.Open(b.t.Context(), b.agent.Address(), keys.RoleAgent)
+func (fix *fixture) runIfAccepted(offer *jayv1.Offer) bool {
+	s, err := fix.entry.Open(fix.t.Context(), fix.agent.Address(), keys.RoleAgent)
 	if err != nil || s.Send(offerFrame(offer)) != nil {
 		return false
 	}
@@ -207,25 +207,25 @@
 		frame = &jayv1.ServerFrame{}
 		err = s.Receive(frame)
 	}
-	assert.NoError(b.t, err, "cut after it was accepted")
-	return assert.Equal(b.t, jayv1.Outcome_OUTCOME_DONE, frame.GetEnd().GetOutcome())
+	assert.NoError(fix.t, err, "cut after it was accepted")
+	return assert.Equal(fix.t, jayv1.Outcome_OUTCOME_DONE, frame.GetEnd().GetOutcome())
 }
 
-func TestDrainByAnOperatorRefusesNewWork(t *testing.T) {
+func TestOperatorDrainRefusesNewOffers(t *testing.T) {
 	holder := catalog.NewHolder()
-	b := newBench(t, func(s *agent.Settings) { s.Catalog = holder })
+	fix := newFixture(t, func(s *agent.Settings) { s.Catalog = holder })
 	holder.Adopt(catalog.Build(&jayv1.Snapshot{Generation: 1, Resources: []*jayv1.Resource{
 		{Kind: &jayv1.Resource_BackendServer{BackendServer: &jayv1.BackendServer{Name: "b1", Pool: "p1", Draining: true}}},
 	}}))
-	_, reply := b.offer(modelOffer("r1"))
+	_, reply := fix.offer(modelOffer("r1"))
 	assert.Equal(t, jayv1.Refusal_REFUSAL_LEAVING, reply.GetRefusal())
 	assert.EqualValues(t, 1, reply.GetState().GetGeneration())
 }
 
-func TestAdminPortTellsReadiness(t *testing.T) {
-	b := newBench(t, nil)
+func TestAdminPortReportsReadiness(t *testing.T) {
+	fix := newFixture(t, nil)
 	status := func(path string) int {
-		response, err := http.Get(b.agent.AdminURL() + path)
+		response, err := http.Get(fix.agent.AdminURL() + path)
 		require.NoError(t, err)
 		defer func() { _ = response.Body.Close() }()
 		return response.StatusCode
@@ -233,6 +233,6 @@
 	for _, path := range []string{"/livez", "/readyz", "/metrics", "/debug/state"} {
 		assert.Equal(t, http.StatusOK, status(path), path)
 	}
-	b.agent.StartDrain()
+	fix.agent.StartDrain()
 	assert.Equal(t, http.StatusServiceUnavailable, status("/readyz"))
 }
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -12,19 +12,19 @@
 
 // BenchmarkHandOver is a whole attempt over QUIC on loopback: offer, reply,
 // body, chunks and end, with an engine that answers at once.
-func BenchmarkHandOver(b *testing.B) {
+func BenchmarkHandoff(b *testing.B) {
 	for _, chunks := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("chunks=%d", chunks), func(b *testing.B) {
-			bench := newBench(b, nil)
+			fix := newFixture(b, nil)
 			list := make([]string, chunks)
-			bench.engine.set(func(f *fakeEngine) { f.script = words(list...) })
+			fix.engine.set(func(f *fakeEngine) { f.script = wordEvents(list...) })
 			for i := range list {
 				list[i] = "a token of text"
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				s, err := bench.entry.Open(b.Context(), bench.agent.Address(), keys.RoleAgent)
+				s, err := fix.entry.Open(b.Context(), fix.agent.Address(), keys.RoleAgent)
 				require.NoError(b, err)
 				send(b, s, offerFrame(modelOffer(fmt.Sprint("r", i))))
 				require.True(b, receive(b, s).GetOfferReply().GetAccepted())
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -16,7 +16,7 @@
 		Self: creds.Self(), DataCentre: a.settings.DataCentre, Region: a.settings.Region,
 		Address: a.Address(), Incarnation: uint64(a.started.UnixNano()), //nolint:gosec // after 1970
 		Settings: a.settings.Spread, Node: a.node, Holder: a.catalog,
-		Leaving: a.isLeaving,
+		Leaving: a.isDraining,
 		Process: func(status *jayv1.ProcessStatus) { status.Agent = a.state() },
 	})
 	if err != nil {
@@ -40,7 +40,7 @@
 }
 
 // heardGeneration passes on by which generation a peer routed.
-func (a *Agent) heardGeneration(peer keys.Identity, generation uint64) {
+func (a *Agent) receivedGeneration(peer keys.Identity, generation uint64) {
 	select {
 	case <-a.ready:
 		a.spread.Heard(peer, generation)
@@ -52,7 +52,7 @@
 func (a *Agent) status() *jayv1.ProcessStatus {
 	return &jayv1.ProcessStatus{
 		Name: a.settings.Name, Role: string(keys.RoleAgent), DataCentre: a.settings.DataCentre,
-		Generation: a.catalog.Current().Generation(), Leaving: a.isLeaving(),
+		Generation: a.catalog.Current().Generation(), Leaving: a.isDraining(),
 		StartedUnixMs: a.started.UnixMilli(), Agent: a.state(),
 	}
 }
--- a/internal/agent/engine_test.go
+++ b/internal/agent/engine_test.go
@@ -19,22 +19,22 @@
 )
 
 // standinBench is an agent beside a stand-in of a vendor's engine.
-func standinBench(t *testing.T, vendor string) (*bench, *standin.Engine) {
+func newStandInFixture(t *testing.T, vendor string) (*fixture, *standin.Engine) {
 	t.Helper()
 	started, err := standin.Start(standin.Options{Vendor: vendor, Engine: sim.Options{
 		Versions: []string{digest}, PrefillTokensPerSecond: 1e6, DecodeStep: time.Millisecond, OutputTokens: 4,
 	}})
 	require.NoError(t, err)
 	t.Cleanup(started.Close)
-	b := newBench(t, func(s *agent.Settings) {
+	fix := newFixture(t, func(s *agent.Settings) {
 		s.Engine.Vendor, s.Engine.URL = vendor, started.URL()
 		s.OpenEngine = dialect.Open
 	})
-	return b, started
+	return fix, started
 }
 
 // chat is an offer with its body: a rulebook of some 8 KiB and a document.
-func chat(t testing.TB, id, workspace, document string) (*jayv1.Offer, string) {
+func chatOffer(t testing.TB, id, workspace, document string) (*jayv1.Offer, string) {
 	t.Helper()
 	type message struct {
 		Role    string `json:"role"`
@@ -55,17 +55,17 @@
 
 // A request would be sent for a prefix that nobody holds: the engine has
 // crashed and come back cold, or the text belongs to another workspace.
-func TestOnlyWhatTheEngineHasCachedNowIsClaimed(t *testing.T) {
+func TestOnlyCurrentlyCachedPrefixIsReported(t *testing.T) {
 	for _, vendor := range []string{standin.Merle, standin.Pica} {
 		t.Run(vendor, func(t *testing.T) {
-			b, engine := standinBench(t, vendor)
-			offer, body := chat(t, "r1", "w1", "first")
-			got := readAnswer(t, b.accepted(offer, body))
+			fix, engine := newStandInFixture(t, vendor)
+			offer, body := chatOffer(t, "r1", "w1", "first")
+			got := readAnswer(t, fix.accepted(offer, body))
 			require.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome(), got.end.GetError())
 
 			cached := func(workspace string) uint32 {
-				asked, _ := chat(t, "ask", workspace, "second")
-				s := b.open()
+				asked, _ := chatOffer(t, "ask", workspace, "second")
+				s := fix.open()
 				defer func() { _ = s.CloseSend() }()
 				send(t, s, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Probe{Probe: &jayv1.ProbeRequest{
 					Pool: "p1", Chain: asked.GetChain(), PromptBytes: asked.GetPromptBytes(),
@@ -75,15 +75,15 @@
 			require.Eventually(t, func() bool { return cached("w1") > 8000 }, 5*time.Second, 10*time.Millisecond)
 			assert.Zero(t, cached("w2"))
 
-			before := b.probe().GetIncarnation()
+			before := fix.probe().GetIncarnation()
 			engine.Crash(0)
-			require.Eventually(t, func() bool { return b.probe().GetIncarnation() > before }, 5*time.Second, 10*time.Millisecond)
+			require.Eventually(t, func() bool { return fix.probe().GetIncarnation() > before }, 5*time.Second, 10*time.Millisecond)
 			assert.Zero(t, cached("w1"))
 
-			offer, body = chat(t, "r2", "w1", "third")
+			offer, body = chatOffer(t, "r2", "w1", "third")
 			offer.Incarnation = before // The entry believes in the engine's old cache.
-			require.Eventually(t, func() bool { return b.probe().GetReady() }, 5*time.Second, 10*time.Millisecond)
-			got = readAnswer(t, b.accepted(offer, body))
+			require.Eventually(t, func() bool { return fix.probe().GetReady() }, 5*time.Second, 10*time.Millisecond)
+			got = readAnswer(t, fix.accepted(offer, body))
 			require.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome(), got.end.GetError())
 			assert.Zero(t, got.end.GetUsage().GetCachedTokens())
 			assert.Greater(t, got.end.GetUsage().GetRecomputedTokens(), uint32(1900))
@@ -93,16 +93,16 @@
 
 // A document that many ask about at once would be computed at many engines: the
 // first request computes it here, and the next is declined for that cost.
-func TestPrefixThatIsBeingComputedIsNoCostOfTheNext(t *testing.T) {
-	b := newBench(t, nil)
+func TestPrefixBeingComputedDoesNotCountTowardsCost(t *testing.T) {
+	fix := newFixture(t, nil)
 	gate := make(chan struct{})
-	b.engine.set(func(f *fakeEngine) { f.gate = gate })
-	first, body := chat(t, "r1", "w1", "first")
-	alone, reply := b.offer(first)
+	fix.engine.set(func(f *fakeEngine) { f.gate = gate })
+	first, body := chatOffer(t, "r1", "w1", "first")
+	alone, reply := fix.offer(first)
 	send(t, alone, bodyFrame(body, true))
 	full := reply.GetCostMs()
-	second, body := chat(t, "r2", "w1", "second")
-	shared, reply := b.offer(second)
+	second, body := chatOffer(t, "r2", "w1", "second")
+	shared, reply := fix.offer(second)
 	send(t, shared, bodyFrame(body, true))
 	assert.Greater(t, full, 200.0)
 	assert.Less(t, reply.GetCostMs()-full, 20.0, "it waits for the first, and computes its own end")
@@ -110,8 +110,8 @@
 	close(gate)
 	readAnswer(t, alone)
 	readAnswer(t, shared)
-	third, _ := chat(t, "r3", "w1", "third")
-	_, reply = b.offer(third)
+	third, _ := chatOffer(t, "r3", "w1", "third")
+	_, reply = fix.offer(third)
 	assert.Greater(t, reply.GetCostMs(), 100.0, "both have ended, and the fake caches nothing")
 }
 
@@ -119,10 +119,10 @@
 func TestEngineCrashInTheMiddleEndsInAnError(t *testing.T) {
 	for _, vendor := range []string{standin.Merle, standin.Pica} {
 		t.Run(vendor, func(t *testing.T) {
-			b, engine := standinBench(t, vendor)
-			offer, body := chat(t, "r1", "w1", "long")
+			fix, engine := newStandInFixture(t, vendor)
+			offer, body := chatOffer(t, "r1", "w1", "long")
 			body = strings.Replace(body, `"max_tokens":4`, `"max_tokens":100000`, 1)
-			s := b.accepted(offer, body)
+			s := fix.accepted(offer, body)
 			require.NotEmpty(t, receive(t, s).GetChunk().GetData())
 			engine.Crash(0)
 			got := readAnswer(t, s)
@@ -134,23 +134,23 @@
 }
 
 // Guards against entries that take any broken answer for a crash, or no crash for one.
-func TestTheEndOfARunSaysWhetherItsEngineCrashed(t *testing.T) {
+func TestEndReportsWhetherEngineCrashed(t *testing.T) {
 	for _, vendor := range []string{standin.Merle, standin.Pica} {
 		t.Run(vendor, func(t *testing.T) {
-			b, engine := standinBench(t, vendor)
-			before := b.probe().GetIncarnation()
+			fix, engine := newStandInFixture(t, vendor)
+			before := fix.probe().GetIncarnation()
 			engine.CrashOn("crash", time.Hour)
-			offer, body := chat(t, "r1", "w1", "crash")
-			got := readAnswer(t, b.accepted(offer, body))
+			offer, body := chatOffer(t, "r1", "w1", "crash")
+			got := readAnswer(t, fix.accepted(offer, body))
 			assert.Equal(t, jayv1.Outcome_OUTCOME_UNKNOWN, got.end.GetOutcome())
 			assert.True(t, got.end.GetEngineCrashed(), got.end.GetError())
 			assert.Equal(t, before, got.end.GetIncarnation())
 		})
 		t.Run(vendor+"-cut", func(t *testing.T) {
-			b, engine := standinBench(t, vendor)
+			fix, engine := newStandInFixture(t, vendor)
 			engine.SetFaults(sim.Faults{BreakShare: 1, BreakAfter: 1})
-			offer, body := chat(t, "r1", "w1", "cut")
-			got := readAnswer(t, b.accepted(offer, body))
+			offer, body := chatOffer(t, "r1", "w1", "cut")
+			got := readAnswer(t, fix.accepted(offer, body))
 			assert.False(t, got.end.GetEngineCrashed(), got.end.GetError())
 		})
 	}
--- a/internal/agent/enginecache.go
+++ b/internal/agent/enginecache.go
@@ -15,18 +15,18 @@
 
 const (
 	// eventRetry is the pause before the stream of events is opened again.
-	eventRetry = 200 * time.Millisecond
+	eventRetryInterval = 200 * time.Millisecond
 	// cacheTick is how often overdue events are given up.
-	cacheTick = 100 * time.Millisecond
+	repairInterval = 100 * time.Millisecond
 	// snapshotEvery is the least time between two snapshots: one takes the
 	// engine and the agent some milliseconds for 23,000 blocks.
-	snapshotEvery = time.Second
+	snapshotInterval = time.Second
 	// snapshotTimeout bounds the reading of one.
 	snapshotTimeout = 5 * time.Second
 	// seekStep is less than the events that engines keep for late readers, and
 	// seekTries bounds the search for the place where they start.
-	seekStep  = 2048
-	seekTries = 1 << 14
+	seekStep     = 2048
+	maxSeekSteps = 1 << 14
 )
 
 // engineCache keeps the index of the engine's cache up to date.
@@ -51,7 +51,7 @@
 
 // look returns how much of a prompt's start is cached now, and how much was
 // submitted here before.
-func (c *engineCache) look(now time.Time, chain []*jayv1.PrefixPoint) (cached, known int) {
+func (c *engineCache) lookup(now time.Time, chain []*jayv1.PrefixPoint) (cached, submitted int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.index.CachedBytes(now, c.aliases, chain), c.aliases.KnownBytes(chain)
@@ -59,7 +59,7 @@
 
 // submitted learns which of the engine's blocks stand for the points of the
 // prompt that was just handed over.
-func (c *engineCache) submitted(chain []*jayv1.PrefixPoint, req engine.Request) {
+func (c *engineCache) recordSubmitted(chain []*jayv1.PrefixPoint, req engine.Request) {
 	blocks, ends, err := c.engine.Blocks(req)
 	if err != nil {
 		klog.V(1).InfoS("blocks of a prompt not known", "request", req.ID, "error", err.Error())
@@ -71,7 +71,7 @@
 	c.index.Used(time.Now(), blocks)
 }
 
-func (c *engineCache) sawIncarnation(incarnation uint64) {
+func (c *engineCache) observeIncarnation(incarnation uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index.SawIncarnation(incarnation)
@@ -83,7 +83,7 @@
 	return c.index.Incarnation()
 }
 
-func (c *engineCache) survival(now time.Time) time.Duration {
+func (c *engineCache) retention(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.index.Survival(now)
@@ -98,7 +98,7 @@
 
 // repair reads snapshots when the index asks for them, and gives up overdue events.
 func (c *engineCache) repair(ctx context.Context) {
-	ticker := time.NewTicker(cacheTick)
+	ticker := time.NewTicker(repairInterval)
 	defer ticker.Stop()
 	var lastSnapshot time.Time
 	for {
@@ -107,7 +107,7 @@
 		c.index.Tick(now)
 		wanted := c.index.NeedsSnapshot() && c.snapshots
 		c.mu.Unlock()
-		if wanted && now.Sub(lastSnapshot) >= snapshotEvery {
+		if wanted && now.Sub(lastSnapshot) >= snapshotInterval {
 			lastSnapshot = now
 			c.resync(ctx)
 		}
@@ -142,21 +142,21 @@
 }
 
 // follow reads cache events until the context ends.
-func (c *engineCache) follow(ctx context.Context) {
+func (c *engineCache) followEvents(ctx context.Context) {
 	for ctx.Err() == nil {
-		if reader := c.open(ctx); reader != nil {
-			err := c.read(ctx, reader)
+		if reader := c.openEvents(ctx); reader != nil {
+			err := c.readEvents(ctx, reader)
 			_ = reader.Close()
 			klog.V(1).InfoS("cache events ended", "cause", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(eventRetry):
+		case <-time.After(eventRetryInterval):
 		}
 	}
 }
 
-func (c *engineCache) read(ctx context.Context, reader engine.EventReader) error {
+func (c *engineCache) readEvents(ctx context.Context, reader engine.EventReader) error {
 	for {
 		events, err := reader.Next(ctx)
 		if err != nil {
@@ -171,7 +171,7 @@
 // open subscribes where the index stands. When the engine no longer has those
 // events, the picture is lost; a snapshot tells where to go on, and without
 // one the place is searched for.
-func (c *engineCache) open(ctx context.Context) engine.EventReader {
+func (c *engineCache) openEvents(ctx context.Context) engine.EventReader {
 	c.mu.Lock()
 	after := max(c.index.Next(), 1) - 1
 	c.mu.Unlock()
@@ -189,12 +189,12 @@
 	if snapshots {
 		return nil
 	}
-	return c.seek(ctx)
+	return c.seekEvents(ctx)
 }
 
 // seek finds the events that the engine still keeps.
-func (c *engineCache) seek(ctx context.Context) engine.EventReader {
-	for i := range uint64(seekTries) {
+func (c *engineCache) seekEvents(ctx context.Context) engine.EventReader {
+	for i := range uint64(maxSeekSteps) {
 		reader, err := c.engine.Events(ctx, i*seekStep)
 		if err == nil {
 			return reader
--- a/internal/agent/enginestate.go
+++ b/internal/agent/enginestate.go
@@ -15,17 +15,17 @@
 
 const (
 	// engineDownRetry is what a caller is told to wait while the engine is down.
-	engineDownRetry = 2 * time.Second
+	engineRetryAfter = 2 * time.Second
 	// statePollTimeout bounds one reading of the engine's state.
 	statePollTimeout = 2 * time.Second
 )
 
 // modelBackend is the model engine beside the agent with what is known of it.
 type modelBackend struct {
-	engine engine.Engine
-	cache  *engineCache
-	kv     *kvLink
-	every  time.Duration
+	engine       engine.Engine
+	cache        *engineCache
+	kv           *kvStore
+	pollInterval time.Duration
 
 	mu    sync.Mutex
 	up    bool
@@ -33,15 +33,15 @@
 }
 
 func newModelBackend(e engine.Engine, s Settings) *modelBackend {
-	return &modelBackend{engine: e, cache: newEngineCache(e, time.Now()), kv: newKVLink(s), every: millis(s.Engine.PollMS)}
+	return &modelBackend{engine: e, cache: newEngineCache(e, time.Now()), kv: newKVStore(s), pollInterval: millis(s.Engine.PollMS)}
 }
 
 // poll reads the engine's state until the context ends.
 func (m *modelBackend) poll(ctx context.Context) {
-	ticker := time.NewTicker(m.every)
+	ticker := time.NewTicker(m.pollInterval)
 	defer ticker.Stop()
 	for {
-		m.read(ctx)
+		m.readState(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -50,7 +50,7 @@
 	}
 }
 
-func (m *modelBackend) read(ctx context.Context) {
+func (m *modelBackend) readState(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, statePollTimeout)
 	defer cancel()
 	state, err := m.engine.State(ctx)
@@ -58,7 +58,7 @@
 		m.markDown(err)
 		return
 	}
-	m.cache.sawIncarnation(state.Incarnation)
+	m.cache.observeIncarnation(state.Incarnation)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if state.Incarnation < m.state.Incarnation {
@@ -120,11 +120,11 @@
 }
 
 // describe fills in the engine's part of the agent's state.
-func (m *modelBackend) describe(state *jayv1.AgentState) {
+func (m *modelBackend) fillState(state *jayv1.AgentState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	state.Incarnation = m.incarnationLocked()
-	state.CacheSurvivalMs = float64(m.cache.survival(time.Now())) / float64(time.Millisecond)
+	state.CacheSurvivalMs = float64(m.cache.retention(time.Now())) / float64(time.Millisecond)
 	state.VersionDigests = m.state.Versions
 	state.Adapters = m.state.Adapters
 	state.Ready = m.up && len(m.state.Versions) > 0
--- a/internal/agent/fake_test.go
+++ b/internal/agent/fake_test.go
@@ -38,12 +38,12 @@
 func newFakeEngine() *fakeEngine {
 	return &fakeEngine{
 		state:  engine.State{Incarnation: 1, Versions: []string{digest}, BlockTokens: 16},
-		script: words("one", "two", "three"),
+		script: wordEvents("one", "two", "three"),
 	}
 }
 
 // words scripts one event a word and a last one with the usage.
-func words(list ...string) func(engine.Request) []engine.Event {
+func wordEvents(list ...string) func(engine.Request) []engine.Event {
 	return func(req engine.Request) []engine.Event {
 		var events []engine.Event
 		for i, word := range list {
@@ -161,7 +161,7 @@
 func (s *fakeStream) Close() error { return nil }
 
 // bench is an agent with a fake engine or a service, and an entry's node.
-type bench struct {
+type fixture struct {
 	t      testing.TB
 	agent  *agent.Agent
 	engine *fakeEngine
@@ -169,12 +169,12 @@
 	issue  func(role keys.Role, name string) string
 }
 
-func newBench(t testing.TB, change func(*agent.Settings)) *bench {
+func newFixture(t testing.TB, change func(*agent.Settings)) *fixture {
 	t.Helper()
 	authority, err := keys.NewAuthority(time.Hour)
 	require.NoError(t, err)
-	b := &bench{t: t, engine: newFakeEngine()}
-	b.issue = func(role keys.Role, name string) string {
+	fix := &fixture{t: t, engine: newFakeEngine()}
+	fix.issue = func(role keys.Role, name string) string {
 		dir := t.TempDir()
 		cert, err := authority.Issue(keys.Identity{Role: role, Name: name}, time.Hour)
 		require.NoError(t, err)
@@ -183,45 +183,45 @@
 	}
 	settings := agent.Default()
 	settings.Name = "b1"
-	settings.Keys = b.issue(keys.RoleAgent, "b1")
+	settings.Keys = fix.issue(keys.RoleAgent, "b1")
 	settings.Engine.URL = "http://127.0.0.1:1"
 	settings.Engine.PollMS = 10
-	settings.OpenEngine = func(string, string) (engine.Engine, error) { return b.engine, nil }
+	settings.OpenEngine = func(string, string) (engine.Engine, error) { return fix.engine, nil }
 	if change != nil {
 		change(&settings)
 	}
-	b.agent, err = agent.Start(t.Context(), settings)
+	fix.agent, err = agent.Start(t.Context(), settings)
 	require.NoError(t, err)
-	t.Cleanup(b.agent.Close)
-	b.entry = b.node(keys.RoleEntry, "e1")
+	t.Cleanup(fix.agent.Close)
+	fix.entry = fix.node(keys.RoleEntry, "e1")
 	if settings.Engine.URL != "" {
-		require.Eventually(t, func() bool { return b.probe().GetReady() }, 5*time.Second, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return fix.probe().GetReady() }, 5*time.Second, 5*time.Millisecond)
 	}
-	return b
+	return fix
 }
 
-func (b *bench) node(role keys.Role, name string) *transport.Node {
-	creds, err := transport.LoadCredentials(b.issue(role, name))
-	require.NoError(b.t, err)
+func (fix *fixture) node(role keys.Role, name string) *transport.Node {
+	creds, err := transport.LoadCredentials(fix.issue(role, name))
+	require.NoError(fix.t, err)
 	node, err := transport.Listen(transport.Options{Address: "127.0.0.1:0"}, creds,
 		func(_ context.Context, _ keys.Identity, s *transport.Stream) { s.Abort() })
-	require.NoError(b.t, err)
-	b.t.Cleanup(func() { _ = node.Close() })
+	require.NoError(fix.t, err)
+	fix.t.Cleanup(func() { _ = node.Close() })
 	return node
 }
 
-func (b *bench) open() *transport.Stream {
-	b.t.Helper()
-	s, err := b.entry.Open(b.t.Context(), b.agent.Address(), keys.RoleAgent)
-	require.NoError(b.t, err)
+func (fix *fixture) open() *transport.Stream {
+	fix.t.Helper()
+	s, err := fix.entry.Open(fix.t.Context(), fix.agent.Address(), keys.RoleAgent)
+	require.NoError(fix.t, err)
 	return s
 }
 
-func (b *bench) probe() *jayv1.AgentState {
-	s := b.open()
+func (fix *fixture) probe() *jayv1.AgentState {
+	s := fix.open()
 	defer func() { _ = s.CloseSend() }()
-	send(b.t, s, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Probe{Probe: &jayv1.ProbeRequest{}}})
-	return receive(b.t, s).GetProbeReply().GetState()
+	send(fix.t, s, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Probe{Probe: &jayv1.ProbeRequest{}}})
+	return receive(fix.t, s).GetProbeReply().GetState()
 }
 
 func send(t testing.TB, s *transport.Stream, frame *jayv1.ClientFrame) {
@@ -265,22 +265,22 @@
 }
 
 // offer sends an offer and returns the reply.
-func (b *bench) offer(offer *jayv1.Offer) (*transport.Stream, *jayv1.OfferReply) {
-	b.t.Helper()
-	s := b.open()
-	send(b.t, s, offerFrame(offer))
-	reply := receive(b.t, s).GetOfferReply()
-	require.NotNil(b.t, reply)
+func (fix *fixture) offer(offer *jayv1.Offer) (*transport.Stream, *jayv1.OfferReply) {
+	fix.t.Helper()
+	s := fix.open()
+	send(fix.t, s, offerFrame(offer))
+	reply := receive(fix.t, s).GetOfferReply()
+	require.NotNil(fix.t, reply)
 	return s, reply
 }
 
 // accepted sends an offer that must be accepted, and its body.
-func (b *bench) accepted(offer *jayv1.Offer, body string) *transport.Stream {
-	b.t.Helper()
-	s, reply := b.offer(offer)
-	require.True(b.t, reply.GetAccepted(), "refused: %s %s", reply.GetRefusal(), reply.GetMessage())
+func (fix *fixture) accepted(offer *jayv1.Offer, body string) *transport.Stream {
+	fix.t.Helper()
+	s, reply := fix.offer(offer)
+	require.True(fix.t, reply.GetAccepted(), "refused: %s %s", reply.GetRefusal(), reply.GetMessage())
 	if offer.GetHasBody() {
-		send(b.t, s, bodyFrame(body, true))
+		send(fix.t, s, bodyFrame(body, true))
 	}
 	return s
 }
--- a/internal/agent/kv.go
+++ b/internal/agent/kv.go
@@ -23,7 +23,7 @@
 const (
 	// kvAskTimeout bounds the question what the store has, and kvTransferTimeout
 	// a fetch or a put: a store that is slow must cost less than computing.
-	kvAskTimeout      = 50 * time.Millisecond
+	kvLookupTimeout   = 50 * time.Millisecond
 	kvTransferTimeout = 2 * time.Second
 	// maxKVBytes of one fetch.
 	maxKVBytes = 1 << 30
@@ -35,7 +35,7 @@
 )
 
 // kvLink moves KV cache between the engine and the store of kept KV cache.
-type kvLink struct {
+type kvStore struct {
 	base   string
 	vendor string
 	client *http.Client
@@ -43,11 +43,11 @@
 	mu      sync.Mutex
 	planner *kvplan.Planner
 	// moving: an export is under way; one at a time is enough.
-	moving bool
+	exporting bool
 }
 
-func newKVLink(s Settings) *kvLink {
-	return &kvLink{
+func newKVStore(s Settings) *kvStore {
+	return &kvStore{
 		base: strings.TrimSuffix(s.Engine.KVURL, "/"), vendor: s.Engine.Vendor,
 		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, DisableCompression: true}},
 		planner: kvplan.New(),
@@ -56,28 +56,28 @@
 
 // url of a point's blob. The point's hash covers workspace, model, version and
 // adapter; blobs of different vendors do not mix.
-func (k *kvLink) url(point *jayv1.PrefixPoint) string {
+func (k *kvStore) url(point *jayv1.PrefixPoint) string {
 	return fmt.Sprintf("%s/kv/%s-%016x", k.base, k.vendor, point.GetHash())
 }
 
 // usesKV tells whether the pool keeps KV cache in a store that is reached from here.
-func (a *Agent) usesKV(w *work) bool {
-	pool, ok := a.catalog.Current().Pool(w.offer.GetPool())
+func (a *Agent) usesKV(att *attempt) bool {
+	pool, ok := a.catalog.Current().Pool(att.offer.GetPool())
 	return ok && pool.GetKvService() != "" && a.model.kv.base != ""
 }
 
 // importKV fetches the missing part of the prompt's prefix when that is cheaper
 // than computing it. Whatever fails, the engine computes.
-func (a *Agent) importKV(w *work) {
-	if !a.usesKV(w) {
+func (a *Agent) importKV(att *attempt) {
+	if !a.usesKV(att) {
 		return
 	}
-	k, rate, perToken := a.model.kv, a.schedule.prefillRate(), a.bytesPerToken(w.offer.GetPool())
-	cached, _ := a.model.cache.look(time.Now(), w.offer.GetChain())
+	k, rate, perToken := a.model.kv, a.scheduler.prefillRate(), a.bytesPerToken(att.offer.GetPool())
+	cached, _ := a.model.cache.lookup(time.Now(), att.offer.GetChain())
 	k.mu.Lock()
-	candidates := k.planner.Candidates(time.Now(), w.offer.GetChain(), cached, rate, perToken)
+	candidates := k.planner.Candidates(time.Now(), att.offer.GetChain(), cached, rate, perToken)
 	k.mu.Unlock()
-	point, size := k.find(w.ctx, candidates)
+	point, size := k.findDeepest(att.ctx, candidates)
 	if point == nil {
 		return
 	}
@@ -87,24 +87,24 @@
 	if !worth {
 		return
 	}
-	if err := k.fetch(w.ctx, a.model.engine, point, size); err != nil {
-		klog.V(1).InfoS("KV cache not imported", "request", w.id, "error", err.Error())
+	if err := k.fetch(att.ctx, a.model.engine, point, size); err != nil {
+		klog.V(1).InfoS("KV cache not imported", "request", att.id, "error", err.Error())
 		return
 	}
-	w.missedTokens = a.tokens(w.offer.GetPool(), int(w.offer.GetPromptBytes())-int(point.GetBytes()))
-	a.metrics.Count(metricImported, w.offer.GetWorkspace(), 1)
+	att.uncachedTokens = a.tokens(att.offer.GetPool(), int(att.offer.GetPromptBytes())-int(point.GetBytes()))
+	a.metrics.Count(metricImported, att.offer.GetWorkspace(), 1)
 }
 
 // find asks the store for all candidates at once and returns the deepest that
 // it has, with its size in bytes.
-func (k *kvLink) find(ctx context.Context, candidates []*jayv1.PrefixPoint) (*jayv1.PrefixPoint, int64) {
-	ctx, cancel := context.WithTimeout(ctx, kvAskTimeout)
+func (k *kvStore) findDeepest(ctx context.Context, candidates []*jayv1.PrefixPoint) (*jayv1.PrefixPoint, int64) {
+	ctx, cancel := context.WithTimeout(ctx, kvLookupTimeout)
 	defer cancel()
 	sizes := make([]int64, len(candidates))
 	var group errgroup.Group
 	for i, point := range candidates {
 		group.Go(func() error {
-			size, err := k.ask(ctx, point)
+			size, err := k.lookupSize(ctx, point)
 			if err == nil {
 				sizes[i] = size
 			}
@@ -120,9 +120,9 @@
 	return nil, 0
 }
 
-func (k *kvLink) ask(ctx context.Context, point *jayv1.PrefixPoint) (int64, error) {
+func (k *kvStore) lookupSize(ctx context.Context, point *jayv1.PrefixPoint) (int64, error) {
 	response, err := k.do(ctx, http.MethodHead, point, nil)
-	k.note(point, err)
+	k.recordPresence(point, err)
 	if err != nil {
 		return 0, err
 	}
@@ -131,7 +131,7 @@
 }
 
 // note keeps what the store said about a point; a failed call says nothing.
-func (k *kvLink) note(point *jayv1.PrefixPoint, err error) {
+func (k *kvStore) recordPresence(point *jayv1.PrefixPoint, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
@@ -142,13 +142,13 @@
 	}
 }
 
-func (k *kvLink) fetch(ctx context.Context, e engine.Engine, point *jayv1.PrefixPoint, size int64) error {
+func (k *kvStore) fetch(ctx context.Context, e engine.Engine, point *jayv1.PrefixPoint, size int64) error {
 	ctx, cancel := context.WithTimeout(ctx, kvTransferTimeout)
 	defer cancel()
 	began := time.Now()
 	response, err := k.do(ctx, http.MethodGet, point, nil)
 	if err != nil {
-		k.note(point, err)
+		k.recordPresence(point, err)
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
@@ -165,7 +165,7 @@
 	return nil
 }
 
-func (k *kvLink) do(ctx context.Context, method string, point *jayv1.PrefixPoint, body []byte) (*http.Response, error) {
+func (k *kvStore) do(ctx context.Context, method string, point *jayv1.PrefixPoint, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, k.url(point), bytes.NewReader(body))
 	if err != nil {
 		return nil, eris.Wrap(err, "KV request")
@@ -186,32 +186,32 @@
 
 // keepKV counts the prompt and puts its hot prefix into the store while the
 // engine is evicting: without pressure every engine keeps its own.
-func (a *Agent) keepKV(w *work, req engine.Request) {
-	if !a.usesKV(w) {
+func (a *Agent) exportKV(att *attempt, req engine.Request) {
+	if !a.usesKV(att) {
 		return
 	}
-	k, rate, perToken := a.model.kv, a.schedule.prefillRate(), a.bytesPerToken(w.offer.GetPool())
+	k, rate, perToken := a.model.kv, a.scheduler.prefillRate(), a.bytesPerToken(att.offer.GetPool())
 	pressure := a.model.cache.evicting()
 	k.mu.Lock()
-	k.planner.Used(w.offer.GetChain())
-	point := k.planner.Keep(time.Now(), w.offer.GetChain(), rate, perToken)
-	if point == nil || !pressure || k.moving {
+	k.planner.Used(att.offer.GetChain())
+	point := k.planner.Keep(time.Now(), att.offer.GetChain(), rate, perToken)
+	if point == nil || !pressure || k.exporting {
 		k.mu.Unlock()
 		return
 	}
-	k.moving = true
+	k.exporting = true
 	k.mu.Unlock()
-	a.goRun(func() {
+	a.goTracked(func() {
 		if err := k.put(a.ctx, a.model.engine, point, req); err != nil {
-			klog.V(1).InfoS("KV cache not kept", "request", w.id, "error", err.Error())
+			klog.V(1).InfoS("KV cache not kept", "request", att.id, "error", err.Error())
 		}
 		k.mu.Lock()
-		k.moving = false
+		k.exporting = false
 		k.mu.Unlock()
 	})
 }
 
-func (k *kvLink) put(ctx context.Context, e engine.Engine, point *jayv1.PrefixPoint, req engine.Request) error {
+func (k *kvStore) put(ctx context.Context, e engine.Engine, point *jayv1.PrefixPoint, req engine.Request) error {
 	ctx, cancel := context.WithTimeout(ctx, kvTransferTimeout)
 	defer cancel()
 	blocks, ends, err := e.Blocks(req)
@@ -231,6 +231,6 @@
 		return err
 	}
 	_ = response.Body.Close()
-	k.note(point, nil)
+	k.recordPresence(point, nil)
 	return nil
 }
--- a/internal/agent/kv_test.go
+++ b/internal/agent/kv_test.go
@@ -19,7 +19,7 @@
 )
 
 // kvBench is an agent beside a cold engine with a small cache and a store.
-func kvBench(t *testing.T, vendor string, store *kvstore.Store) *bench {
+func newKVFixture(t *testing.T, vendor string, store *kvstore.Store) *fixture {
 	t.Helper()
 	started, err := standin.Start(standin.Options{Vendor: vendor, Engine: sim.Options{
 		Versions: []string{digest}, CacheBlocks: 400, PrefillTokensPerSecond: 8000, DecodeStep: time.Millisecond, OutputTokens: 2,
@@ -31,18 +31,18 @@
 		{Kind: &jayv1.Resource_Pool{Pool: &jayv1.Pool{Name: "p1", Model: "m", KvService: "memoria-prompts"}}},
 		{Kind: &jayv1.Resource_BackendServer{BackendServer: &jayv1.BackendServer{Name: "b1", Pool: "p1"}}},
 	}}))
-	return newBench(t, func(s *agent.Settings) {
+	return newFixture(t, func(s *agent.Settings) {
 		s.Engine.Vendor, s.Engine.URL, s.Engine.KVURL = vendor, started.URL(), store.URL()
 		s.OpenEngine, s.Catalog = dialect.Open, holder
 	})
 }
 
 // cachedTokens runs a prompt and returns what the engine reused of it.
-func (b *bench) cachedTokens(id, workspace, document string) uint32 {
-	b.t.Helper()
-	offer, body := chat(b.t, id, workspace, document)
-	got := readAnswer(b.t, b.accepted(offer, body))
-	require.Equal(b.t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome(), got.end.GetError())
+func (fix *fixture) runCachedTokens(id, workspace, document string) uint32 {
+	fix.t.Helper()
+	offer, body := chatOffer(fix.t, id, workspace, document)
+	got := readAnswer(fix.t, fix.accepted(offer, body))
+	require.Equal(fix.t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome(), got.end.GetError())
 	return got.end.GetUsage().GetCachedTokens()
 }
 
@@ -54,21 +54,21 @@
 			store, err := kvstore.Start(kvstore.Options{})
 			require.NoError(t, err)
 			t.Cleanup(store.Close)
-			warm := kvBench(t, vendor, store)
+			warm := newKVFixture(t, vendor, store)
 			for i := 0; i < 40 && store.Len() == 0; i++ {
-				warm.cachedTokens(fmt.Sprint("warm", i), "w1", strings.Repeat(fmt.Sprint("document ", i, " "), 300))
+				warm.runCachedTokens(fmt.Sprint("warm", i), "w1", strings.Repeat(fmt.Sprint("document ", i, " "), 300))
 			}
 			require.Eventually(t, func() bool { return store.Len() > 0 }, 5*time.Second, 10*time.Millisecond)
 
-			cold := kvBench(t, vendor, store)
-			assert.Greater(t, cold.cachedTokens("r1", "w1", "another"), uint32(1900))
-			assert.Zero(t, cold.cachedTokens("r2", "w2", "another"), "kept for another workspace")
+			cold := newKVFixture(t, vendor, store)
+			assert.Greater(t, cold.runCachedTokens("r1", "w1", "another"), uint32(1900))
+			assert.Zero(t, cold.runCachedTokens("r2", "w2", "another"), "kept for another workspace")
 
 			store.SetFaults(kvstore.Faults{Outage: true})
-			assert.Zero(t, kvBench(t, vendor, store).cachedTokens("r3", "w1", "another"), "store down: computed")
+			assert.Zero(t, newKVFixture(t, vendor, store).runCachedTokens("r3", "w1", "another"), "store down: computed")
 			store.SetFaults(kvstore.Faults{DelayMS: 500})
 			began := time.Now()
-			assert.Zero(t, kvBench(t, vendor, store).cachedTokens("r4", "w1", "another"), "store slow: computed")
+			assert.Zero(t, newKVFixture(t, vendor, store).runCachedTokens("r4", "w1", "another"), "store slow: computed")
 			assert.Less(t, time.Since(began), 2*time.Second)
 		})
 	}
--- a/internal/agent/observe.go
+++ b/internal/agent/observe.go
@@ -22,7 +22,7 @@
 const permille = 1000
 
 // each calls f with both labels that a request counts under.
-func each(offer *jayv1.Offer, f func(label string)) {
+func forEachLabel(offer *jayv1.Offer, f func(label string)) {
 	f(offer.GetWorkspace())
 	f(className(offer.GetClass()))
 }
@@ -37,23 +37,23 @@
 
 func (a *Agent) observeReply(offer *jayv1.Offer, reply *jayv1.OfferReply) {
 	if !reply.GetAccepted() {
-		each(offer, func(label string) { a.metrics.Count(metricRefusals+refusalName(reply.GetRefusal()), label, 1) })
+		forEachLabel(offer, func(label string) { a.metrics.Count(metricRefusals+refusalName(reply.GetRefusal()), label, 1) })
 	}
 }
 
-func (a *Agent) observeFirstToken(w *work) {
-	w.mu.Lock()
-	wait := w.queueWait
-	w.mu.Unlock()
-	each(w.offer, func(label string) {
-		a.metrics.Time(metricFirstToken, label, time.Since(w.offered))
+func (a *Agent) observeFirstToken(att *attempt) {
+	att.mu.Lock()
+	wait := att.queueWait
+	att.mu.Unlock()
+	forEachLabel(att.offer, func(label string) {
+		a.metrics.Time(metricFirstToken, label, time.Since(att.offered))
 		a.metrics.Time(metricQueueWait, label, wait)
 	})
 }
 
-func (a *Agent) observeEnd(w *work, end *jayv1.End) {
+func (a *Agent) observeEnd(att *attempt, end *jayv1.End) {
 	outcome := strings.ToLower(strings.TrimPrefix(end.GetOutcome().String(), "OUTCOME_"))
-	each(w.offer, func(label string) {
+	forEachLabel(att.offer, func(label string) {
 		a.metrics.Count(metricOutcomes+outcome, label, 1)
 		if end.GetRefusal() != 0 {
 			a.metrics.Count(metricRefusals+refusalName(end.GetRefusal()), label, 1)
--- a/internal/agent/offer.go
+++ b/internal/agent/offer.go
@@ -21,67 +21,67 @@
 // the end. A refused offer has not reached the engine or service.
 func (a *Agent) serveOffer(ctx context.Context, offer *jayv1.Offer, s *transport.Stream) {
 	now := time.Now()
-	w := newWork(a.ctx, offer, a.settings.Replay.Bytes, now)
-	reply := a.decide(now, w)
+	att := newAttempt(a.ctx, offer, a.settings.Replay.Bytes, now)
+	reply := a.admit(now, att)
 	reply.State = a.state()
 	a.observeReply(offer, reply)
 	sent := s.Send(&jayv1.ServerFrame{Frame: &jayv1.ServerFrame_OfferReply{OfferReply: reply}})
 	if !reply.GetAccepted() {
-		w.cancel(nil)
+		att.cancel(nil)
 		return
 	}
-	link, err := w.box.attach(0)
+	link, err := att.response.attach(0)
 	if sent != nil || err != nil {
 		s.Abort()
-		a.linkLost(w, link)
+		a.linkLost(att, link)
 		return
 	}
 	_ = s.SetReadDeadline(now.Add(millis(a.settings.Queue.BodyMS)))
 	if !offer.GetHasBody() {
-		a.bodyComplete(w, s)
+		a.bodyComplete(att, s)
 	}
-	a.relay(ctx, w, link, s)
+	a.relay(ctx, att, link, s)
 }
 
 // decide accepts or refuses an offer. An accepted one is in the queue.
-func (a *Agent) decide(now time.Time, w *work) *jayv1.OfferReply {
-	if refusal, message := a.check(w.offer); refusal != 0 {
+func (a *Agent) admit(now time.Time, att *attempt) *jayv1.OfferReply {
+	if refusal, message := a.check(att.offer); refusal != 0 {
 		reply := &jayv1.OfferReply{Refusal: refusal, Message: message}
 		if refusal == jayv1.Refusal_REFUSAL_ENGINE_DOWN {
-			reply.RetryAfterMs = uint32(engineDownRetry.Milliseconds())
+			reply.RetryAfterMs = uint32(engineRetryAfter.Milliseconds())
 		}
 		return reply
 	}
-	if refusal := a.works.add(w); refusal != 0 {
+	if refusal := a.attempts.add(att); refusal != 0 {
 		return &jayv1.OfferReply{Refusal: refusal, Message: "this attempt was offered before, or the agent stops"}
 	}
-	a.measure(now, w)
-	a.applyLimits(w.offer)
-	a.underway.add(w.offer.GetChain())
-	decision := a.schedule.offer(a.admissionRequest(now, w))
+	a.lookupCached(now, att)
+	a.applyLimits(att.offer)
+	a.inFlightPrefixes.add(att.offer.GetChain())
+	decision := a.scheduler.offer(a.admissionRequest(now, att))
 	reply := &jayv1.OfferReply{
 		Accepted:     decision.Accepted,
 		Refusal:      decision.Refusal,
 		RetryAfterMs: uint32(decision.RetryAfter.Milliseconds()),
 		CostMs:       decision.CostMS,
-		CachedBytes:  uint32(w.cachedBytes),
+		CachedBytes:  uint32(att.cachedBytes),
 	}
 	if !decision.Accepted {
-		a.underway.remove(w.offer.GetChain())
-		a.works.withdraw(w.id)
+		a.inFlightPrefixes.remove(att.offer.GetChain())
+		a.attempts.withdraw(att.id)
 		reply.Message = "refused before anything ran"
 	}
 	return reply
 }
 
 // measure fills in what the cache index knows of the prompt.
-func (a *Agent) measure(now time.Time, w *work) {
+func (a *Agent) lookupCached(now time.Time, att *attempt) {
 	if a.model == nil {
 		return
 	}
-	w.cachedBytes, w.knownBytes = a.model.cache.look(now, w.offer.GetChain())
-	shared := max(w.cachedBytes, a.underway.bytes(w.offer.GetChain()))
-	w.missedTokens = a.tokens(w.offer.GetPool(), int(w.offer.GetPromptBytes())-shared)
+	att.cachedBytes, att.submittedBytes = a.model.cache.lookup(now, att.offer.GetChain())
+	shared := max(att.cachedBytes, a.inFlightPrefixes.bytes(att.offer.GetChain()))
+	att.uncachedTokens = a.tokens(att.offer.GetPool(), int(att.offer.GetPromptBytes())-shared)
 }
 
 func (a *Agent) tokens(poolName string, bytes int) float64 {
@@ -93,18 +93,18 @@
 	return catalog.BytesPerToken(pool)
 }
 
-func (a *Agent) admissionRequest(now time.Time, w *work) admission.Request {
+func (a *Agent) admissionRequest(now time.Time, att *attempt) admission.Request {
 	req := admission.Request{
-		ID:         w.id,
-		Workspace:  w.offer.GetWorkspace(),
-		Weight:     w.offer.GetWorkspaceWeight(),
-		Class:      w.offer.GetClass(),
-		Tokens:     w.missedTokens,
-		Bytes:      int(w.offer.GetPromptBytes()),
-		NextBestMS: w.offer.GetNextBestMs(),
-		Final:      w.offer.GetFinal(),
+		ID:         att.id,
+		Workspace:  att.offer.GetWorkspace(),
+		Weight:     att.offer.GetWorkspaceWeight(),
+		Class:      att.offer.GetClass(),
+		Tokens:     att.uncachedTokens,
+		Bytes:      int(att.offer.GetPromptBytes()),
+		NextBestMS: att.offer.GetNextBestMs(),
+		Final:      att.offer.GetFinal(),
 	}
-	if ms := w.offer.GetDeadlineMs(); ms > 0 {
+	if ms := att.offer.GetDeadlineMs(); ms > 0 {
 		req.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	}
 	return req
@@ -114,7 +114,7 @@
 func (a *Agent) applyLimits(offer *jayv1.Offer) {
 	a.applyPool(offer.GetPool())
 	if service, ok := a.catalog.Current().Service(offer.GetService()); ok {
-		a.schedule.configure(int(service.GetConcurrency()), int(service.GetQueueLength()))
+		a.scheduler.configure(int(service.GetConcurrency()), int(service.GetQueueLength()))
 	}
 }
 
@@ -123,9 +123,9 @@
 	if !ok {
 		return
 	}
-	a.schedule.configure(int(pool.GetConcurrency()), int(pool.GetQueueLength()))
+	a.scheduler.configure(int(pool.GetConcurrency()), int(pool.GetQueueLength()))
 	if rate := pool.GetPrefillTokensPerSecond(); rate > 0 {
-		a.schedule.setGuess(rate)
+		a.scheduler.setAssumedRate(rate)
 	}
 }
 
@@ -138,7 +138,7 @@
 		return jayv1.Refusal_REFUSAL_INVALID, "exactly one of pool and service must be set"
 	case int(offer.GetPromptBytes()) > a.settings.Queue.BodyBytes:
 		return jayv1.Refusal_REFUSAL_INVALID, "prompt too large"
-	case a.isLeaving():
+	case a.isDraining():
 		return jayv1.Refusal_REFUSAL_LEAVING, "backend server is leaving"
 	case offer.GetPool() != "":
 		return a.checkModel(offer)
@@ -183,102 +183,102 @@
 
 // takeBody adds a part of the body. What all attempts hold together is bounded
 // here, since the body of a plain service's call has no size in its offer.
-func (a *Agent) takeBody(w *work, data *jayv1.Data, s *transport.Stream) error {
+func (a *Agent) receiveBody(att *attempt, data *jayv1.Data, s *transport.Stream) error {
 	size := len(data.GetData())
-	w.mu.Lock()
-	receiving := w.state == stateReceiving
-	tooLong := len(w.body)+size > a.settings.Queue.BodyBytes
+	att.mu.Lock()
+	receiving := att.state == stateReceiving
+	tooLong := len(att.body)+size > a.settings.Queue.BodyBytes
 	full := a.bodyBytes.Load()+int64(size) > int64(a.settings.Queue.Bytes)
 	if receiving && !tooLong && !full {
-		w.body = append(w.body, data.GetData()...)
+		att.body = append(att.body, data.GetData()...)
 		a.bodyBytes.Add(int64(size))
 	}
-	w.mu.Unlock()
+	att.mu.Unlock()
 	switch {
 	case !receiving:
 		return nil // Refused while the rest of the body was on its way.
 	case tooLong:
-		a.end(w, eventCancel, &jayv1.End{Refusal: jayv1.Refusal_REFUSAL_INVALID, Error: "body too large"})
+		a.end(att, eventCancel, &jayv1.End{Refusal: jayv1.Refusal_REFUSAL_INVALID, Error: "body too large"})
 	case full:
-		a.end(w, eventRefuse, &jayv1.End{
+		a.end(att, eventRefuse, &jayv1.End{
 			Refusal: jayv1.Refusal_REFUSAL_QUEUE_FULL, Error: "too many bodies wait, nothing ran",
-			RetryAfterMs: uint32(engineDownRetry.Milliseconds()),
+			RetryAfterMs: uint32(engineRetryAfter.Milliseconds()),
 		})
 	case data.GetLast():
-		a.bodyComplete(w, s)
+		a.bodyComplete(att, s)
 	}
 	return nil
 }
 
-func (a *Agent) bodyComplete(w *work, s *transport.Stream) {
+func (a *Agent) bodyComplete(att *attempt, s *transport.Stream) {
 	_ = s.SetReadDeadline(time.Time{})
-	if _, changed := w.fire(eventBodyComplete); changed {
-		a.schedule.ready(w.id)
+	if _, changed := att.fire(eventBodyComplete); changed {
+		a.scheduler.ready(att.id)
 	}
 }
 
 // perform does what the admission queue asks for.
 func (a *Agent) perform(action admission.Action) {
-	w := a.works.get(action.ID)
-	if w == nil {
+	att := a.attempts.get(action.ID)
+	if att == nil {
 		return
 	}
 	if action.Kind == admission.Refuse {
-		a.end(w, eventRefuse, &jayv1.End{
+		a.end(att, eventRefuse, &jayv1.End{
 			Refusal:      action.Refusal,
 			Error:        "refused while it waited, nothing ran",
 			RetryAfterMs: uint32(action.RetryAfter.Milliseconds()),
 		})
 		return
 	}
-	if _, started := w.fire(eventStart); !started {
+	if _, started := att.fire(eventStart); !started {
 		return // Cancelled in the same moment; its end frees the slot.
 	}
-	w.mu.Lock()
-	w.queueWait = action.Waited
-	w.mu.Unlock()
-	a.goRun(func() { a.run(w) })
+	att.mu.Lock()
+	att.queueWait = action.Waited
+	att.mu.Unlock()
+	a.goTracked(func() { a.run(att) })
 }
 
-func (a *Agent) run(w *work) {
-	if w.offer.GetPool() != "" {
-		a.runModel(w)
+func (a *Agent) run(att *attempt) {
+	if att.offer.GetPool() != "" {
+		a.runModel(att)
 		return
 	}
-	a.runService(w)
+	a.runService(att)
 }
 
 // end moves an attempt to its final state by the event and sends its last
 // frame. An attempt that is over already stays as it ended.
-func (a *Agent) end(w *work, event string, end *jayv1.End) {
-	if _, changed := w.fire(event); !changed {
+func (a *Agent) end(att *attempt, event string, end *jayv1.End) {
+	if _, changed := att.fire(event); !changed {
 		return
 	}
-	a.settle(w, end)
+	a.finishAttempt(att, end)
 }
 
 // settle completes an attempt that has just reached its final state.
-func (a *Agent) settle(w *work, end *jayv1.End) {
-	state := w.current()
+func (a *Agent) finishAttempt(att *attempt, end *jayv1.End) {
+	state := att.currentState()
 	end.Outcome = outcomeOf(state)
-	w.mu.Lock()
-	a.bodyBytes.Add(-int64(len(w.body)))
-	w.body = nil
-	handed := w.handed
-	w.mu.Unlock()
-	w.cancel(nil)
-	a.underway.remove(w.offer.GetChain())
-	if !handed {
-		a.schedule.done(w.id)
+	att.mu.Lock()
+	a.bodyBytes.Add(-int64(len(att.body)))
+	att.body = nil
+	started := att.started
+	att.mu.Unlock()
+	att.cancel(nil)
+	a.inFlightPrefixes.remove(att.offer.GetChain())
+	if !started {
+		a.scheduler.done(att.id)
 	}
 	end.State = a.state()
-	a.observeEnd(w, end)
-	w.box.finish(end)
-	a.works.keep(w.id, w.box.bytes())
-	klog.V(1).InfoS("attempt ended", "request", w.offer.GetRequestId(), "attempt", w.offer.GetAttempt(),
-		"workspace", w.offer.GetWorkspace(), "backendServer", a.settings.Name, "outcome", state,
+	a.observeEnd(att, end)
+	att.response.finish(end)
+	a.attempts.keep(att.id, att.response.bytes())
+	klog.V(1).InfoS("attempt ended", "request", att.offer.GetRequestId(), "attempt", att.offer.GetAttempt(),
+		"workspace", att.offer.GetWorkspace(), "backendServer", a.settings.Name, "outcome", state,
 		"refusal", end.GetRefusal().String(), "error", end.GetError())
 	// An answer that nobody fetches is let go after the retain time.
-	id := w.id
-	time.AfterFunc(millis(a.settings.Replay.RetainMS), func() { a.works.forget(id) })
+	id := att.id
+	time.AfterFunc(millis(a.settings.Replay.RetainMS), func() { a.attempts.forget(id) })
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -19,20 +19,20 @@
 
 const (
 	// fencePrefix is followed by the backend server's name in the key of its floor.
-	fencePrefix = "fence/"
+	watermarkKeyPrefix = "fence/"
 	// orderTimeout bounds one order's call of the engine; then its outcome is unknown.
 	orderTimeout = 60 * time.Second
 	// floorTimeout bounds one call of the table.
-	floorTimeout = 5 * time.Second
+	watermarkTimeout = 5 * time.Second
 	// orderTick is how often orders that wait for a slow engine are looked at.
-	orderTick = 200 * time.Millisecond
+	orderCheckInterval = 200 * time.Millisecond
 )
 
 // errOrderInvalid means that an order does not concern this backend server.
-var errOrderInvalid = errors.New("order is not for this backend server")
+var errWrongServer = errors.New("order is not for this backend server")
 
 // orderDesk does the I/O around the gate.
-type orderDesk struct {
+type orderHandler struct {
 	agent *Agent
 	table platform.Table // nil without a platform
 
@@ -47,18 +47,18 @@
 	done  chan error
 }
 
-func newOrderDesk(a *Agent) *orderDesk {
-	d := &orderDesk{agent: a, pending: map[uint64]*pendingOrder{}, gate: ordergate.NewChecked(ordergate.DefaultSettleTime)}
+func newOrderHandler(a *Agent) *orderHandler {
+	h := &orderHandler{agent: a, pending: map[uint64]*pendingOrder{}, gate: ordergate.NewChecked(ordergate.DefaultSettleTime)}
 	if a.settings.Platform != "" {
-		d.table = platform.NewClient(a.settings.Platform, platform.ClientOptions{})
-		d.gate = ordergate.New(ordergate.DefaultSettleTime)
+		h.table = platform.NewClient(a.settings.Platform, platform.ClientOptions{})
+		h.gate = ordergate.New(ordergate.DefaultSettleTime)
 	}
-	return d
+	return h
 }
 
 // watch tells the gate of the engine's boots and of time passing.
-func (d *orderDesk) watch(ctx context.Context) {
-	ticker := time.NewTicker(orderTick)
+func (h *orderHandler) watch(ctx context.Context) {
+	ticker := time.NewTicker(orderCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -66,106 +66,106 @@
 			return
 		case <-ticker.C:
 		}
-		incarnation := d.agent.model.cache.incarnation()
-		d.with(func(now time.Time) []ordergate.Action { return d.gate.ObserveIncarnation(now, incarnation) })
+		incarnation := h.agent.model.cache.incarnation()
+		h.update(func(now time.Time) []ordergate.Action { return h.gate.ObserveIncarnation(now, incarnation) })
 	}
 }
 
 // with runs a step of the gate and then, outside the lock, what it asked for.
-func (d *orderDesk) with(step func(now time.Time) []ordergate.Action) {
-	d.mu.Lock()
+func (h *orderHandler) update(step func(now time.Time) []ordergate.Action) {
+	h.mu.Lock()
 	actions := step(time.Now())
-	d.mu.Unlock()
+	h.mu.Unlock()
 	for _, action := range actions {
-		d.perform(action)
+		h.perform(action)
 	}
 }
 
-func (d *orderDesk) perform(action ordergate.Action) {
+func (h *orderHandler) perform(action ordergate.Action) {
 	switch a := action.(type) {
 	case ordergate.Reply:
-		d.mu.Lock()
-		p := d.pending[a.ID]
-		delete(d.pending, a.ID)
-		d.mu.Unlock()
+		h.mu.Lock()
+		p := h.pending[a.ID]
+		delete(h.pending, a.ID)
+		h.mu.Unlock()
 		if p != nil {
 			p.done <- a.Err
 		}
 	case ordergate.ReadWatermark:
-		d.agent.goRun(d.readFloor)
+		h.agent.goTracked(h.readWatermark)
 	case ordergate.WriteWatermark:
-		d.agent.goRun(func() { d.writeFloor(a) })
+		h.agent.goTracked(func() { h.writeWatermark(a) })
 	case ordergate.Forward:
-		d.agent.goRun(func() { d.pass(a.ID) })
+		h.agent.goTracked(func() { h.forward(a.ID) })
 	}
 }
 
-func (d *orderDesk) key() string { return fencePrefix + d.agent.settings.Name }
+func (h *orderHandler) watermarkKey() string { return watermarkKeyPrefix + h.agent.settings.Name }
 
-func (d *orderDesk) readFloor() {
-	ctx, cancel := context.WithTimeout(d.agent.ctx, floorTimeout)
+func (h *orderHandler) readWatermark() {
+	ctx, cancel := context.WithTimeout(h.agent.ctx, watermarkTimeout)
 	defer cancel()
-	rows, err := d.table.Get(ctx, d.key())
+	rows, err := h.table.Get(ctx, h.watermarkKey())
 	if err != nil {
-		klog.ErrorS(err, "floor of orders not read", "backendServer", d.agent.settings.Name)
-		d.with(func(time.Time) []ordergate.Action { return d.gate.WatermarkFailed() })
+		klog.ErrorS(err, "floor of orders not read", "backendServer", h.agent.settings.Name)
+		h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 		return
 	}
 	var row platform.Row
 	if len(rows) > 0 {
 		row = rows[0]
 	}
-	d.tookFloor(row)
+	h.applyWatermark(row)
 }
 
-func (d *orderDesk) tookFloor(row platform.Row) {
-	var floor ordergate.Watermark
+func (h *orderHandler) applyWatermark(row platform.Row) {
+	var watermark ordergate.Watermark
 	if len(row.Value) > 0 {
-		if err := json.Unmarshal(row.Value, &floor); err != nil {
+		if err := json.Unmarshal(row.Value, &watermark); err != nil {
 			klog.ErrorS(err, "floor of orders not understood", "row", row.Key)
-			d.with(func(time.Time) []ordergate.Action { return d.gate.WatermarkFailed() })
+			h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 			return
 		}
 	}
-	d.with(func(now time.Time) []ordergate.Action { return d.gate.WatermarkRead(now, floor, row.Version) })
+	h.update(func(now time.Time) []ordergate.Action { return h.gate.WatermarkRead(now, watermark, row.Version) })
 }
 
 // writeFloor raises the floor before the order is passed. A write whose answer
 // was lost counts as failed: the order is refused, and the next one reads the
 // row first.
-func (d *orderDesk) writeFloor(action ordergate.WriteWatermark) {
+func (h *orderHandler) writeWatermark(action ordergate.WriteWatermark) {
 	value, err := json.Marshal(action.Watermark)
 	if err != nil {
-		d.with(func(time.Time) []ordergate.Action { return d.gate.WatermarkFailed() })
+		h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 		return
 	}
-	ctx, cancel := context.WithTimeout(d.agent.ctx, floorTimeout)
+	ctx, cancel := context.WithTimeout(h.agent.ctx, watermarkTimeout)
 	defer cancel()
-	result, err := d.table.Commit(ctx, platform.Txn{
-		Conditions: []platform.Condition{{Key: d.key(), Version: action.Version}},
-		Puts:       []platform.Put{{Key: d.key(), Value: value}},
+	result, err := h.table.Commit(ctx, platform.Txn{
+		Conditions: []platform.Condition{{Key: h.watermarkKey(), Version: action.Version}},
+		Puts:       []platform.Put{{Key: h.watermarkKey(), Value: value}},
 	})
 	switch {
 	case err != nil:
-		klog.ErrorS(err, "floor of orders not written", "backendServer", d.agent.settings.Name)
-		d.with(func(time.Time) []ordergate.Action { return d.gate.WatermarkFailed() })
+		klog.ErrorS(err, "floor of orders not written", "backendServer", h.agent.settings.Name)
+		h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 	case result.Committed:
-		d.with(func(now time.Time) []ordergate.Action { return d.gate.WatermarkWritten(now, result.Commit) })
+		h.update(func(now time.Time) []ordergate.Action { return h.gate.WatermarkWritten(now, result.Commit) })
 	case len(result.Failed) > 0:
-		d.tookFloor(result.Failed[0])
+		h.applyWatermark(result.Failed[0])
 	default:
-		d.with(func(time.Time) []ordergate.Action { return d.gate.WatermarkFailed() })
+		h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 	}
 }
 
 // pass hands an order to the engine.
-func (d *orderDesk) pass(id uint64) {
-	d.mu.Lock()
-	order := d.pending[id].order
-	d.mu.Unlock()
-	ctx, cancel := context.WithTimeout(d.agent.ctx, orderTimeout)
+func (h *orderHandler) forward(id uint64) {
+	h.mu.Lock()
+	order := h.pending[id].order
+	h.mu.Unlock()
+	ctx, cancel := context.WithTimeout(h.agent.ctx, orderTimeout)
 	defer cancel()
-	err := d.agent.model.engine.Order(ctx, engine.Order{
+	err := h.agent.model.engine.Order(ctx, engine.Order{
 		Fence: order.GetFence(), Kind: order.GetKind(), Model: order.GetModel(), Digest: order.GetDigest(),
 		Adapter: order.GetAdapter(), Role: order.GetRole(),
 	})
@@ -174,25 +174,25 @@
 	if err != nil && !refused {
 		err = eris.Wrapf(ordergate.ErrIndeterminate, "%v", err)
 	}
-	klog.InfoS("order passed", "backendServer", d.agent.settings.Name, "kind", order.GetKind().String(),
+	klog.InfoS("order passed", "backendServer", h.agent.settings.Name, "kind", order.GetKind().String(),
 		"fence", order.GetFence(), "seq", order.GetSeq(), "error", err)
-	d.with(func(now time.Time) []ordergate.Action { return d.gate.Forwarded(now, err, refused) })
+	h.update(func(now time.Time) []ordergate.Action { return h.gate.Forwarded(now, err, refused) })
 }
 
 // submit brings an order through the gate and waits for its end.
-func (d *orderDesk) submit(ctx context.Context, order *jayv1.Order) error {
-	server, declared := d.agent.catalog.Current().BackendServer(d.agent.settings.Name)
+func (h *orderHandler) submit(ctx context.Context, order *jayv1.Order) error {
+	server, declared := h.agent.catalog.Current().BackendServer(h.agent.settings.Name)
 	switch {
-	case order.GetBackendServer() != d.agent.settings.Name || d.agent.model == nil:
-		return errOrderInvalid
-	case d.table == nil && (!declared || !server.GetChecksFencing()):
+	case order.GetBackendServer() != h.agent.settings.Name || h.agent.model == nil:
+		return errWrongServer
+	case h.table == nil && (!declared || !server.GetChecksFencing()):
 		return ordergate.ErrNoWatermark
 	}
 	p := &pendingOrder{order: order, done: make(chan error, 1)}
-	d.with(func(now time.Time) []ordergate.Action {
-		d.nextID++
-		d.pending[d.nextID] = p
-		return d.gate.Propose(now, d.nextID, ordergate.Number{Fence: order.GetFence(), Seq: order.GetSeq()})
+	h.update(func(now time.Time) []ordergate.Action {
+		h.nextID++
+		h.pending[h.nextID] = p
+		return h.gate.Propose(now, h.nextID, ordergate.Number{Fence: order.GetFence(), Seq: order.GetSeq()})
 	})
 	select {
 	case err := <-p.done:
@@ -206,7 +206,7 @@
 func (a *Agent) serveOrder(ctx context.Context, order *jayv1.Order, s *transport.Stream) {
 	err := a.orders.submit(ctx, order)
 	if err == nil && a.model != nil {
-		a.model.read(a.ctx) // The state sent back shows what the order changed.
+		a.model.readState(a.ctx) // The state sent back shows what the order changed.
 	}
 	a.orders.mu.Lock()
 	fence := a.orders.gate.Highest().Fence
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -15,51 +15,51 @@
 	"github.com/jayproxy/jayproxy/internal/standin/platform"
 )
 
-func (b *bench) order(order *jayv1.Order) *jayv1.OrderReply {
-	b.t.Helper()
+func (fix *fixture) order(order *jayv1.Order) *jayv1.OrderReply {
+	fix.t.Helper()
 	order.BackendServer = "b1"
-	s := b.open()
+	s := fix.open()
 	defer func() { _ = s.CloseSend() }()
-	send(b.t, s, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Order{Order: order}})
-	return receive(b.t, s).GetOrderReply()
+	send(fix.t, s, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Order{Order: order}})
+	return receive(fix.t, s).GetOrderReply()
 }
 
-func load(fence, seq uint64, version string) *jayv1.Order {
+func loadOrder(fence, seq uint64, version string) *jayv1.Order {
 	return &jayv1.Order{Fence: fence, Seq: seq, Kind: jayv1.OrderKind_ORDER_KIND_LOAD_VERSION, Digest: version}
 }
 
 // A rollout would be undone: the first holder of the lease was paused, the
 // second has loaded the new version, the agent was replaced in between, and
 // then the first holder's order arrives at an engine that ignores numbers.
-func TestOrderOfALapsedHolderIsRefusedByTheNextAgent(t *testing.T) {
+func TestOrderOfExpiredLeaseHolderIsRefusedByNextAgent(t *testing.T) {
 	table, err := platform.Start(platform.Options{})
 	require.NoError(t, err)
 	t.Cleanup(table.Close)
 	with := func(s *agent.Settings) { s.Platform = table.URL() }
 
-	first := newBench(t, with)
-	reply := first.order(load(8, 1, "new"))
+	first := newFixture(t, with)
+	reply := first.order(loadOrder(8, 1, "new"))
 	require.True(t, reply.GetDone(), reply.GetError())
 	assert.EqualValues(t, 8, reply.GetFenceSeen())
 	first.agent.Close()
 
-	second := newBench(t, with)
-	reply = second.order(load(7, 9, "old"))
+	second := newFixture(t, with)
+	reply = second.order(loadOrder(7, 9, "old"))
 	assert.False(t, reply.GetDone())
 	assert.Contains(t, reply.GetError(), ordergate.ErrStale.Error())
 	assert.EqualValues(t, 8, reply.GetFenceSeen())
 	assert.Empty(t, second.engine.ordered())
 }
 
-func TestOrdersNeedTheTableOrAnEngineThatChecks(t *testing.T) {
+func TestOrdersNeedTableOrEngineThatChecksFencing(t *testing.T) {
 	holder := catalog.NewHolder()
-	b := newBench(t, func(s *agent.Settings) { s.Catalog = holder })
-	reply := b.order(load(1, 1, "new"))
+	fix := newFixture(t, func(s *agent.Settings) { s.Catalog = holder })
+	reply := fix.order(loadOrder(1, 1, "new"))
 	assert.Contains(t, reply.GetError(), ordergate.ErrNoWatermark.Error())
 	holder.Adopt(catalog.Build(&jayv1.Snapshot{Generation: 1, Resources: []*jayv1.Resource{
 		{Kind: &jayv1.Resource_BackendServer{BackendServer: &jayv1.BackendServer{Name: "b1", Pool: "p1", ChecksFencing: true}}},
 	}}))
-	reply = b.order(load(1, 1, "new"))
+	reply = fix.order(loadOrder(1, 1, "new"))
 	assert.True(t, reply.GetDone(), reply.GetError())
 }
 
@@ -68,9 +68,9 @@
 	table, err := platform.Start(platform.Options{})
 	require.NoError(t, err)
 	t.Cleanup(table.Close)
-	b := newBench(t, func(s *agent.Settings) { s.Platform = table.URL() })
+	fix := newFixture(t, func(s *agent.Settings) { s.Platform = table.URL() })
 	slow := make(chan struct{})
-	b.engine.set(func(f *fakeEngine) {
+	fix.engine.set(func(f *fakeEngine) {
 		f.order = func(order engine.Order) error {
 			if order.Digest == "slow" {
 				<-slow
@@ -79,16 +79,16 @@
 		}
 	})
 	replies := make(chan *jayv1.OrderReply, 2)
-	go func() { replies <- b.order(load(1, 1, "slow")) }()
-	require.Eventually(t, func() bool { return len(b.engine.ordered()) == 1 }, 5*time.Second, time.Millisecond)
-	go func() { replies <- b.order(load(1, 2, "next")) }()
-	require.Never(t, func() bool { return len(b.engine.ordered()) > 1 }, 100*time.Millisecond, 5*time.Millisecond)
+	go func() { replies <- fix.order(loadOrder(1, 1, "slow")) }()
+	require.Eventually(t, func() bool { return len(fix.engine.ordered()) == 1 }, 5*time.Second, time.Millisecond)
+	go func() { replies <- fix.order(loadOrder(1, 2, "next")) }()
+	require.Never(t, func() bool { return len(fix.engine.ordered()) > 1 }, 100*time.Millisecond, 5*time.Millisecond)
 	close(slow)
 	for range 2 {
 		reply := <-replies
 		assert.True(t, reply.GetDone(), reply.GetError())
 	}
-	ordered := b.engine.ordered()
+	ordered := fix.engine.ordered()
 	require.Len(t, ordered, 2)
 	assert.Equal(t, "next", ordered[1].Digest)
 }
--- a/internal/agent/outbox.go
+++ b/internal/agent/outbox.go
@@ -16,7 +16,7 @@
 // outbox is one answer on its way out: the replay buffer, guarded for the
 // goroutine that fills it and the one that sends from it. At most one link
 // sends at a time, the latest to attach.
-type outbox struct {
+type responseBuffer struct {
 	mu       sync.Mutex
 	buffer   *relay.Buffer
 	head     *jayv1.ServiceHead
@@ -26,17 +26,17 @@
 	changed  chan struct{}
 }
 
-func newOutbox(maxBytes int) *outbox {
-	return &outbox{buffer: relay.NewBuffer(maxBytes), changed: make(chan struct{})}
+func newResponseBuffer(maxBytes int) *responseBuffer {
+	return &responseBuffer{buffer: relay.NewBuffer(maxBytes), changed: make(chan struct{})}
 }
 
 // notify wakes all who wait for a change. The caller holds the lock.
-func (o *outbox) notify() {
+func (o *responseBuffer) notify() {
 	close(o.changed)
 	o.changed = make(chan struct{})
 }
 
-func (o *outbox) setHead(head *jayv1.ServiceHead) {
+func (o *responseBuffer) setHead(head *jayv1.ServiceHead) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.head = head
@@ -46,7 +46,7 @@
 // append adds a chunk. A full buffer holds the caller, and through it the
 // engine, back until the reader goes on; after the stall time the reader
 // counts as gone: memory stays bounded whatever a caller does.
-func (o *outbox) append(ctx context.Context, data []byte, stall time.Duration) error {
+func (o *responseBuffer) append(ctx context.Context, data []byte, stall time.Duration) error {
 	timer := time.NewTimer(stall)
 	defer timer.Stop()
 	for {
@@ -71,7 +71,7 @@
 }
 
 // finish sets the last frame; it is sent once all chunks are.
-func (o *outbox) finish(end *jayv1.End) {
+func (o *responseBuffer) finish(end *jayv1.End) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.end != nil {
@@ -83,7 +83,7 @@
 }
 
 // attach makes the caller the only sender, from the chunk with the number on.
-func (o *outbox) attach(next uint64) (int, error) {
+func (o *responseBuffer) attach(next uint64) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err := o.buffer.Resume(next); err != nil {
@@ -96,20 +96,20 @@
 }
 
 // bytes that the kept chunks take.
-func (o *outbox) bytes() int {
+func (o *responseBuffer) bytes() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.buffer.Bytes()
 }
 
 // holds tells whether the link is still the one that sends.
-func (o *outbox) holds(link int) bool {
+func (o *responseBuffer) isCurrent(link int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.link == link
 }
 
-func (o *outbox) ack(next uint64) {
+func (o *responseBuffer) ack(next uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.buffer.Ack(next)
@@ -127,7 +127,7 @@
 	replaced bool
 }
 
-func (o *outbox) next(link int) outgoing {
+func (o *responseBuffer) next(link int) outgoing {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if link != o.link {
--- a/internal/agent/outcome_test.go
+++ b/internal/agent/outcome_test.go
@@ -19,19 +19,19 @@
 )
 
 // runs counts how often a service was asked for each request.
-type runs struct {
+type runCounter struct {
 	mu    sync.Mutex
 	count map[string]int
 }
 
-func (r *runs) serve(w http.ResponseWriter, req *http.Request) {
+func (r *runCounter) serve(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
 	r.count[req.Header.Get("X-Request-Id")]++
 	r.mu.Unlock()
 	_, _ = io.Copy(w, req.Body)
 }
 
-func (r *runs) of(id string) int {
+func (r *runCounter) runsOf(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.count[id]
@@ -39,8 +39,8 @@
 
 // handOverUntil goes through the steps of a hand-over and cuts the link after
 // the given one. It returns what the entry may conclude.
-func handOverUntil(b *bench, offer *jayv1.Offer, step int) jayv1.Outcome {
-	s := b.open()
+func handoffUntil(fix *fixture, offer *jayv1.Offer, step int) jayv1.Outcome {
+	s := fix.open()
 	defer s.Abort()
 	steps := []func(*transport.Stream) error{
 		func(s *transport.Stream) error { return s.Send(offerFrame(offer)) },
@@ -80,10 +80,10 @@
 // A booking that was reported as "not run" is made again, and the crusher is
 // promised twice. Links are cut at every step of the hand-over, the queue
 // overflows, and deadlines pass while requests wait.
-func TestNotRunIsTrueWhereverTheLinkIsCut(t *testing.T) {
+func TestNotRunIsReportedOnlyWhenNothingRan(t *testing.T) {
 	const requests, workers = 600, 12
-	counted := &runs{count: map[string]int{}}
-	b := serviceBench(t, counted.serve, func(s *agent.Settings) { s.Queue.Slots, s.Queue.Length = 2, 6 })
+	counter := &runCounter{count: map[string]int{}}
+	fix := newServiceFixture(t, counter.serve, func(s *agent.Settings) { s.Queue.Slots, s.Queue.Length = 2, 6 })
 	outcomes := make([]jayv1.Outcome, requests)
 	var group sync.WaitGroup
 	for worker := range workers {
@@ -94,16 +94,16 @@
 				offer.NonRepeatable = true
 				offer.Class = jayv1.Class(1 + random.IntN(3))
 				offer.DeadlineMs = uint32(1 + random.IntN(50))
-				outcomes[i] = handOverUntil(b, offer, random.IntN(7))
+				outcomes[i] = handoffUntil(fix, offer, random.IntN(7))
 			}
 		})
 	}
 	group.Wait()
-	require.Eventually(t, func() bool { return b.probe().GetRunning() == 0 }, 5*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return fix.probe().GetRunning() == 0 }, 5*time.Second, 5*time.Millisecond)
 	tally := map[jayv1.Outcome]int{}
 	for i, outcome := range outcomes {
 		tally[outcome]++
-		count := counted.of(fmt.Sprint("r", i))
+		count := counter.runsOf(fmt.Sprint("r", i))
 		assert.LessOrEqual(t, count, 1, "r%d ran more than once", i)
 		if outcome == jayv1.Outcome_OUTCOME_NOT_RUN {
 			assert.Zero(t, count, "r%d was reported as not run", i)
@@ -117,14 +117,14 @@
 }
 
 // Memory would grow without bound: many callers send large bodies at once.
-func TestBodiesAreBoundedTogether(t *testing.T) {
-	counted := &runs{count: map[string]int{}}
-	b := serviceBench(t, counted.serve, func(s *agent.Settings) { s.Queue.Bytes = 4096 })
-	first, reply := b.offer(callOffer("r1", http.MethodPost, "/x"))
+func TestTotalBodyBytesAreBounded(t *testing.T) {
+	counter := &runCounter{count: map[string]int{}}
+	fix := newServiceFixture(t, counter.serve, func(s *agent.Settings) { s.Queue.Bytes = 4096 })
+	first, reply := fix.offer(callOffer("r1", http.MethodPost, "/x"))
 	require.True(t, reply.GetAccepted())
 	send(t, first, bodyFrame(strings.Repeat("x", 4000), false))
 	require.Eventually(t, func() bool {
-		s, reply := b.offer(callOffer(fmt.Sprint("r", time.Now().UnixNano()), http.MethodPost, "/x"))
+		s, reply := fix.offer(callOffer(fmt.Sprint("r", time.Now().UnixNano()), http.MethodPost, "/x"))
 		require.True(t, reply.GetAccepted())
 		send(t, s, bodyFrame(strings.Repeat("y", 200), true))
 		got := readAnswer(t, s)
@@ -132,25 +132,25 @@
 	}, 5*time.Second, 5*time.Millisecond)
 	send(t, first, bodyFrame("", true))
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, readAnswer(t, first).end.GetOutcome())
-	got := readAnswer(t, b.accepted(callOffer("r3", http.MethodPost, "/x"), strings.Repeat("z", 4000)))
+	got := readAnswer(t, fix.accepted(callOffer("r3", http.MethodPost, "/x"), strings.Repeat("z", 4000)))
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome())
 }
 
 // Many links are lost at once: what is kept for the readers stays in bounds,
 // and the answers that ended last are still there.
-func TestKeptAnswersAreBoundedTogether(t *testing.T) {
-	b := newBench(t, func(s *agent.Settings) { s.Replay.TotalBytes = 8192 })
-	b.engine.set(func(f *fakeEngine) { f.script = words(strings.Repeat("x", 1000)) })
+func TestTotalKeptResponseBytesAreBounded(t *testing.T) {
+	fix := newFixture(t, func(s *agent.Settings) { s.Replay.TotalBytes = 8192 })
+	fix.engine.set(func(f *fakeEngine) { f.script = wordEvents(strings.Repeat("x", 1000)) })
 	var offers []*jayv1.Offer
 	for i := range 20 {
 		offer := modelOffer(fmt.Sprint("r", i))
 		offers = append(offers, offer)
-		s := b.accepted(offer, "{}")
+		s := fix.accepted(offer, "{}")
 		require.NotNil(t, receive(t, s).GetChunk())
 		s.Abort()
 	}
 	resume := func(i int) answer {
-		s := b.open()
+		s := fix.open()
 		send(t, s, resumeFrame(offers[i], 0))
 		return readAnswer(t, s)
 	}
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -12,9 +12,9 @@
 
 // A rolling replacement would cut a request: it passes its checks, the stop
 // begins, finds nothing to wait for and ends, and then the request comes in.
-func TestNothingComesInOnceTheStopWaits(t *testing.T) {
-	r := newRegistry(1 << 20)
-	late := newWork(t.Context(), &jayv1.Offer{RequestId: "late", Attempt: 1}, 1024, time.Now())
+func TestClosedRegistryAcceptsNoAttempt(t *testing.T) {
+	r := newAttemptRegistry(1 << 20)
+	late := newAttempt(t.Context(), &jayv1.Offer{RequestId: "late", Attempt: 1}, 1024, time.Now())
 	r.close()
 	require.NoError(t, r.waitEmpty(t.Context()))
 	assert.Equal(t, jayv1.Refusal_REFUSAL_LEAVING, r.add(late))
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -27,7 +27,7 @@
 )
 
 // hopHeaders concern one connection and are not passed on.
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Host", "Content-Length",
 }
@@ -36,9 +36,9 @@
 type serviceBackend struct {
 	base *url.URL
 	// shared keeps connections for calls that may be repeated.
-	shared *http.Transport
+	pooled *http.Transport
 	// once uses a connection for one call only.
-	once *http.Transport
+	singleUse *http.Transport
 }
 
 func newServiceBackend(baseURL string) (*serviceBackend, error) {
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "service URL %q", baseURL)
 	}
-	return &serviceBackend{base: base, shared: newTransport(false), once: newTransport(true)}, nil
+	return &serviceBackend{base: base, pooled: newTransport(false), singleUse: newTransport(true)}, nil
 }
 
 // newTransport makes a client transport. The library sends a request again by
@@ -54,12 +54,12 @@
 // or the request carries an Idempotency-Key: a booking with a key would be made
 // twice. With once, each call has a connection of its own, for which the
 // library never does that; HTTP/2, which has retries of its own, is off.
-func newTransport(once bool) *http.Transport {
+func newTransport(singleUse bool) *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: serviceDialTimeout}).DialContext,
-		DisableKeepAlives:  once,
+		DisableKeepAlives:  singleUse,
 		DisableCompression: true,
 		Protocols:          protocols,
 	}
@@ -72,13 +72,13 @@
 func (b *serviceBackend) call(ctx context.Context, offer *jayv1.Offer, body []byte) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	req, err := b.request(httptrace.WithClientTrace(ctx, trace), offer, body)
+	req, err := b.newRequest(httptrace.WithClientTrace(ctx, trace), offer, body)
 	if err != nil {
 		return nil, eris.Wrapf(errServiceNotReached, "build request: %v", err)
 	}
-	transport := b.shared
+	transport := b.pooled
 	if offer.GetNonRepeatable() {
-		transport = b.once
+		transport = b.singleUse
 	}
 	response, err := transport.RoundTrip(req)
 	if err != nil && !connected.Load() {
@@ -87,7 +87,7 @@
 	return response, eris.Wrap(err, "call service")
 }
 
-func (b *serviceBackend) request(ctx context.Context, offer *jayv1.Offer, body []byte) (*http.Request, error) {
+func (b *serviceBackend) newRequest(ctx context.Context, offer *jayv1.Offer, body []byte) (*http.Request, error) {
 	target, err := url.ParseRequestURI(offer.GetPath())
 	if err != nil {
 		return nil, err
@@ -109,55 +109,55 @@
 	for _, header := range offer.GetHeaders() {
 		req.Header.Add(header.GetName(), header.GetValue())
 	}
-	dropHopHeaders(req.Header)
+	removeHopByHopHeaders(req.Header)
 	req.Header.Set(requestIDHeader, offer.GetRequestId())
 	return req, nil
 }
 
-func dropHopHeaders(header http.Header) {
+func removeHopByHopHeaders(header http.Header) {
 	for _, line := range header.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
 
 // runService makes a plain service's call and relays its answer.
-func (a *Agent) runService(w *work) {
-	defer a.schedule.done(w.id)
-	w.mu.Lock()
-	body := w.body
-	w.mu.Unlock()
-	response, err := a.service.call(w.ctx, w.offer, body)
+func (a *Agent) runService(att *attempt) {
+	defer a.scheduler.done(att.id)
+	att.mu.Lock()
+	body := att.body
+	att.mu.Unlock()
+	response, err := a.service.call(att.ctx, att.offer, body)
 	switch {
 	case errors.Is(err, errServiceNotReached):
-		a.end(w, eventNotReached, &jayv1.End{
+		a.end(att, eventNotReached, &jayv1.End{
 			Refusal:      jayv1.Refusal_REFUSAL_ENGINE_DOWN,
 			Error:        err.Error(),
-			RetryAfterMs: uint32(engineDownRetry.Milliseconds()),
+			RetryAfterMs: uint32(engineRetryAfter.Milliseconds()),
 		})
 		return
 	case err != nil:
-		a.end(w, eventFail, &jayv1.End{Error: err.Error()})
+		a.end(att, eventFail, &jayv1.End{Error: err.Error()})
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	a.schedule.firstToken(w.id)
-	w.box.setHead(serviceHead(response))
-	a.observeFirstToken(w)
-	if err := a.relayBody(w, response.Body); err != nil {
-		a.end(w, eventFail, &jayv1.End{Error: err.Error()})
+	a.scheduler.firstToken(att.id)
+	att.response.setHead(serviceHead(response))
+	a.observeFirstToken(att)
+	if err := a.relayBody(att, response.Body); err != nil {
+		a.end(att, eventFail, &jayv1.End{Error: err.Error()})
 		return
 	}
-	a.schedule.done(w.id)
-	a.end(w, eventFinish, &jayv1.End{})
+	a.scheduler.done(att.id)
+	a.end(att, eventFinish, &jayv1.End{})
 }
 
 func serviceHead(response *http.Response) *jayv1.ServiceHead {
-	dropHopHeaders(response.Header)
+	removeHopByHopHeaders(response.Header)
 	head := &jayv1.ServiceHead{Status: uint32(response.StatusCode)}
 	for name, values := range response.Header {
 		for _, value := range values {
@@ -167,12 +167,12 @@
 	return head
 }
 
-func (a *Agent) relayBody(w *work, body io.Reader) error {
+func (a *Agent) relayBody(att *attempt, body io.Reader) error {
 	for {
 		buffer := make([]byte, serviceReadSize)
 		n, err := body.Read(buffer)
 		if n > 0 {
-			if err := w.box.append(w.ctx, buffer[:n:n], millis(a.settings.Replay.StallMS)); err != nil {
+			if err := att.response.append(att.ctx, buffer[:n:n], millis(a.settings.Replay.StallMS)); err != nil {
 				return err
 			}
 		}
--- a/internal/agent/service_test.go
+++ b/internal/agent/service_test.go
@@ -16,11 +16,11 @@
 	"github.com/jayproxy/jayproxy/internal/catalog"
 )
 
-func serviceBench(t *testing.T, handler http.HandlerFunc, change func(*agent.Settings)) *bench {
+func newServiceFixture(t *testing.T, handler http.HandlerFunc, change func(*agent.Settings)) *fixture {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
-	return newBench(t, func(s *agent.Settings) {
+	return newFixture(t, func(s *agent.Settings) {
 		s.Engine = agent.EngineSettings{PollMS: 10}
 		s.Service = agent.ServiceSettings{Name: "reservas-app", URL: server.URL}
 		if change != nil {
@@ -36,8 +36,8 @@
 	}
 }
 
-func TestServiceCallIsRelayedWithItsHeadAndBody(t *testing.T) {
-	b := serviceBench(t, func(w http.ResponseWriter, r *http.Request) {
+func TestServiceCallIsRelayedWithHeaderAndBody(t *testing.T) {
+	fix := newServiceFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		assert.Equal(t, "r1", r.Header.Get("X-Request-Id"))
 		assert.Equal(t, "yes", r.Header.Get("X-Kept"))
@@ -50,7 +50,7 @@
 	offer.Headers = []*jayv1.Header{
 		{Name: "X-Kept", Value: "yes"}, {Name: "X-Dropped", Value: "no"}, {Name: "Connection", Value: "X-Dropped"},
 	}
-	got := readAnswer(t, b.accepted(offer, "jaw crusher"))
+	got := readAnswer(t, fix.accepted(offer, "jaw crusher"))
 	require.NotNil(t, got.head)
 	assert.EqualValues(t, http.StatusCreated, got.head.GetStatus())
 	assert.Equal(t, "PUT /bookings/7?x=1 jaw crusher", strings.Join(got.chunks, ""))
@@ -62,9 +62,9 @@
 // that carries an Idempotency-Key on a connection that was used before, runs
 // it and breaks the connection. The HTTP library takes the broken connection
 // for one that idled out and sends the booking again by itself.
-func TestCallThatMayNotRepeatIsSentOnce(t *testing.T) {
+func TestNonRepeatableCallIsSentOnce(t *testing.T) {
 	var runs atomic.Int32
-	b := serviceBench(t, func(w http.ResponseWriter, r *http.Request) {
+	fix := newServiceFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/warm" {
 			return
 		}
@@ -74,18 +74,18 @@
 			_ = hijacked.Close()
 		}
 	}, nil)
-	readAnswer(t, b.accepted(callOffer("warm", http.MethodGet, "/warm"), ""))
+	readAnswer(t, fix.accepted(callOffer("warm", http.MethodGet, "/warm"), ""))
 	offer := callOffer("r1", http.MethodPost, "/bookings")
 	offer.NonRepeatable = true
 	offer.Headers = []*jayv1.Header{{Name: "Idempotency-Key", Value: "k1"}}
-	got := readAnswer(t, b.accepted(offer, ""))
+	got := readAnswer(t, fix.accepted(offer, ""))
 	assert.Equal(t, jayv1.Outcome_OUTCOME_UNKNOWN, got.end.GetOutcome())
 	assert.EqualValues(t, 1, runs.Load())
 }
 
-func TestServiceThatIsNotReachedIsNotRun(t *testing.T) {
-	b := serviceBench(t, nil, func(s *agent.Settings) { s.Service.URL = "http://127.0.0.1:1" })
-	got := readAnswer(t, b.accepted(callOffer("r1", http.MethodPost, "/bookings"), "x"))
+func TestUnreachableServiceIsReportedAsNotRun(t *testing.T) {
+	fix := newServiceFixture(t, nil, func(s *agent.Settings) { s.Service.URL = "http://127.0.0.1:1" })
+	got := readAnswer(t, fix.accepted(callOffer("r1", http.MethodPost, "/bookings"), "x"))
 	assert.Equal(t, jayv1.Outcome_OUTCOME_NOT_RUN, got.end.GetOutcome())
 	assert.Equal(t, jayv1.Refusal_REFUSAL_ENGINE_DOWN, got.end.GetRefusal())
 }
@@ -93,10 +93,10 @@
 // A booking would run twice: an operator has just declared the call as not
 // repeatable, and an entry that has not heard of it offers the call without a
 // claim and would retry it.
-func TestCallDeclaredNotRepeatableIsRefusedWithoutAClaim(t *testing.T) {
+func TestNonRepeatableCallWithoutClaimIsRefused(t *testing.T) {
 	var runs atomic.Int32
 	holder := catalog.NewHolder()
-	b := serviceBench(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) },
+	fix := newServiceFixture(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) },
 		func(s *agent.Settings) { s.Catalog = holder })
 	holder.Adopt(catalog.Build(&jayv1.Snapshot{Generation: 1, Resources: []*jayv1.Resource{
 		{Kind: &jayv1.Resource_Service{Service: &jayv1.Service{
@@ -114,13 +114,13 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			_, reply := b.offer(callOffer(name, http.MethodPost, test.path))
+			_, reply := fix.offer(callOffer(name, http.MethodPost, test.path))
 			assert.Equal(t, test.want, reply.GetRefusal())
 		})
 	}
 	offer := callOffer("no closing frame", http.MethodPost, "/bookings")
 	offer.NonRepeatable, offer.HasBody = true, false
-	_, reply := b.offer(offer)
+	_, reply := fix.offer(offer)
 	assert.Equal(t, jayv1.Refusal_REFUSAL_INVALID, reply.GetRefusal())
 	assert.Zero(t, runs.Load())
 }
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -19,12 +19,12 @@
 // A caller's answer would stop in the middle: the link between entry and agent
 // is cut after two chunks. The engine goes on meanwhile, and a new link takes
 // up the stream at the first chunk that is missing.
-func TestLostLinkResumesAtTheRightChunk(t *testing.T) {
-	b := newBench(t, nil)
+func TestResumeStartsAtFirstMissingChunk(t *testing.T) {
+	fix := newFixture(t, nil)
 	gate := make(chan struct{}, 10)
-	b.engine.set(func(f *fakeEngine) { f.gate = gate })
+	fix.engine.set(func(f *fakeEngine) { f.gate = gate })
 	offer := modelOffer("r1")
-	s := b.accepted(offer, "{}")
+	s := fix.accepted(offer, "{}")
 	gate <- struct{}{}
 	gate <- struct{}{}
 	assert.Equal(t, "one", string(receive(t, s).GetChunk().GetData()))
@@ -32,7 +32,7 @@
 	s.Abort()
 	close(gate)
 
-	resumed := b.open()
+	resumed := fix.open()
 	send(t, resumed, resumeFrame(offer, 1))
 	got := readAnswer(t, resumed)
 	assert.Equal(t, []string{"two", "three"}, got.chunks)
@@ -44,9 +44,9 @@
 // Another tenant would read the answer: someone who knows or guesses a request
 // id asks to resume it.
 func TestResumeNeedsTheWorkspaceAndTheNonce(t *testing.T) {
-	b := newBench(t, nil)
+	fix := newFixture(t, nil)
 	offer := modelOffer("r1")
-	s := b.accepted(offer, "{}")
+	s := fix.accepted(offer, "{}")
 	receive(t, s)
 	s.Abort()
 	tests := map[string]func(*jayv1.Resume){
@@ -60,7 +60,7 @@
 		t.Run(name, func(t *testing.T) {
 			frame := resumeFrame(offer, 0)
 			change(frame.GetResume())
-			resumed := b.open()
+			resumed := fix.open()
 			send(t, resumed, frame)
 			got := readAnswer(t, resumed)
 			assert.Empty(t, got.chunks)
@@ -73,29 +73,29 @@
 // "Not run" must be true: the entry loses its link before it has sent the
 // whole body and reports the request as not run. Nothing may start later.
 func TestIncompleteBodyNeverRuns(t *testing.T) {
-	cuts := map[string]func(b *bench, offer *jayv1.Offer){
-		"link cut": func(b *bench, offer *jayv1.Offer) {
-			s, _ := b.offer(offer)
+	cuts := map[string]func(fix *fixture, offer *jayv1.Offer){
+		"link cut": func(fix *fixture, offer *jayv1.Offer) {
+			s, _ := fix.offer(offer)
 			send(t, s, bodyFrame("half", false))
 			s.Abort()
 		},
-		"entry ends its side": func(b *bench, offer *jayv1.Offer) {
-			s, _ := b.offer(offer)
+		"entry ends its side": func(fix *fixture, offer *jayv1.Offer) {
+			s, _ := fix.offer(offer)
 			send(t, s, bodyFrame("half", false))
 			require.NoError(t, s.CloseSend())
 			assert.Equal(t, jayv1.Outcome_OUTCOME_NOT_RUN, readAnswer(t, s).end.GetOutcome())
 		},
-		"body too slow": func(b *bench, offer *jayv1.Offer) {
-			s, _ := b.offer(offer)
+		"body too slow": func(fix *fixture, offer *jayv1.Offer) {
+			s, _ := fix.offer(offer)
 			require.Error(t, s.Receive(&jayv1.ServerFrame{}))
 		},
 	}
 	for name, cut := range cuts {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, func(s *agent.Settings) { s.Queue.BodyMS = 50 })
-			cut(b, modelOffer("r1"))
-			require.Eventually(t, func() bool { return b.probe().GetQueued() == 0 }, 5*time.Second, time.Millisecond)
-			assert.Empty(t, b.engine.requests())
+			fix := newFixture(t, func(s *agent.Settings) { s.Queue.BodyMS = 50 })
+			cut(fix, modelOffer("r1"))
+			require.Eventually(t, func() bool { return fix.probe().GetQueued() == 0 }, 5*time.Second, time.Millisecond)
+			assert.Empty(t, fix.engine.requests())
 		})
 	}
 }
@@ -104,13 +104,13 @@
 // ever: the engine is held back, and after the stall time the answer ends in
 // an explicit error.
 func TestSlowReaderEndsInAnError(t *testing.T) {
-	b := newBench(t, func(s *agent.Settings) { s.Replay.Bytes, s.Replay.StallMS = 4096, 50 })
+	fix := newFixture(t, func(s *agent.Settings) { s.Replay.Bytes, s.Replay.StallMS = 4096, 50 })
 	const count = 4000
-	b.engine.set(func(f *fakeEngine) {
-		f.script = words(strings.Split(strings.Repeat(strings.Repeat("x", 1000)+" ", count), " ")...)
+	fix.engine.set(func(f *fakeEngine) {
+		f.script = wordEvents(strings.Split(strings.Repeat(strings.Repeat("x", 1000)+" ", count), " ")...)
 	})
-	s := b.accepted(modelOffer("r1"), "{}")
-	require.Eventually(t, func() bool { return len(b.engine.cancels()) == 1 }, 10*time.Second, time.Millisecond)
+	s := fix.accepted(modelOffer("r1"), "{}")
+	require.Eventually(t, func() bool { return len(fix.engine.cancels()) == 1 }, 10*time.Second, time.Millisecond)
 	got := readAnswer(t, s)
 	assert.Equal(t, jayv1.Outcome_OUTCOME_UNKNOWN, got.end.GetOutcome())
 	assert.Contains(t, got.end.GetError(), "reader too slow")
@@ -120,7 +120,7 @@
 
 // Late, doubled and crossed answers: an engine mixes up its streams. A caller
 // would see a sentence twice or another caller's text.
-func TestEventsOfOtherStreamsDoNotGetThrough(t *testing.T) {
+func TestMisdeliveredEngineEventsAreDropped(t *testing.T) {
 	event := func(req engine.Request, index uint64, text string, change func(*engine.Event)) engine.Event {
 		e := engine.Event{RequestID: req.ID, Index: index, Data: []byte(text), Incarnation: 1, VersionDigest: digest}
 		if change != nil {
@@ -159,9 +159,9 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, nil)
-			b.engine.set(func(f *fakeEngine) { f.script = test.script })
-			got := readAnswer(t, b.accepted(modelOffer("r1"), "{}"))
+			fix := newFixture(t, nil)
+			fix.engine.set(func(f *fakeEngine) { f.script = test.script })
+			got := readAnswer(t, fix.accepted(modelOffer("r1"), "{}"))
 			assert.Equal(t, test.chunks, got.chunks)
 			assert.Equal(t, test.outcome, got.end.GetOutcome())
 			assert.EqualValues(t, len(got.chunks), got.end.GetCount())
@@ -176,8 +176,8 @@
 	f.Add("", "", "", "s", []byte{}, uint64(0), byte(0))
 	f.Add("r1", "w1", "p1", "s", []byte("\xff"), ^uint64(0), byte(0xff))
 	f.Fuzz(func(t *testing.T, id, workspace, pool, service string, body []byte, seq uint64, order byte) {
-		b := newBench(t, nil)
-		s, err := b.entry.Open(t.Context(), b.agent.Address(), keys.RoleAgent)
+		fix := newFixture(t, nil)
+		s, err := fix.entry.Open(t.Context(), fix.agent.Address(), keys.RoleAgent)
 		require.NoError(t, err)
 		offer := modelOffer(strings.ToValidUTF8(id, ""))
 		offer.Workspace = strings.ToValidUTF8(workspace, "")
@@ -203,7 +203,7 @@
 			}
 		}
 		if first != 0 || !last {
-			require.Empty(t, b.engine.requests(), "ran without a complete offer")
+			require.Empty(t, fix.engine.requests(), "ran without a complete offer")
 		}
 	})
 }
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -41,7 +41,7 @@
 	}
 	switch frame := first.GetFrame().(type) {
 	case *jayv1.ClientFrame_Offer:
-		a.heardGeneration(peer, frame.Offer.GetGeneration())
+		a.receivedGeneration(peer, frame.Offer.GetGeneration())
 		a.serveOffer(ctx, frame.Offer, s)
 	case *jayv1.ClientFrame_Resume:
 		a.serveResume(ctx, frame.Resume, s)
@@ -59,8 +59,8 @@
 // serveResume continues an answer on a new link. Whoever asks must show the
 // workspace and the nonce of the offer.
 func (a *Agent) serveResume(ctx context.Context, req *jayv1.Resume, s *transport.Stream) {
-	w := a.works.get(workID(req.GetRequestId(), req.GetAttempt()))
-	if w == nil || !w.claim.Matches(claimOf(req)) {
+	att := a.attempts.get(attemptID(req.GetRequestId(), req.GetAttempt()))
+	if att == nil || !att.claim.Matches(claimOf(req)) {
 		a.sendEnd(s, &jayv1.End{
 			Outcome: jayv1.Outcome_OUTCOME_UNKNOWN,
 			Refusal: jayv1.Refusal_REFUSAL_NOT_FOUND,
@@ -68,7 +68,7 @@
 		})
 		return
 	}
-	link, err := w.box.attach(req.GetNextSeq())
+	link, err := att.response.attach(req.GetNextSeq())
 	if err != nil {
 		a.sendEnd(s, &jayv1.End{
 			Outcome: jayv1.Outcome_OUTCOME_UNKNOWN,
@@ -77,8 +77,8 @@
 		})
 		return
 	}
-	w.setOrphan(nil)
-	a.relay(ctx, w, link, s)
+	att.setResumeTimer(nil)
+	a.relay(ctx, att, link, s)
 }
 
 func (a *Agent) sendEnd(s *transport.Stream, end *jayv1.End) {
@@ -88,83 +88,83 @@
 
 // relay sends an answer on one link and takes what the entry says meanwhile,
 // until the answer is delivered, another link takes over or this one is lost.
-func (a *Agent) relay(ctx context.Context, w *work, link int, s *transport.Stream) {
+func (a *Agent) relay(ctx context.Context, att *attempt, link int, s *transport.Stream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// A reader that beats but does not read would hold the send, and with it
 	// the buffer, for ever.
-	stopAbort := context.AfterFunc(w.gone, s.Abort)
+	stopAbort := context.AfterFunc(att.discarded, s.Abort)
 	defer stopAbort()
 	readerDone := make(chan struct{})
 	var readerErr error
 	go func() {
 		defer close(readerDone)
-		readerErr = a.readFrames(w, s)
+		readerErr = a.readFrames(att, s)
 		if !errors.Is(readerErr, io.EOF) {
 			cancel()
 		}
 	}()
-	switch pump(ctx, w, link, s) {
-	case pumpEnded:
+	switch sendResponse(ctx, att, link, s) {
+	case sendCompleted:
 		_ = s.CloseSend()
 		_ = s.SetReadDeadline(time.Now().Add(lingerTimeout))
 		<-readerDone
 		if stopAbort() && errors.Is(readerErr, io.EOF) {
-			a.works.forget(w.id)
+			a.attempts.forget(att.id)
 		}
-	case pumpReplaced:
+	case sendReplaced:
 		s.Abort()
-	case pumpLost:
+	case sendLost:
 		s.Abort()
-		a.linkLost(w, link)
+		a.linkLost(att, link)
 	}
 	<-readerDone
 }
 
-type pumpResult int
+type sendResult int
 
 const (
-	pumpEnded pumpResult = iota + 1
-	pumpReplaced
-	pumpLost
+	sendCompleted sendResult = iota + 1
+	sendReplaced
+	sendLost
 )
 
-func pump(ctx context.Context, w *work, link int, s *transport.Stream) pumpResult {
+func sendResponse(ctx context.Context, att *attempt, link int, s *transport.Stream) sendResult {
 	for {
-		out := w.box.next(link)
+		out := att.response.next(link)
 		if out.replaced {
-			return pumpReplaced
+			return sendReplaced
 		}
 		if out.frame == nil {
 			select {
 			case <-out.wait:
 			case <-ctx.Done():
-				return pumpLost
+				return sendLost
 			}
 			continue
 		}
 		if err := s.Send(out.frame); err != nil {
-			return pumpLost
+			return sendLost
 		}
 		if out.last {
-			return pumpEnded
+			return sendCompleted
 		}
 	}
 }
 
 // readFrames takes body, acknowledgements and cancel from the entry. It ends
 // with io.EOF when the entry has ended its side, else with what broke the link.
-func (a *Agent) readFrames(w *work, s *transport.Stream) error {
+func (a *Agent) readFrames(att *attempt, s *transport.Stream) error {
 	for {
 		var frame jayv1.ClientFrame
 		if err := s.Receive(&frame); err != nil {
-			if errors.Is(err, io.EOF) && w.current() == stateReceiving {
+			if errors.Is(err, io.EOF) && att.currentState() == stateReceiving {
 				// The entry ended its side in front of the body's end.
-				a.end(w, eventLinkLost, &jayv1.End{Error: "body incomplete"})
+				a.end(att, eventLinkLost, &jayv1.End{Error: "body incomplete"})
 			}
 			return err
 		}
-		if err := a.takeFrame(w, &frame, s); err != nil {
+		if err := a.handleFrame(att, &frame, s); err != nil {
 			return err
 		}
 	}
@@ -172,15 +172,15 @@
 
 var errUnexpectedFrame = errors.New("frame does not fit the stream")
 
-func (a *Agent) takeFrame(w *work, frame *jayv1.ClientFrame, s *transport.Stream) error {
+func (a *Agent) handleFrame(att *attempt, frame *jayv1.ClientFrame, s *transport.Stream) error {
 	switch f := frame.GetFrame().(type) {
 	case *jayv1.ClientFrame_Body:
-		return a.takeBody(w, f.Body, s)
+		return a.receiveBody(att, f.Body, s)
 	case *jayv1.ClientFrame_Ack:
-		w.box.ack(f.Ack.GetNextSeq())
+		att.response.ack(f.Ack.GetNextSeq())
 	case *jayv1.ClientFrame_Cancel:
-		klog.V(2).InfoS("cancelled by the entry", "request", w.offer.GetRequestId(), "reason", f.Cancel.GetReason())
-		a.end(w, eventCancel, &jayv1.End{Error: "cancelled: " + f.Cancel.GetReason()})
+		klog.V(2).InfoS("cancelled by the entry", "request", att.offer.GetRequestId(), "reason", f.Cancel.GetReason())
+		a.end(att, eventCancel, &jayv1.End{Error: "cancelled: " + f.Cancel.GetReason()})
 	default:
 		return errUnexpectedFrame
 	}
@@ -189,22 +189,22 @@
 
 // linkLost keeps an attempt for its reader to come back, within the retain
 // time. One whose body was incomplete has not run and never will.
-func (a *Agent) linkLost(w *work, link int) {
-	if !w.box.holds(link) {
+func (a *Agent) linkLost(att *attempt, link int) {
+	if !att.response.isCurrent(link) {
 		return
 	}
-	if _, changed := w.fire(eventLinkLost); changed {
-		a.settle(w, &jayv1.End{Error: "link lost before the body was complete"})
-		a.works.forget(w.id)
+	if _, changed := att.fire(eventLinkLost); changed {
+		a.finishAttempt(att, &jayv1.End{Error: "link lost before the body was complete"})
+		a.attempts.forget(att.id)
 		return
 	}
-	klog.V(1).InfoS("link lost, answer kept for resume", "request", w.offer.GetRequestId(),
-		"workspace", w.offer.GetWorkspace(), "backendServer", a.settings.Name, "link", link)
-	w.setOrphan(time.AfterFunc(millis(a.settings.Replay.RetainMS), func() {
-		if !w.box.holds(link) {
+	klog.V(1).InfoS("link lost, answer kept for resume", "request", att.offer.GetRequestId(),
+		"workspace", att.offer.GetWorkspace(), "backendServer", a.settings.Name, "link", link)
+	att.setResumeTimer(time.AfterFunc(millis(a.settings.Replay.RetainMS), func() {
+		if !att.response.isCurrent(link) {
 			return // The reader came back while this timer was being set.
 		}
-		a.end(w, eventCancel, &jayv1.End{Error: "reader did not come back"})
-		a.works.forget(w.id)
+		a.end(att, eventCancel, &jayv1.End{Error: "reader did not come back"})
+		a.attempts.forget(att.id)
 	}))
 }
--- a/internal/agent/underway.go
+++ b/internal/agent/underway.go
@@ -10,38 +10,38 @@
 // A prompt that shares them will find them cached when its turn comes: what an
 // engine is just computing is no cost of the next request, and declining it
 // for that would have the same prefix computed elsewhere as well.
-type underway struct {
+type inFlightPrefixes struct {
 	mu     sync.Mutex
-	points map[uint64]int
+	counts map[uint64]int
 }
 
-func newUnderway() *underway { return &underway{points: map[uint64]int{}} }
+func newInFlightPrefixes() *inFlightPrefixes { return &inFlightPrefixes{counts: map[uint64]int{}} }
 
-func (u *underway) add(chain []*jayv1.PrefixPoint) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (p *inFlightPrefixes) add(chain []*jayv1.PrefixPoint) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, point := range chain {
-		u.points[point.GetHash()]++
+		p.counts[point.GetHash()]++
 	}
 }
 
-func (u *underway) remove(chain []*jayv1.PrefixPoint) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (p *inFlightPrefixes) remove(chain []*jayv1.PrefixPoint) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, point := range chain {
-		if u.points[point.GetHash()]--; u.points[point.GetHash()] <= 0 {
-			delete(u.points, point.GetHash())
+		if p.counts[point.GetHash()]--; p.counts[point.GetHash()] <= 0 {
+			delete(p.counts, point.GetHash())
 		}
 	}
 }
 
 // bytes of a prompt's start that are being computed, or wait to be.
-func (u *underway) bytes(chain []*jayv1.PrefixPoint) int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (p *inFlightPrefixes) bytes(chain []*jayv1.PrefixPoint) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	shared := 0
 	for _, point := range chain {
-		if u.points[point.GetHash()] == 0 {
+		if p.counts[point.GetHash()] == 0 {
 			break
 		}
 		shared = int(point.GetBytes())
--- a/internal/agent/work.go
+++ b/internal/agent/work.go
@@ -29,78 +29,78 @@
 
 // work is one accepted attempt, from the offer until nobody can ask for its
 // answer any more. It outlives the stream it came on.
-type work struct {
-	id    string
-	offer *jayv1.Offer
-	claim relay.Claim
-	box   *outbox
+type attempt struct {
+	id       string
+	offer    *jayv1.Offer
+	claim    relay.Claim
+	response *responseBuffer
 	// ctx ends when the attempt is given up.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	// gone ends when nobody can ask for the answer any more.
-	gone    context.Context
-	release context.CancelFunc
+	discarded context.Context
+	discard   context.CancelFunc
 	// offered is when the offer was accepted here.
 	offered time.Time
 	// cachedBytes of the chain, knownBytes that were submitted here before, and
 	// missedTokens when the offer came.
-	cachedBytes  int
-	knownBytes   int
-	missedTokens float64
+	cachedBytes    int
+	submittedBytes int
+	uncachedTokens float64
 
 	mu        sync.Mutex
 	state     string
 	body      []byte
 	queueWait time.Duration
 	// handed: a goroutine runs the attempt and frees its slot.
-	handed bool
+	started bool
 	// orphan fires when the reader of a lost link has not come back in time.
-	orphan *time.Timer
+	resumeTimer *time.Timer
 }
 
-func workID(requestID string, attempt uint32) string {
+func attemptID(requestID string, attempt uint32) string {
 	return fmt.Sprintf("%s/%d", requestID, attempt)
 }
 
-func newWork(parent context.Context, offer *jayv1.Offer, replayBytes int, now time.Time) *work {
+func newAttempt(parent context.Context, offer *jayv1.Offer, replayBytes int, now time.Time) *attempt {
 	ctx, cancel := context.WithCancelCause(parent)
-	gone, release := context.WithCancel(parent)
-	return &work{
-		gone:    gone,
-		release: release,
-		id:      workID(offer.GetRequestId(), offer.GetAttempt()),
-		offer:   offer,
-		claim:   relay.Claim{Workspace: offer.GetWorkspace(), Nonce: offer.GetNonce()},
-		box:     newOutbox(replayBytes),
-		ctx:     ctx,
-		cancel:  cancel,
-		offered: now,
-		state:   charts.Must(chartName).Initial(),
+	discarded, discard := context.WithCancel(parent)
+	return &attempt{
+		discarded: discarded,
+		discard:   discard,
+		id:        attemptID(offer.GetRequestId(), offer.GetAttempt()),
+		offer:     offer,
+		claim:     relay.Claim{Workspace: offer.GetWorkspace(), Nonce: offer.GetNonce()},
+		response:  newResponseBuffer(replayBytes),
+		ctx:       ctx,
+		cancel:    cancel,
+		offered:   now,
+		state:     charts.Must(chartName).Initial(),
 	}
 }
 
 // fire moves the attempt along its chart. It returns the new state, and
 // whether the event changed it; an attempt that is over stays as it is.
-func (w *work) fire(event string) (string, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (att *attempt) fire(event string) (string, bool) {
+	att.mu.Lock()
+	defer att.mu.Unlock()
 	chart := charts.Must(chartName)
-	if chart.Final(w.state) {
-		return w.state, false
+	if chart.Final(att.state) {
+		return att.state, false
 	}
-	next, err := chart.Next(w.state, event)
-	if err != nil || next == w.state {
-		return w.state, false
+	next, err := chart.Next(att.state, event)
+	if err != nil || next == att.state {
+		return att.state, false
 	}
-	w.state = next
-	w.handed = w.handed || event == eventStart
+	att.state = next
+	att.started = att.started || event == eventStart
 	return next, true
 }
 
-func (w *work) current() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.state
+func (att *attempt) currentState() string {
+	att.mu.Lock()
+	defer att.mu.Unlock()
+	return att.state
 }
 
 // outcomeOf translates a final state of the chart to the wire.
@@ -115,11 +115,11 @@
 }
 
 // setOrphan starts or stops the wait for a reader that lost its link.
-func (w *work) setOrphan(timer *time.Timer) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.orphan != nil {
-		w.orphan.Stop()
+func (att *attempt) setResumeTimer(timer *time.Timer) {
+	att.mu.Lock()
+	defer att.mu.Unlock()
+	if att.resumeTimer != nil {
+		att.resumeTimer.Stop()
 	}
-	w.orphan = timer
+	att.resumeTimer = timer
 }
--- a/internal/engine/blockhash/blockhash_test.go
+++ b/internal/engine/blockhash/blockhash_test.go
@@ -11,22 +11,22 @@
 	_ "github.com/jayproxy/jayproxy/internal/testseed" // fixed seed
 )
 
-func TestBlocksFollowTheTextAndNotItsParts(t *testing.T) {
+func TestBlockHashesDependOnTextNotParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scheme := rapid.SampledFrom([]blockhash.Scheme{blockhash.Merle, blockhash.Pica}).Draw(t, "scheme")
 		text := rapid.StringN(0, 400, 800).Draw(t, "text")
 		cut := rapid.IntRange(0, len(text)).Draw(t, "cut")
-		whole, ends := blockhash.Chain(scheme, blockhash.Root{Salt: "w"}, []string{text})
+		joined, ends := blockhash.Chain(scheme, blockhash.Root{Salt: "w"}, []string{text})
 		parts, _ := blockhash.Chain(scheme, blockhash.Root{Salt: "w"}, []string{text[:cut], text[cut:]})
-		assert.Equal(t, whole, parts)
-		assert.Len(t, whole, len(text)/blockhash.BlockBytes)
+		assert.Equal(t, joined, parts)
+		assert.Len(t, joined, len(text)/blockhash.BlockBytes)
 		for i, end := range ends {
 			assert.Equal(t, (i+1)*blockhash.BlockBytes, end)
 		}
 	})
 }
 
-func TestSaltVersionAndAdapterKeepBlocksApart(t *testing.T) {
+func TestSaltVersionAndAdapterSeparateBlocks(t *testing.T) {
 	text := []string{strings.Repeat("x", 200)}
 	roots := []blockhash.Root{{Salt: "a"}, {Salt: "b"}, {VersionDigest: "a"}, {Adapter: "a"}, {Salt: "ab"}, {Salt: "a", VersionDigest: "b"}}
 	for _, scheme := range []blockhash.Scheme{blockhash.Merle, blockhash.Pica} {
--- a/internal/engine/dialect/dialect.go
+++ b/internal/engine/dialect/dialect.go
@@ -44,10 +44,10 @@
 	// idleConns are kept to the one engine that a client talks to.
 	idleConns = 256
 	// maxAnswer bounds an answer that is read whole, in bytes; maxKV one of KV cache.
-	maxAnswer = 64 << 20
-	maxKV     = 1 << 30
+	maxResponse = 64 << 20
+	maxKV       = 1 << 30
 	// maxError bounds the text of an error that is kept, in bytes.
-	maxError = 512
+	maxErrorText = 512
 )
 
 // Open returns the engine of a vendor at a base URL. It does not connect.
@@ -110,7 +110,7 @@
 		return response, nil
 	}
 	defer response.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maxError))
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorText))
 	return nil, &statusError{path: call.path, status: response.StatusCode, text: string(bytes.TrimSpace(text))}
 }
 
@@ -166,7 +166,7 @@
 }
 
 // translate replaces a status that has a meaning of its own in a call.
-func translate(err error, status int, meaning error) error {
+func mapStatus(err error, status int, meaning error) error {
 	var refused *statusError
 	if errors.As(err, &refused) && refused.status == status {
 		return eris.Wrap(meaning, refused.Error())
--- a/internal/engine/dialect/dialect_test.go
+++ b/internal/engine/dialect/dialect_test.go
@@ -21,9 +21,9 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-var fast = sim.Options{
+var fastEngine = sim.Options{
 	Versions:               []string{"sha256:v1"},
 	Adapters:               []string{"lora/1"},
 	PrefillTokensPerSecond: 1e6,
@@ -52,7 +52,7 @@
 
 func collect(t *testing.T, stream engine.Stream) ([]engine.Event, error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	defer stream.Close()
 	var events []engine.Event
@@ -86,15 +86,15 @@
 	return b.String()
 }
 
-func wholeText(t *testing.T, r engine.Request, n int) string {
+func completeText(t *testing.T, r engine.Request, n int) string {
 	t.Helper()
 	parts, err := prefix.Render(r.Body)
 	require.NoError(t, err)
 	return sim.WholeText(parts, n)
 }
 
-func TestStreamsAnswerAndCountCachedTokens(t *testing.T) {
-	eachVendor(t, fast, func(t *testing.T, _ *standin.Engine, client engine.Engine) {
+func TestStreamDeliversResponseAndUsage(t *testing.T) {
+	eachVendor(t, fastEngine, func(t *testing.T, _ *standin.Engine, client engine.Engine) {
 		prompt := strings.Repeat("rulebook ", 100)
 		for i, cached := range []int{0, 14 * 16} {
 			r := request(fmt.Sprintf("req/%d:x", i), prompt, true)
@@ -110,14 +110,14 @@
 				assert.Equal(t, "sha256:v1", event.VersionDigest)
 				assert.Equal(t, index == 6, event.Last)
 			}
-			assert.Equal(t, wholeText(t, r, 5), text(t, events))
+			assert.Equal(t, completeText(t, r, 5), text(t, events))
 			assert.Equal(t, engine.Usage{PromptTokens: 228, CachedTokens: cached, OutputTokens: 5}, events[6].Usage)
 		}
 	})
 }
 
-func TestWholeAnswerIsOneLastEvent(t *testing.T) {
-	eachVendor(t, fast, func(t *testing.T, _ *standin.Engine, client engine.Engine) {
+func TestNonStreamedResponseIsOneLastEvent(t *testing.T) {
+	eachVendor(t, fastEngine, func(t *testing.T, _ *standin.Engine, client engine.Engine) {
 		r := request("a", "hello", false)
 		stream, err := client.Submit(context.Background(), r)
 		require.NoError(t, err)
@@ -126,25 +126,25 @@
 		require.Len(t, events, 1)
 		assert.True(t, events[0].Last)
 		assert.Equal(t, "a", events[0].RequestID)
-		assert.Equal(t, wholeText(t, r, 5), text(t, events))
+		assert.Equal(t, completeText(t, r, 5), text(t, events))
 		assert.Equal(t, 5, events[0].Usage.OutputTokens)
 	})
 }
 
 // A caller reads the cache of another workspace by writing the vendor's own
 // fields into its request: the salt that the router sets must win.
-func TestCallersCannotSmuggleVendorFields(t *testing.T) {
-	eachVendor(t, fast, func(t *testing.T, _ *standin.Engine, client engine.Engine) {
+func TestCallersCannotInjectVendorFields(t *testing.T) {
+	eachVendor(t, fastEngine, func(t *testing.T, _ *standin.Engine, client engine.Engine) {
 		prompt := strings.Repeat("secret ", 100)
 		victim := request("a", prompt, false)
 		stream, err := client.Submit(context.Background(), victim)
 		require.NoError(t, err)
 		_, err = collect(t, stream)
 		require.NoError(t, err)
-		thief := request("b", prompt, false)
-		thief.Salt = "w2"
-		thief.Body = []byte(strings.Replace(string(thief.Body), `{"model"`, `{"merle":{"cache_salt":"w1"},"MERLE":{"cache_salt":"w1"},"model"`, 1))
-		stream, err = client.Submit(context.Background(), thief)
+		attacker := request("b", prompt, false)
+		attacker.Salt = "w2"
+		attacker.Body = []byte(strings.Replace(string(attacker.Body), `{"model"`, `{"merle":{"cache_salt":"w1"},"MERLE":{"cache_salt":"w1"},"model"`, 1))
+		stream, err = client.Submit(context.Background(), attacker)
 		require.NoError(t, err)
 		events, err := collect(t, stream)
 		require.NoError(t, err)
@@ -152,8 +152,8 @@
 	})
 }
 
-func TestRefusalsAndFailuresAreTold(t *testing.T) {
-	options := fast
+func TestRefusalsAndFailuresAreDistinguished(t *testing.T) {
+	options := fastEngine
 	options.MaxRunning, options.MaxWaiting = 1, 1
 	options.DecodeStep = time.Hour
 	eachVendor(t, options, func(t *testing.T, server *standin.Engine, client engine.Engine) {
@@ -171,7 +171,7 @@
 			require.Eventually(t, func() bool {
 				state, err := client.State(ctx)
 				return err == nil && state.Running == 1 && (id == "runs" || state.Waiting == 1)
-			}, patience, time.Millisecond)
+			}, testTimeout, time.Millisecond)
 		}
 		_, err = client.Submit(ctx, request("too many", "x", true))
 		require.ErrorIs(t, err, engine.ErrRefused)
@@ -180,7 +180,7 @@
 		require.ErrorIs(t, err, engine.ErrInterrupted)
 		assert.NotErrorIs(t, err, engine.ErrRefused)
 		require.NoError(t, client.Cancel(ctx, "runs"))
-		require.Eventually(t, func() bool { return server.Core().Runs()["waits"] == 1 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return server.Core().Runs()["waits"] == 1 }, testTimeout, time.Millisecond)
 		assert.Equal(t, map[string]int{"runs": 1, "waits": 1}, server.Core().Runs())
 	})
 }
@@ -188,8 +188,8 @@
 // A caller's stream stops in the middle and looks complete. The engine process
 // dies after some tokens; the stream must end in ErrBroken, and the engine
 // comes back cold under a new boot number.
-func TestCrashBreaksTheStreamAndComesBackCold(t *testing.T) {
-	options := fast
+func TestCrashInterruptsStreamAndClearsCache(t *testing.T) {
+	options := fastEngine
 	options.OutputTokens = 1000
 	eachVendor(t, options, func(t *testing.T, server *standin.Engine, client engine.Engine) {
 		ctx := context.Background()
@@ -203,23 +203,23 @@
 		require.Eventually(t, func() bool {
 			state, err := client.State(ctx)
 			return err == nil && state.Incarnation == 2 && state.CachedBlocks == 0
-		}, patience, time.Millisecond)
+		}, testTimeout, time.Millisecond)
 	})
 }
 
 func TestDownEngineIsNotReached(t *testing.T) {
-	eachVendor(t, fast, func(t *testing.T, server *standin.Engine, client engine.Engine) {
+	eachVendor(t, fastEngine, func(t *testing.T, server *standin.Engine, client engine.Engine) {
 		server.Crash(time.Hour)
 		_, err := client.Submit(context.Background(), request("a", "x", true))
 		require.ErrorIs(t, err, engine.ErrNotReached)
 	})
 }
 
-func TestEventsFollowTheCacheAndTellAGap(t *testing.T) {
-	options := fast
+func TestEventsFollowCacheAndReportGaps(t *testing.T) {
+	options := fastEngine
 	options.EventBuffer = 1
 	eachVendor(t, options, func(t *testing.T, _ *standin.Engine, client engine.Engine) {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		reader, err := client.Events(ctx, 0)
 		require.NoError(t, err)
@@ -255,8 +255,8 @@
 	})
 }
 
-func TestOrdersTakeTimeAndOldFencesAreRefused(t *testing.T) {
-	options := fast
+func TestOrdersTakeEffectAndOldFencesAreRefused(t *testing.T) {
+	options := fastEngine
 	options.ChecksFencing = true
 	eachVendor(t, options, func(t *testing.T, _ *standin.Engine, client engine.Engine) {
 		ctx := context.Background()
@@ -281,8 +281,8 @@
 	})
 }
 
-func TestKVMovesBetweenEngines(t *testing.T) {
-	eachVendor(t, fast, func(t *testing.T, server *standin.Engine, client engine.Engine) {
+func TestKVCacheExportAndImport(t *testing.T) {
+	eachVendor(t, fastEngine, func(t *testing.T, server *standin.Engine, client engine.Engine) {
 		ctx := context.Background()
 		r := request("a", strings.Repeat("kept ", 200), false)
 		blocks, _, err := client.Blocks(r)
@@ -294,7 +294,7 @@
 		kv, err := client.ExportKV(ctx, blocks)
 		require.NoError(t, err)
 		server.Crash(0)
-		require.Eventually(t, func() bool { return client.ImportKV(ctx, kv) == nil }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return client.ImportKV(ctx, kv) == nil }, testTimeout, time.Millisecond)
 		assert.Equal(t, blocks, server.Core().Snapshot().Blocks)
 		require.ErrorIs(t, client.ImportKV(ctx, []byte("no kv")), engine.ErrRefused)
 	})
@@ -303,8 +303,8 @@
 // A caller gets words of somebody else's answer. The engine sends tokens late,
 // twice and into the wrong streams; the events must say whose they are, so
 // that the reader can tell.
-func TestCrossedAnswersNameTheirRequest(t *testing.T) {
-	options := fast
+func TestMisdeliveredEventsNameTheirRequest(t *testing.T) {
+	options := fastEngine
 	options.OutputTokens = 200
 	options.Seed = 7
 	options.Faults = sim.Faults{AnswerCrossed: 0.2, AnswerDoubled: 0.2, AnswerLate: 0.2}
@@ -330,7 +330,7 @@
 			for i := range uint64(len(byIndex)) {
 				own = append(own, byIndex[i])
 			}
-			assert.Equal(t, wholeText(t, *r, 200), text(t, own))
+			assert.Equal(t, completeText(t, *r, 200), text(t, own))
 			assert.Greater(t, len(events), len(own))
 			assert.Positive(t, foreign)
 		}
--- a/internal/engine/dialect/events.go
+++ b/internal/engine/dialect/events.go
@@ -20,14 +20,14 @@
 	// buffered is the number of bytes that can be read without waiting.
 	buffered func() int
 	// failed is an error that came behind events already returned.
-	failed error
+	pendingErr error
 }
 
 // Next implements engine.EventReader: it waits for one event and adds those
 // that have arrived with it.
 func (r *eventReader) Next(ctx context.Context) ([]engine.CacheEvent, error) {
-	if r.failed != nil {
-		return nil, r.failed
+	if r.pendingErr != nil {
+		return nil, r.pendingErr
 	}
 	stop := context.AfterFunc(ctx, func() { _ = r.body.Close() })
 	defer stop()
@@ -35,7 +35,7 @@
 	for len(events) < maxEventBatch {
 		event, err := r.read()
 		if err != nil {
-			r.failed = eventError(ctx, err)
+			r.pendingErr = eventError(ctx, err)
 			break
 		}
 		events = append(events, event)
@@ -46,7 +46,7 @@
 	if len(events) > 0 {
 		return events, nil
 	}
-	return nil, r.failed
+	return nil, r.pendingErr
 }
 
 func eventError(ctx context.Context, err error) error {
--- a/internal/engine/dialect/fuzz_test.go
+++ b/internal/engine/dialect/fuzz_test.go
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestSSEReaderTellsACutStream(t *testing.T) {
+func TestSSEReaderReportsTruncatedStream(t *testing.T) {
 	reader := newSSEReader(bytes.NewReader([]byte("data: a\n\ndata: b\n")))
 	event, err := reader.next()
 	require.NoError(t, err)
@@ -99,11 +99,11 @@
 	require.ErrorIs(t, err, ErrMalformed)
 }
 
-func TestUrgencyFallsAsPriorityRises(t *testing.T) {
-	assert.Equal(t, 9, picaUrgency(0))
-	assert.Equal(t, 0, picaUrgency(100))
-	assert.Equal(t, 0, picaUrgency(1000))
-	assert.Equal(t, 9, picaUrgency(-1))
+func TestPicaPriorityIsInverted(t *testing.T) {
+	assert.Equal(t, 9, picaPriority(0))
+	assert.Equal(t, 0, picaPriority(100))
+	assert.Equal(t, 0, picaPriority(1000))
+	assert.Equal(t, 9, picaPriority(-1))
 	assert.NotEmpty(t, merleOrders)
 	_, err := withMerleFields(engine.Request{Body: []byte("[]")})
 	require.ErrorIs(t, err, engine.ErrRefused)
--- a/internal/engine/dialect/merle.go
+++ b/internal/engine/dialect/merle.go
@@ -90,7 +90,7 @@
 
 // State implements engine.Engine.
 func (m *merle) State(ctx context.Context) (engine.State, error) {
-	body, err := m.read(ctx, call{method: http.MethodGet, path: "/state"}, maxAnswer)
+	body, err := m.read(ctx, call{method: http.MethodGet, path: "/state"}, maxResponse)
 	if err != nil {
 		return engine.State{}, err
 	}
@@ -134,15 +134,15 @@
 		return &stream{body: response.Body, events: newSSEReader(response.Body), decode: decodeMerleChunk}, nil
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
 		return nil, eris.Wrapf(engine.ErrInterrupted, "answer: %v", err)
 	}
-	event, err := decodeMerleWhole(response.Header.Get("X-Merle-Id"), answer)
+	event, err := decodeMerleResponse(response.Header.Get("X-Merle-Id"), data)
 	if err != nil {
 		return nil, errors.Join(engine.ErrInterrupted, err)
 	}
-	return &wholeStream{event: event}, nil
+	return &completeStream{event: event}, nil
 }
 
 // withMerleFields appends the vendor's member to a JSON object. It stands last
@@ -196,13 +196,13 @@
 	return event, true, err
 }
 
-func decodeMerleWhole(id string, answer []byte) (engine.Event, error) {
+func decodeMerleResponse(id string, data []byte) (engine.Event, error) {
 	event, err := parseMerleID(id)
 	if err != nil {
 		return event, err
 	}
-	event.Data, event.Last, event.Index = answer, true, 0
-	event.Usage, err = decodeUsage(answer)
+	event.Data, event.Last, event.Index = data, true, 0
+	event.Usage, err = decodeUsage(data)
 	return event, err
 }
 
@@ -253,7 +253,7 @@
 	if err != nil {
 		return eris.Wrap(err, path)
 	}
-	_, err = m.read(ctx, call{method: http.MethodPost, path: path, body: body, header: jsonHeader()}, maxAnswer)
+	_, err = m.read(ctx, call{method: http.MethodPost, path: path, body: body, header: jsonHeader()}, maxResponse)
 	return err
 }
 
@@ -262,9 +262,9 @@
 	path := "/events?after=" + strconv.FormatUint(after, 10)
 	body, err := m.open(ctx, call{method: http.MethodGet, path: path})
 	if err != nil {
-		return nil, translate(err, http.StatusGone, engine.ErrGap)
+		return nil, mapStatus(err, http.StatusGone, engine.ErrGap)
 	}
-	lines := bufio.NewReaderSize(body, readBuffer)
+	lines := bufio.NewReaderSize(body, readBufferSize)
 	return &eventReader{body: body, read: func() (engine.CacheEvent, error) {
 		line, err := readLine(lines)
 		if err != nil {
@@ -315,7 +315,7 @@
 
 // Snapshot implements engine.Engine.
 func (m *merle) Snapshot(ctx context.Context) (engine.CacheSnapshot, error) {
-	body, err := m.read(ctx, call{method: http.MethodGet, path: "/cache"}, maxAnswer)
+	body, err := m.read(ctx, call{method: http.MethodGet, path: "/cache"}, maxResponse)
 	if err != nil {
 		return engine.CacheSnapshot{}, err
 	}
@@ -347,7 +347,7 @@
 		Adapter: order.Adapter,
 		Role:    order.Role,
 	})
-	return translate(err, http.StatusConflict, engine.ErrStaleFence)
+	return mapStatus(err, http.StatusConflict, engine.ErrStaleFence)
 }
 
 // ExportKV implements engine.Engine.
@@ -365,6 +365,6 @@
 
 // ImportKV implements engine.Engine.
 func (m *merle) ImportKV(ctx context.Context, kv []byte) error {
-	_, err := m.read(ctx, call{method: http.MethodPost, path: "/kv/import", body: kv}, maxAnswer)
+	_, err := m.read(ctx, call{method: http.MethodPost, path: "/kv/import", body: kv}, maxResponse)
 	return err
 }
--- a/internal/engine/dialect/pica.go
+++ b/internal/engine/dialect/pica.go
@@ -25,7 +25,7 @@
 type pica struct{ *client }
 
 // picaLeastUrgent is the highest value of the urgency header; 0 is the most urgent.
-const picaLeastUrgent = 9
+const picaLowestPriority = 9
 
 // maxPriority is the highest engine.Request.Priority.
 const maxPriority = 100
@@ -33,8 +33,8 @@
 // Layout of an event frame: length of the rest, boot, sequence number,
 // operation, age in milliseconds, block hashes; little endian.
 const (
-	picaFrameHead = 8 + 8 + 1 + 4
-	maxPicaFrame  = 16 << 20
+	picaFrameHeader = 8 + 8 + 1 + 4
+	maxPicaFrame    = 16 << 20
 )
 
 // Operations in event frames.
@@ -62,7 +62,7 @@
 
 // State implements engine.Engine. Pica does not tell how old its report is.
 func (p *pica) State(ctx context.Context) (engine.State, error) {
-	body, err := p.read(ctx, call{method: http.MethodGet, path: "/stats"}, maxAnswer)
+	body, err := p.read(ctx, call{method: http.MethodGet, path: "/stats"}, maxResponse)
 	if err != nil {
 		return engine.State{}, err
 	}
@@ -76,7 +76,7 @@
 	header.Set("X-Pica-Salt", request.Salt)
 	header.Set("X-Pica-Weights", request.VersionDigest)
 	header.Set("X-Pica-Lora", request.Adapter)
-	header.Set("X-Pica-Urgency", strconv.Itoa(picaUrgency(request.Priority)))
+	header.Set("X-Pica-Urgency", strconv.Itoa(picaPriority(request.Priority)))
 	response, err := p.send(ctx, call{method: http.MethodPost, path: request.Path, body: request.Body, header: header})
 	if err != nil {
 		return nil, err
@@ -85,11 +85,11 @@
 		return &stream{body: response.Body, events: newSSEReader(response.Body), decode: decodePicaChunk}, nil
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
 		return nil, eris.Wrapf(engine.ErrInterrupted, "answer: %v", err)
 	}
-	event, err := decodePicaEnvelope(answer)
+	event, err := decodePicaEnvelope(data)
 	if err == nil && !event.Last {
 		err = eris.Wrap(ErrMalformed, "answer without its end")
 	}
@@ -97,12 +97,12 @@
 		return nil, errors.Join(engine.ErrInterrupted, err)
 	}
 	event.Index = 0
-	return &wholeStream{event: event}, nil
+	return &completeStream{event: event}, nil
 }
 
-func picaUrgency(priority int) int {
+func picaPriority(priority int) int {
 	priority = min(max(priority, 0), maxPriority)
-	return picaLeastUrgent - priority*picaLeastUrgent/maxPriority
+	return picaLowestPriority - priority*picaLowestPriority/maxPriority
 }
 
 func decodePicaChunk(wire sseEvent) (engine.Event, bool, error) {
@@ -138,7 +138,7 @@
 
 // Cancel implements engine.Engine.
 func (p *pica) Cancel(ctx context.Context, requestID string) error {
-	_, err := p.read(ctx, call{method: http.MethodDelete, path: "/requests/" + url.PathEscape(requestID)}, maxAnswer)
+	_, err := p.read(ctx, call{method: http.MethodDelete, path: "/requests/" + url.PathEscape(requestID)}, maxResponse)
 	return err
 }
 
@@ -147,9 +147,9 @@
 	path := "/kv/stream?from=" + strconv.FormatUint(after, 10)
 	body, err := p.open(ctx, call{method: http.MethodGet, path: path})
 	if err != nil {
-		return nil, translate(err, http.StatusRequestedRangeNotSatisfiable, engine.ErrGap)
+		return nil, mapStatus(err, http.StatusRequestedRangeNotSatisfiable, engine.ErrGap)
 	}
-	frames := bufio.NewReaderSize(body, readBuffer)
+	frames := bufio.NewReaderSize(body, readBufferSize)
 	return &eventReader{body: body, read: func() (engine.CacheEvent, error) {
 		return readPicaFrame(frames)
 	}, buffered: frames.Buffered}, nil
@@ -161,7 +161,7 @@
 		return engine.CacheEvent{}, err
 	}
 	length := binary.LittleEndian.Uint32(size[:])
-	if length < picaFrameHead || length > maxPicaFrame || (length-picaFrameHead)%8 != 0 {
+	if length < picaFrameHeader || length > maxPicaFrame || (length-picaFrameHeader)%8 != 0 {
 		return engine.CacheEvent{}, eris.Wrapf(ErrMalformed, "event frame of %d bytes", length)
 	}
 	// Copied as it arrives, so that a lying length can't claim the memory.
@@ -190,7 +190,7 @@
 	default:
 		return event, eris.Wrapf(ErrMalformed, "event operation %d", b[16])
 	}
-	rest := b[picaFrameHead:]
+	rest := b[picaFrameHeader:]
 	event.Blocks = make([]engine.BlockHash, 0, len(rest)/8)
 	for ; len(rest) >= 8; rest = rest[8:] {
 		event.Blocks = append(event.Blocks, engine.BlockHash(binary.LittleEndian.Uint64(rest)))
@@ -227,8 +227,8 @@
 		return eris.Wrapf(engine.ErrUnsupported, "order %v", order.Kind)
 	}
 	header := http.Header{"X-Pica-Epoch": {strconv.FormatUint(order.Fence, 10)}}
-	_, err := p.read(ctx, call{method: method, path: path, header: header}, maxAnswer)
-	return translate(err, http.StatusPreconditionFailed, engine.ErrStaleFence)
+	_, err := p.read(ctx, call{method: method, path: path, header: header}, maxResponse)
+	return mapStatus(err, http.StatusPreconditionFailed, engine.ErrStaleFence)
 }
 
 // ExportKV implements engine.Engine.
@@ -242,6 +242,6 @@
 
 // ImportKV implements engine.Engine.
 func (p *pica) ImportKV(ctx context.Context, kv []byte) error {
-	_, err := p.read(ctx, call{method: http.MethodPut, path: "/kv", body: kv}, maxAnswer)
+	_, err := p.read(ctx, call{method: http.MethodPut, path: "/kv", body: kv}, maxResponse)
 	return err
 }
--- a/internal/engine/dialect/picastate.go
+++ b/internal/engine/dialect/picastate.go
@@ -33,7 +33,7 @@
 			return state, err
 		}
 		seen = seen || parsed.name == "pica_boot"
-		if err := apply(&state, &ratio, parsed); err != nil {
+		if err := applyPicaLine(&state, &ratio, parsed); err != nil {
 			return state, err
 		}
 	}
@@ -44,7 +44,7 @@
 	return state, nil
 }
 
-func apply(state *engine.State, ratio *float64, line picaLine) error {
+func applyPicaLine(state *engine.State, ratio *float64, line picaLine) error {
 	var err error
 	switch line.name {
 	case "pica_boot":
@@ -85,11 +85,11 @@
 }
 
 func parsePicaLine(text string) (picaLine, error) {
-	cut := strings.LastIndexByte(text, ' ')
-	if cut < 0 {
+	separator := strings.LastIndexByte(text, ' ')
+	if separator < 0 {
 		return picaLine{}, eris.Wrapf(ErrMalformed, "report line %q", text)
 	}
-	line := picaLine{name: strings.TrimSpace(text[:cut]), value: text[cut+1:]}
+	line := picaLine{name: strings.TrimSpace(text[:separator]), value: text[separator+1:]}
 	name, labels, labelled := strings.Cut(line.name, "{")
 	if !labelled {
 		return line, nil
--- a/internal/engine/dialect/sse.go
+++ b/internal/engine/dialect/sse.go
@@ -14,7 +14,7 @@
 
 const (
 	// readBuffer is the size of a stream's buffer in bytes.
-	readBuffer = 8 << 10
+	readBufferSize = 8 << 10
 	// maxLine bounds one line of an engine's stream in bytes.
 	maxLine = 4 << 20
 )
@@ -32,7 +32,7 @@
 }
 
 func newSSEReader(r io.Reader) *sseReader {
-	return &sseReader{lines: bufio.NewReaderSize(r, readBuffer)}
+	return &sseReader{lines: bufio.NewReaderSize(r, readBufferSize)}
 }
 
 // next returns the next event that has data. io.EOF at the end of the input,
@@ -143,22 +143,22 @@
 func (s *stream) Close() error { return s.body.Close() }
 
 // wholeStream is the stream of an answer that came in one piece.
-type wholeStream struct {
-	event engine.Event
-	taken bool
+type completeStream struct {
+	event     engine.Event
+	delivered bool
 }
 
 // Next implements engine.Stream.
-func (s *wholeStream) Next(ctx context.Context) (engine.Event, error) {
-	if s.taken {
+func (s *completeStream) Next(ctx context.Context) (engine.Event, error) {
+	if s.delivered {
 		return engine.Event{}, io.EOF
 	}
 	if ctx.Err() != nil {
 		return engine.Event{}, ctx.Err()
 	}
-	s.taken = true
+	s.delivered = true
 	return s.event, nil
 }
 
 // Close implements engine.Stream.
-func (s *wholeStream) Close() error { return nil }
+func (s *completeStream) Close() error { return nil }
--- a/internal/ordergate/gate.go
+++ b/internal/ordergate/gate.go
@@ -84,7 +84,7 @@
 	idle phase = iota
 	reading
 	writing
-	passing
+	forwarding
 )
 
 type proposal struct {
@@ -94,10 +94,10 @@
 
 // Gate is the state of one engine's gate. Not safe for concurrent use.
 type Gate struct {
-	settle time.Duration
+	settleTime time.Duration
 	// durable: the floor is kept in the table. Without it only engines that
 	// check numbers themselves may be given orders.
-	durable bool
+	persistent bool
 
 	phase   phase
 	waiting []proposal
@@ -105,24 +105,26 @@
 	// highest number seen in an order or in the table.
 	highest Number
 	// known: the table was read, and not written by another since.
-	known       bool
-	version     uint64
-	incarnation uint64
+	watermarkKnown bool
+	version        uint64
+	incarnation    uint64
 	// unsettled: an order may still take effect, until settledAt or until the
 	// engine has started anew.
-	unsettled            bool
-	unsettledIncarnation uint64
-	settledAt            time.Time
+	indeterminate            bool
+	indeterminateIncarnation uint64
+	indeterminateUntil       time.Time
 	// done is the latest number that the engine has taken.
 	done Number
 }
 
 // New makes the gate of an engine that keeps its floor in the table.
-func New(settle time.Duration) *Gate { return &Gate{settle: settle, durable: true} }
+func New(settleTime time.Duration) *Gate { return &Gate{settleTime: settleTime, persistent: true} }
 
 // NewChecked makes the gate of an engine that refuses old fencing numbers
 // itself, for an agent without a table.
-func NewChecked(settle time.Duration) *Gate { return &Gate{settle: settle, known: true} }
+func NewChecked(settleTime time.Duration) *Gate {
+	return &Gate{settleTime: settleTime, watermarkKnown: true}
+}
 
 // Highest number seen.
 func (g *Gate) Highest() Number { return g.highest }
@@ -153,17 +155,17 @@
 // The order in the row may have been handed over by an agent that has died
 // since, and may still be on its way in a slow engine. The next order waits
 // for it, unless the engine has started anew: what was on its way died with it.
-func (g *Gate) WatermarkRead(now time.Time, floor Watermark, version uint64) []Action {
+func (g *Gate) WatermarkRead(now time.Time, watermark Watermark, version uint64) []Action {
 	if g.phase == writing { // Another agent wrote; the order waits again.
 		g.waiting = append([]proposal{g.current}, g.waiting...)
 	}
 	g.phase = idle
-	g.known, g.version = true, version
-	if g.highest.Before(floor.Number) {
-		g.highest = floor.Number
+	g.watermarkKnown, g.version = true, version
+	if g.highest.Before(watermark.Number) {
+		g.highest = watermark.Number
 	}
-	if floor.Number != (Number{}) {
-		g.markUnsettled(now, floor.Incarnation)
+	if watermark.Number != (Number{}) {
+		g.markIndeterminate(now, watermark.Incarnation)
 	}
 	return g.step(now)
 }
@@ -180,7 +182,7 @@
 	}
 	g.waiting = nil
 	g.phase = idle
-	g.known = false
+	g.watermarkKnown = false
 	return actions
 }
 
@@ -192,7 +194,7 @@
 		g.phase = idle
 		return append([]Action{Reply{ID: g.current.id, Err: ErrStale}}, g.step(now)...)
 	}
-	g.phase = passing
+	g.phase = forwarding
 	return []Action{Forward{ID: g.current.id}}
 }
 
@@ -205,7 +207,7 @@
 	if err == nil {
 		g.done = g.current.number
 	} else if !refused {
-		g.markUnsettled(now, g.incarnation)
+		g.markIndeterminate(now, g.incarnation)
 	}
 	return append([]Action{Reply{ID: g.current.id, Err: err}}, g.step(now)...)
 }
@@ -219,24 +221,24 @@
 // Tick lets orders on when the settle time has passed.
 func (g *Gate) Tick(now time.Time) []Action { return g.step(now) }
 
-func (g *Gate) markUnsettled(now time.Time, incarnation uint64) {
-	g.unsettled = true
-	g.unsettledIncarnation = incarnation
-	g.settledAt = now.Add(g.settle)
+func (g *Gate) markIndeterminate(now time.Time, incarnation uint64) {
+	g.indeterminate = true
+	g.indeterminateIncarnation = incarnation
+	g.indeterminateUntil = now.Add(g.settleTime)
 }
 
 func (g *Gate) settled(now time.Time) bool {
-	if g.unsettled && (g.incarnation > g.unsettledIncarnation || !now.Before(g.settledAt)) {
-		g.unsettled = false
+	if g.indeterminate && (g.incarnation > g.indeterminateIncarnation || !now.Before(g.indeterminateUntil)) {
+		g.indeterminate = false
 	}
-	return !g.unsettled
+	return !g.indeterminate
 }
 
 // step starts the next order when nothing else is under way.
 func (g *Gate) step(now time.Time) []Action {
 	var actions []Action
 	for g.phase == idle && len(g.waiting) > 0 {
-		if !g.known {
+		if !g.watermarkKnown {
 			g.phase = reading
 			return append(actions, ReadWatermark{})
 		}
@@ -259,8 +261,8 @@
 }
 
 func (g *Gate) start() Action {
-	if !g.durable {
-		g.phase = passing
+	if !g.persistent {
+		g.phase = forwarding
 		return Forward{ID: g.current.id}
 	}
 	g.phase = writing
--- a/internal/ordergate/gate_test.go
+++ b/internal/ordergate/gate_test.go
@@ -15,11 +15,11 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-const settle = 10 * time.Second
+const settleTime = 10 * time.Second
 
 // world is a gate with its table row and an engine that ignores numbers and
 // may be slow.
-type world struct {
+type simulation struct {
 	gate *ordergate.Gate
 	now  time.Time
 	row  ordergate.Watermark
@@ -27,201 +27,201 @@
 	version uint64
 	numbers map[uint64]ordergate.Number
 	nextID  uint64
-	todo    []ordergate.Action
+	pending []ordergate.Action
 	// inEngine are orders that may take effect before a time.
-	inEngine []delayed
-	applied  []ordergate.Number
-	boot     uint64
-	replies  map[uint64]error
+	inEngine    []delayed
+	applied     []ordergate.Number
+	incarnation uint64
+	replies     map[uint64]error
 }
 
 // restart replaces the agent; it may take a while to learn the engine's boot.
-func (w *world) restart() {
-	w.todo = nil
-	w.gate = ordergate.New(settle)
+func (s *simulation) restart() {
+	s.pending = nil
+	s.gate = ordergate.New(settleTime)
 }
 
-func (w *world) sawBoot() { w.do(w.gate.ObserveIncarnation(w.now, w.boot)) }
+func (s *simulation) observeIncarnation() { s.enqueue(s.gate.ObserveIncarnation(s.now, s.incarnation)) }
 
 type delayed struct {
-	number ordergate.Number
-	before time.Time
+	number   ordergate.Number
+	deadline time.Time
 }
 
-func newWorld() *world {
-	w := &world{now: epoch, numbers: map[uint64]ordergate.Number{}, boot: 1, replies: map[uint64]error{}}
-	w.restart()
-	return w
+func newSimulation() *simulation {
+	s := &simulation{now: epoch, numbers: map[uint64]ordergate.Number{}, incarnation: 1, replies: map[uint64]error{}}
+	s.restart()
+	return s
 }
 
-func (w *world) do(actions []ordergate.Action) { w.todo = append(w.todo, actions...) }
+func (s *simulation) enqueue(actions []ordergate.Action) { s.pending = append(s.pending, actions...) }
 
 // perform carries one action out, with the outcome that choose picks.
-func (w *world) perform(choose func(label string, n int) int) {
-	action := w.todo[0]
-	w.todo = w.todo[1:]
+func (s *simulation) perform(choose func(label string, n int) int) {
+	action := s.pending[0]
+	s.pending = s.pending[1:]
 	switch a := action.(type) {
 	case ordergate.Reply:
-		w.replies[a.ID] = a.Err
+		s.replies[a.ID] = a.Err
 	case ordergate.ReadWatermark:
 		if choose("read fails", 4) == 3 {
-			w.do(w.gate.WatermarkFailed())
+			s.enqueue(s.gate.WatermarkFailed())
 			return
 		}
-		w.do(w.gate.WatermarkRead(w.now, w.row, w.version))
+		s.enqueue(s.gate.WatermarkRead(s.now, s.row, s.version))
 	case ordergate.WriteWatermark:
-		w.write(a, choose("write", 4))
+		s.write(a, choose("write", 4))
 	case ordergate.Forward:
-		w.pass(a, choose("pass", 4))
+		s.forward(a, choose("pass", 4))
 	}
 }
 
-func (w *world) write(a ordergate.WriteWatermark, outcome int) {
+func (s *simulation) write(a ordergate.WriteWatermark, outcome int) {
 	if outcome == 3 { // not carried out
-		w.do(w.gate.WatermarkFailed())
+		s.enqueue(s.gate.WatermarkFailed())
 		return
 	}
-	if a.Version != w.version {
-		w.do(w.gate.WatermarkRead(w.now, w.row, w.version))
+	if a.Version != s.version {
+		s.enqueue(s.gate.WatermarkRead(s.now, s.row, s.version))
 		return
 	}
-	w.row, w.version = a.Watermark, w.version+1
+	s.row, s.version = a.Watermark, s.version+1
 	if outcome == 2 { // carried out, but the answer was lost
-		w.do(w.gate.WatermarkFailed())
+		s.enqueue(s.gate.WatermarkFailed())
 		return
 	}
-	w.do(w.gate.WatermarkWritten(w.now, w.version))
+	s.enqueue(s.gate.WatermarkWritten(s.now, s.version))
 }
 
-func (w *world) pass(a ordergate.Forward, outcome int) {
-	number := w.numbers[a.ID]
+func (s *simulation) forward(a ordergate.Forward, outcome int) {
+	number := s.numbers[a.ID]
 	switch outcome {
 	case 0, 1:
-		w.applied = append(w.applied, number)
-		w.do(w.gate.Forwarded(w.now, nil, false))
+		s.applied = append(s.applied, number)
+		s.enqueue(s.gate.Forwarded(s.now, nil, false))
 	case 2:
-		w.do(w.gate.Forwarded(w.now, errors.New("refused"), true))
+		s.enqueue(s.gate.Forwarded(s.now, errors.New("refused"), true))
 	case 3: // the engine is slow; its answer was lost
-		w.inEngine = append(w.inEngine, delayed{number, w.now.Add(settle)})
-		w.do(w.gate.Forwarded(w.now, ordergate.ErrIndeterminate, false))
+		s.inEngine = append(s.inEngine, delayed{number, s.now.Add(settleTime)})
+		s.enqueue(s.gate.Forwarded(s.now, ordergate.ErrIndeterminate, false))
 	}
 }
 
-func (w *world) propose(number ordergate.Number) uint64 {
-	w.nextID++
-	w.numbers[w.nextID] = number
-	w.do(w.gate.Propose(w.now, w.nextID, number))
-	return w.nextID
+func (s *simulation) propose(number ordergate.Number) uint64 {
+	s.nextID++
+	s.numbers[s.nextID] = number
+	s.enqueue(s.gate.Propose(s.now, s.nextID, number))
+	return s.nextID
 }
 
 // advance moves time on; what is in the engine takes effect before it is due.
-func (w *world) advance(d time.Duration) {
-	w.now = w.now.Add(d)
+func (s *simulation) advance(d time.Duration) {
+	s.now = s.now.Add(d)
 	var left []delayed
-	for _, order := range w.inEngine {
-		if order.before.After(w.now) {
+	for _, order := range s.inEngine {
+		if order.deadline.After(s.now) {
 			left = append(left, order)
 			continue
 		}
-		w.applied = append(w.applied, order.number)
+		s.applied = append(s.applied, order.number)
 	}
-	w.inEngine = left
-	w.do(w.gate.Tick(w.now))
+	s.inEngine = left
+	s.enqueue(s.gate.Tick(s.now))
 }
 
 // TestLaterOrderIsNeverUndone: holders whose leases lapsed, agents that are
 // replaced between any two steps, a table that fails or loses answers, an
 // engine that ignores numbers, is slow or restarts. The orders that take effect
 // must come in the order of their numbers.
-func TestLaterOrderIsNeverUndone(t *testing.T) {
+func TestOrdersTakeEffectInNumberOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		s := newSimulation()
 		choose := func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
 		t.Repeat(map[string]func(*rapid.T){
 			"propose": func(*rapid.T) {
-				w.propose(ordergate.Number{Fence: uint64(choose("fence", 4) + 1), Seq: uint64(choose("seq", 6) + 1)})
+				s.propose(ordergate.Number{Fence: uint64(choose("fence", 4) + 1), Seq: uint64(choose("seq", 6) + 1)})
 			},
 			"perform one": func(t *rapid.T) {
-				if len(w.todo) == 0 {
+				if len(s.pending) == 0 {
 					t.Skip("nothing to do")
 				}
-				w.perform(choose)
+				s.perform(choose)
 			},
 			"order": func(*rapid.T) { // without a step in between
-				w.propose(ordergate.Number{Fence: uint64(choose("fence", 2) + 1), Seq: uint64(choose("seq", 4) + 1)})
-				for len(w.todo) > 0 {
-					w.perform(choose)
+				s.propose(ordergate.Number{Fence: uint64(choose("fence", 2) + 1), Seq: uint64(choose("seq", 4) + 1)})
+				for len(s.pending) > 0 {
+					s.perform(choose)
 				}
 			},
-			"time": func(*rapid.T) { w.advance(time.Duration(choose("seconds", 8)) * time.Second) },
+			"time": func(*rapid.T) { s.advance(time.Duration(choose("seconds", 8)) * time.Second) },
 			"effect": func(t *rapid.T) {
-				if len(w.inEngine) == 0 {
+				if len(s.inEngine) == 0 {
 					t.Skip("nothing is in the engine")
 				}
-				w.applied = append(w.applied, w.inEngine[0].number)
-				w.inEngine = w.inEngine[1:]
+				s.applied = append(s.applied, s.inEngine[0].number)
+				s.inEngine = s.inEngine[1:]
 			},
 			"agent restarts": func(*rapid.T) {
-				for _, action := range w.todo { // A call under way may still arrive.
-					if pass, ok := action.(ordergate.Forward); ok && choose("arrives", 2) == 1 {
-						w.inEngine = append(w.inEngine, delayed{w.numbers[pass.ID], w.now.Add(settle)})
+				for _, action := range s.pending { // A call under way may still arrive.
+					if forward, ok := action.(ordergate.Forward); ok && choose("arrives", 2) == 1 {
+						s.inEngine = append(s.inEngine, delayed{s.numbers[forward.ID], s.now.Add(settleTime)})
 					}
 				}
-				w.restart()
+				s.restart()
 			},
-			"boot seen": func(*rapid.T) { w.sawBoot() },
+			"boot seen": func(*rapid.T) { s.observeIncarnation() },
 			"engine restarts": func(*rapid.T) {
-				w.boot++
-				w.inEngine, w.applied = nil, nil // It came back with nothing loaded.
-				w.sawBoot()
+				s.incarnation++
+				s.inEngine, s.applied = nil, nil // It came back with nothing loaded.
+				s.observeIncarnation()
 			},
 			"": func(t *rapid.T) {
-				for i := 1; i < len(w.applied); i++ {
-					require.False(t, w.applied[i].Before(w.applied[i-1]), "%v took effect after %v", w.applied[i], w.applied[i-1])
+				for i := 1; i < len(s.applied); i++ {
+					require.False(t, s.applied[i].Before(s.applied[i-1]), "%v took effect after %v", s.applied[i], s.applied[i-1])
 				}
 			},
 		})
 	})
 }
 
-func well(string, int) int { return 0 }
+func succeed(string, int) int { return 0 }
 
-func (w *world) finish() {
-	w.sawBoot()
-	for len(w.todo) > 0 {
-		w.perform(well)
+func (s *simulation) performAll() {
+	s.observeIncarnation()
+	for len(s.pending) > 0 {
+		s.perform(succeed)
 	}
 }
 
 // A holder is paused, its lease lapses, the next one rolls a version out. The
 // old one wakes up and its order would take the version away again.
-func TestOrderOfALapsedHolderIsRefused(t *testing.T) {
-	w := newWorld()
-	newer := w.propose(ordergate.Number{Fence: 8, Seq: 1})
-	w.finish()
-	older := w.propose(ordergate.Number{Fence: 7, Seq: 9})
-	w.finish()
-	require.NoError(t, w.replies[newer])
-	require.ErrorIs(t, w.replies[older], ordergate.ErrStale)
-	assert.Equal(t, []ordergate.Number{{Fence: 8, Seq: 1}}, w.applied)
+func TestOrderOfExpiredLeaseHolderIsRefused(t *testing.T) {
+	s := newSimulation()
+	newer := s.propose(ordergate.Number{Fence: 8, Seq: 1})
+	s.performAll()
+	older := s.propose(ordergate.Number{Fence: 7, Seq: 9})
+	s.performAll()
+	require.NoError(t, s.replies[newer])
+	require.ErrorIs(t, s.replies[older], ordergate.ErrStale)
+	assert.Equal(t, []ordergate.Number{{Fence: 8, Seq: 1}}, s.applied)
 }
 
 // The same, with an agent that was replaced in between and remembers nothing.
-func TestFloorIsReadAfterARestart(t *testing.T) {
-	w := newWorld()
-	w.propose(ordergate.Number{Fence: 8, Seq: 1})
-	w.finish()
-	w.restart()
-	older := w.propose(ordergate.Number{Fence: 7, Seq: 9})
-	w.finish()
-	require.ErrorIs(t, w.replies[older], ordergate.ErrStale)
+func TestWatermarkIsReadAfterRestart(t *testing.T) {
+	s := newSimulation()
+	s.propose(ordergate.Number{Fence: 8, Seq: 1})
+	s.performAll()
+	s.restart()
+	older := s.propose(ordergate.Number{Fence: 7, Seq: 9})
+	s.performAll()
+	require.ErrorIs(t, s.replies[older], ordergate.ErrStale)
 }
 
 // unknown passes an order whose outcome stays unknown: the engine is slow.
-func (w *world) unknown(number ordergate.Number) {
-	w.propose(number)
-	for len(w.todo) > 0 {
-		w.perform(func(label string, _ int) int {
+func (s *simulation) forwardIndeterminate(number ordergate.Number) {
+	s.propose(number)
+	for len(s.pending) > 0 {
+		s.perform(func(label string, _ int) int {
 			if label == "pass" {
 				return 3
 			}
@@ -232,78 +232,78 @@
 
 // An agent hands an order to a slow engine and is replaced. The next order
 // would overtake the first, which then takes effect last.
-func TestOrderWaitsForOneThatAnotherAgentLeftInTheEngine(t *testing.T) {
-	w := newWorld()
-	w.sawBoot()
-	w.unknown(ordergate.Number{Fence: 1, Seq: 1})
-	w.restart()
-	id := w.propose(ordergate.Number{Fence: 1, Seq: 2})
-	w.finish()
-	require.NotContains(t, w.replies, id)
-	w.advance(settle)
-	w.finish()
-	require.Contains(t, w.replies, id)
-	assert.Equal(t, []ordergate.Number{{Fence: 1, Seq: 1}, {Fence: 1, Seq: 2}}, w.applied)
+func TestOrderWaitsForIndeterminateOrderOfPreviousAgent(t *testing.T) {
+	s := newSimulation()
+	s.observeIncarnation()
+	s.forwardIndeterminate(ordergate.Number{Fence: 1, Seq: 1})
+	s.restart()
+	id := s.propose(ordergate.Number{Fence: 1, Seq: 2})
+	s.performAll()
+	require.NotContains(t, s.replies, id)
+	s.advance(settleTime)
+	s.performAll()
+	require.Contains(t, s.replies, id)
+	assert.Equal(t, []ordergate.Number{{Fence: 1, Seq: 1}, {Fence: 1, Seq: 2}}, s.applied)
 }
 
 // The same, with an agent that had not learned the engine's boot number: the
 // next one would take the engine's boot for a new one, and the order for dead.
-func TestNoOrderIsPassedBeforeTheBootIsKnown(t *testing.T) {
-	w := newWorld()
-	w.unknown(ordergate.Number{Fence: 1, Seq: 1})
-	assert.Empty(t, w.inEngine)
-	assert.Zero(t, w.version)
+func TestNoOrderIsForwardedBeforeIncarnationIsKnown(t *testing.T) {
+	s := newSimulation()
+	s.forwardIndeterminate(ordergate.Number{Fence: 1, Seq: 1})
+	assert.Empty(t, s.inEngine)
+	assert.Zero(t, s.version)
 }
 
 // While the row is written for an order, a later one arrives.
-func TestOrderOvertakenDuringTheWriteIsNotPassed(t *testing.T) {
-	w := newWorld()
-	w.sawBoot()
-	first := w.propose(ordergate.Number{Fence: 1, Seq: 1})
-	w.perform(well) // read; the write is due
-	second := w.propose(ordergate.Number{Fence: 2, Seq: 1})
-	w.finish()
-	require.ErrorIs(t, w.replies[first], ordergate.ErrStale)
-	require.NoError(t, w.replies[second])
-	assert.Equal(t, []ordergate.Number{{Fence: 2, Seq: 1}}, w.applied)
+func TestOrderSupersededDuringWriteIsNotForwarded(t *testing.T) {
+	s := newSimulation()
+	s.observeIncarnation()
+	first := s.propose(ordergate.Number{Fence: 1, Seq: 1})
+	s.perform(succeed) // read; the write is due
+	second := s.propose(ordergate.Number{Fence: 2, Seq: 1})
+	s.performAll()
+	require.ErrorIs(t, s.replies[first], ordergate.ErrStale)
+	require.NoError(t, s.replies[second])
+	assert.Equal(t, []ordergate.Number{{Fence: 2, Seq: 1}}, s.applied)
 }
 
-func TestWithoutTheTableOrdersAreRefused(t *testing.T) {
-	w := newWorld()
-	w.sawBoot()
-	id := w.propose(ordergate.Number{Fence: 1, Seq: 1})
-	w.perform(func(string, int) int { return 3 })
-	w.finish()
-	require.ErrorIs(t, w.replies[id], ordergate.ErrNoWatermark)
-	assert.Empty(t, w.applied)
-	again := w.propose(ordergate.Number{Fence: 1, Seq: 1})
-	w.finish()
-	require.NoError(t, w.replies[again])
+func TestOrdersAreRefusedWithoutTable(t *testing.T) {
+	s := newSimulation()
+	s.observeIncarnation()
+	id := s.propose(ordergate.Number{Fence: 1, Seq: 1})
+	s.perform(func(string, int) int { return 3 })
+	s.performAll()
+	require.ErrorIs(t, s.replies[id], ordergate.ErrNoWatermark)
+	assert.Empty(t, s.applied)
+	again := s.propose(ordergate.Number{Fence: 1, Seq: 1})
+	s.performAll()
+	require.NoError(t, s.replies[again])
 }
 
-func TestOrderSentAgainIsPassedOnce(t *testing.T) {
-	w := newWorld()
+func TestRepeatedOrderIsForwardedOnce(t *testing.T) {
+	s := newSimulation()
 	for range 2 {
-		id := w.propose(ordergate.Number{Fence: 1, Seq: 1})
-		w.finish()
-		require.NoError(t, w.replies[id])
+		id := s.propose(ordergate.Number{Fence: 1, Seq: 1})
+		s.performAll()
+		require.NoError(t, s.replies[id])
 	}
-	assert.Len(t, w.applied, 1)
+	assert.Len(t, s.applied, 1)
 }
 
-func TestEngineRestartSettlesWhatWasUnknown(t *testing.T) {
-	w := newWorld()
-	w.propose(ordergate.Number{Fence: 1, Seq: 1})
-	w.sawBoot()
-	w.perform(well)                               // read
-	w.perform(well)                               // write
-	w.perform(func(string, int) int { return 3 }) // pass, outcome unknown
-	w.finish()
-	id := w.propose(ordergate.Number{Fence: 1, Seq: 2})
-	w.finish()
-	require.NotContains(t, w.replies, id, "the first may still take effect")
-	w.do(w.gate.ObserveIncarnation(w.now, 2))
-	w.finish()
-	require.Contains(t, w.replies, id)
-	require.NoError(t, w.replies[id])
+func TestEngineRestartSettlesIndeterminateOrder(t *testing.T) {
+	s := newSimulation()
+	s.propose(ordergate.Number{Fence: 1, Seq: 1})
+	s.observeIncarnation()
+	s.perform(succeed)                            // read
+	s.perform(succeed)                            // write
+	s.perform(func(string, int) int { return 3 }) // pass, outcome unknown
+	s.performAll()
+	id := s.propose(ordergate.Number{Fence: 1, Seq: 2})
+	s.performAll()
+	require.NotContains(t, s.replies, id, "the first may still take effect")
+	s.enqueue(s.gate.ObserveIncarnation(s.now, 2))
+	s.performAll()
+	require.Contains(t, s.replies, id)
+	require.NoError(t, s.replies[id])
 }
