--- a/cmd/jay-agent/main.go
+++ b/cmd/jay-agent/main.go
@@ -1,5 +1,5 @@
-// Command jay-agent runs beside one backend server: it admits work, hands it
-// to the engine or service and relays the answers.
+// Command jay-agent runs beside one backend server: it admits requests, passes
+// them to the engine or service and relays the responses.
 package main
 
 import (
--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -34,7 +34,7 @@
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// attemptView is one attempt on the debug page. It shows no prompt text.
+// attemptView is one attempt on the debug page. It contains no prompt text.
 type attemptView struct {
 	ID        string  `json:"id"`
 	Workspace string  `json:"workspace"`
@@ -63,10 +63,12 @@
 	return c.JSON(http.StatusOK, debugView{Status: status, Attempts: attempts})
 }
 
-// probe tells the exact state, and the cost when a chain is given.
+// probe reports the agent's current state and, when the request has a prefix
+// chain, the expected time to the first token.
 func (a *Agent) probe(req *jayv1.ProbeRequest) *jayv1.ProbeReply {
-	// A server that never had an offer would else answer with a guess of its
-	// rate, look slow beside those that had, and never get one.
+	// The pool's limits and prefill rate otherwise arrive with the first offer.
+	// Before that, the estimate would use the default rate, which may be too low
+	// for the server to be picked at all.
 	a.applyPool(req.GetPool())
 	reply := &jayv1.ProbeReply{State: a.state()}
 	if a.model == nil || len(req.GetChain()) == 0 {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,8 +1,8 @@
-// Package agent is the process beside one backend server. It has the last word
-// on what its backend server takes on: it admits or refuses offers, hands work
-// to the engine or service, relays the answer and keeps it for readers that
-// lost their link. The decisions are made by pure packages; this one does the
-// I/O around them.
+// Package agent implements the process that runs beside one backend server. It
+// admits or refuses offers, passes accepted requests to the engine or service,
+// relays the response and buffers it so that an entry whose stream was lost can
+// resume it. Decisions are made by packages without I/O; this one does the I/O
+// for them.
 package agent
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// maxMetricLabels bounds the workspaces and classes that metrics keep apart.
+// maxMetricLabels bounds the distinct workspace and class labels in metrics.
 const maxMetricLabels = 300
 
 // Agent is a running agent.
@@ -47,14 +47,15 @@
 	spread           *spread.Service
 	ready            chan struct{} // closed when spread is set
 	draining         atomic.Bool
-	// bodyBytes that all attempts hold together.
+	// bodyBytes is the total size of the request bodies held by all attempts.
 	bodyBytes atomic.Int64
 	wg        sync.WaitGroup
 	mu        sync.Mutex
 	closed    bool
 }
 
-// Start runs an agent until Shutdown or Close. The context bounds the start only.
+// Start starts an agent, which runs until Shutdown or Close. The context is not
+// used.
 func Start(_ context.Context, settings Settings) (*Agent, error) {
 	if _, err := charts.All(); err != nil {
 		return nil, err
@@ -106,10 +107,10 @@
 	s := a.settings
 	switch {
 	case s.Engine.URL != "" && s.Service.URL != "":
-		return eris.New("settings name both an engine and a service")
+		return eris.New("settings have both engine.url and service.url; exactly one is required")
 	case s.Engine.URL != "":
 		if s.OpenEngine == nil {
-			return eris.New("no dialects are linked in")
+			return eris.New("settings have engine.url, but OpenEngine is not set")
 		}
 		opened, err := s.OpenEngine(s.Engine.Vendor, s.Engine.URL)
 		if err != nil {
@@ -122,7 +123,7 @@
 		a.service = service
 		return err
 	}
-	return eris.New("settings name neither an engine nor a service")
+	return eris.New("settings have neither engine.url nor service.url; exactly one is required")
 }
 
 func (a *Agent) listen(creds *transport.Credentials) error {
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// goRun runs a function that Close waits for. After Close it does nothing:
-// timers of attempts may still fire then.
+// goTracked runs f in a goroutine that Close waits for. After Close it does
+// nothing, since timers of attempts may still fire.
 func (a *Agent) goTracked(f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -151,29 +152,31 @@
 	a.wg.Go(f)
 }
 
-// Address of the agent's QUIC listener, ip:port.
+// Address returns the address of the agent's QUIC listener, ip:port.
 func (a *Agent) Address() string { return a.node.Address() }
 
-// AdminURL of the port for health, metrics and debugging.
+// AdminURL returns the base URL for health, metrics and debugging.
 func (a *Agent) AdminURL() string { return "http://" + a.adminListener.Addr().String() }
 
-// StartDrain refuses new work from now on and says so with every answer.
+// StartDrain refuses all later offers and marks the agent as draining in every
+// state that it sends.
 func (a *Agent) StartDrain() {
 	if !a.draining.Swap(true) {
-		klog.InfoS("leaving, no new work is taken", "backendServer", a.settings.Name)
+		klog.InfoS("draining, new offers are refused", "backendServer", a.settings.Name)
 	}
 }
 
-// isLeaving tells whether new work is refused: the agent was told to stop, or
-// an operator drains the backend server.
+// isDraining reports whether new offers are refused, because the agent is
+// stopping or an operator drains the backend server.
 func (a *Agent) isDraining() bool {
 	server, _ := a.catalog.Current().BackendServer(a.settings.Name)
 	return a.draining.Load() || server.GetDraining()
 }
 
-// Shutdown refuses new work, waits until every accepted request has ended and
-// its reader has the whole answer, and stops. When the context or the drain
-// time ends first, what still runs is cut; the error says so.
+// Shutdown refuses new offers, waits until every accepted request has ended and
+// its complete response was read or has expired, and stops the agent. When the
+// context or the drain timeout ends first, it interrupts what still runs and
+// returns an error.
 func (a *Agent) Shutdown(ctx context.Context) error {
 	a.StartDrain()
 	ctx, cancel := context.WithTimeout(ctx, millis(a.settings.DrainMS))
@@ -184,7 +187,7 @@
 	return eris.Wrap(err, "drain")
 }
 
-// Close stops at once, as a crash would.
+// Close stops the agent at once and interrupts running requests.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	a.closed = true
@@ -198,7 +201,7 @@
 	a.wg.Wait()
 }
 
-// state is the agent's own view, sent with every answer.
+// state returns the load and readiness that the agent sends with every reply.
 func (a *Agent) state() *jayv1.AgentState {
 	load := a.scheduler.load()
 	state := &jayv1.AgentState{
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -60,9 +60,8 @@
 	assert.Empty(t, fix.engine.requests())
 }
 
-// A caller would get one claim drafted twice: an entry that lost its link in
-// the middle of an offer sends the same attempt again, while the first is
-// already under way.
+// Guards against running a request twice when an entry that lost its stream
+// during an offer sends the same attempt again.
 func TestSameAttemptOfferedTwiceRunsOnce(t *testing.T) {
 	fix := newFixture(t, nil)
 	readAnswer(t, fix.accepted(modelOffer("r1"), "{}"))
@@ -81,8 +80,8 @@
 	assert.Empty(t, fix.engine.requests())
 }
 
-// A caller that gives up must not keep a slot: cancel arrives while the
-// engine works, the engine is told, and the next request gets the slot.
+// Guards against a cancelled request that keeps its slot: the cancel must reach
+// the engine and the next request must start.
 func TestCancelFreesTheSlotInTheEngine(t *testing.T) {
 	fix := newFixture(t, func(s *agent.Settings) { s.Queue.Slots = 1 })
 	gate := make(chan struct{})
@@ -108,7 +107,7 @@
 		"busy":        {engine.ErrRefused, jayv1.Outcome_OUTCOME_NOT_RUN, jayv1.Refusal_REFUSAL_QUEUE_FULL},
 		"invalid": {errors.Join(engine.ErrRefused, engine.ErrInvalid), jayv1.Outcome_OUTCOME_NOT_RUN,
 			jayv1.Refusal_REFUSAL_INVALID},
-		"broken": {engine.ErrInterrupted, jayv1.Outcome_OUTCOME_UNKNOWN, 0},
+		"interrupted": {engine.ErrInterrupted, jayv1.Outcome_OUTCOME_UNKNOWN, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -121,8 +120,8 @@
 	}
 }
 
-// During a rollout callers would get "invalid request": the version is unloaded
-// between the acceptance of an offer and its start, and the engine refuses it.
+// Guards against reporting a request as invalid when its version was unloaded
+// between the acceptance of the offer and its start.
 func TestVersionUnloadedWhileWaitingIsRefusedAsVersion(t *testing.T) {
 	fix := newFixture(t, func(s *agent.Settings) { s.Engine.PollMS = 60_000 })
 	fix.engine.set(func(f *fakeEngine) {
@@ -144,8 +143,8 @@
 	assert.NotZero(t, reply.GetRetryAfterMs())
 }
 
-// A graceful shutdown with an answer under way: new work is refused as
-// leaving, the answer goes on to its end, and only then does the agent stop.
+// Guards against a graceful shutdown that interrupts a running response or
+// accepts new offers.
 func TestShutdownFinishesRunningRequestsAndRefusesNew(t *testing.T) {
 	fix := newFixture(t, nil)
 	gate := make(chan struct{})
@@ -165,8 +164,8 @@
 	require.NoError(t, <-stopped)
 }
 
-// A rolling replacement would cut a request that was accepted while the stop
-// began.
+// Guards against interrupting a request that is accepted while the shutdown
+// begins.
 func TestShutdownInterruptsNoAcceptedRequest(t *testing.T) {
 	const rounds, callers = 15, 16
 	for range rounds {
@@ -190,8 +189,8 @@
 	}
 }
 
-// tryWhole hands a request over; false when it was refused or no link was made.
-// An accepted one must end whole.
+// runIfAccepted offers a request and returns false when it was refused or no
+// stream was opened. An accepted request must complete.
 func (fix *fixture) runIfAccepted(offer *jayv1.Offer) bool {
 	s, err := fix.entry.Open(fix.t.Context(), fix.agent.Address(), keys.RoleAgent)
 	if err != nil || s.Send(offerFrame(offer)) != nil {
@@ -207,7 +206,7 @@
 		frame = &jayv1.ServerFrame{}
 		err = s.Receive(frame)
 	}
-	assert.NoError(fix.t, err, "cut after it was accepted")
+	assert.NoError(fix.t, err, "interrupted after it was accepted")
 	return assert.Equal(fix.t, jayv1.Outcome_OUTCOME_DONE, frame.GetEnd().GetOutcome())
 }
 
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// BenchmarkHandOver is a whole attempt over QUIC on loopback: offer, reply,
-// body, chunks and end, with an engine that answers at once.
+// BenchmarkHandoff runs a complete attempt over QUIC on loopback: offer, reply,
+// body, chunks and end, with an engine that responds at once.
 func BenchmarkHandoff(b *testing.B) {
 	for _, chunks := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("chunks=%d", chunks), func(b *testing.B) {
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -9,8 +9,9 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// startSpread keeps the agent's catalog up to date from the entries that talk
-// to it. An agent reads neither the platform's table nor its list of VMs.
+// startSpread starts the service that keeps the agent's catalog up to date from
+// the entries connected to it. An agent reads neither the platform's table nor
+// its list of VMs.
 func (a *Agent) startSpread(creds *transport.Credentials) error {
 	service, err := spread.Start(a.ctx, spread.Options{
 		Self: creds.Self(), DataCentre: a.settings.DataCentre, Region: a.settings.Region,
@@ -27,7 +28,7 @@
 	return nil
 }
 
-// serveControl serves a stream of the spread, and ends any other.
+// serveControl serves a stream of the spread service and aborts any other.
 func (a *Agent) serveControl(ctx context.Context, peer keys.Identity, first *jayv1.ClientFrame, s *transport.Stream) {
 	select {
 	case <-a.ready:
@@ -39,16 +40,17 @@
 	}
 }
 
-// heardGeneration passes on by which generation a peer routed.
+// receivedGeneration reports to the spread service the catalog generation that
+// a peer routed by.
 func (a *Agent) receivedGeneration(peer keys.Identity, generation uint64) {
 	select {
 	case <-a.ready:
 		a.spread.Heard(peer, generation)
-	default: // Still starting; the next message tells it again.
+	default: // Still starting; the peer's next offer carries its generation too.
 	}
 }
 
-// status is what the debug page tells of the process.
+// status returns the process status shown on the debug page.
 func (a *Agent) status() *jayv1.ProcessStatus {
 	return &jayv1.ProcessStatus{
 		Name: a.settings.Name, Role: string(keys.RoleAgent), DataCentre: a.settings.DataCentre,
--- a/internal/agent/engine_test.go
+++ b/internal/agent/engine_test.go
@@ -18,7 +18,7 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-// standinBench is an agent beside a stand-in of a vendor's engine.
+// newStandInFixture starts an agent beside a stand-in of a vendor's engine.
 func newStandInFixture(t *testing.T, vendor string) (*fixture, *standin.Engine) {
 	t.Helper()
 	started, err := standin.Start(standin.Options{Vendor: vendor, Engine: sim.Options{
@@ -33,7 +33,8 @@
 	return fix, started
 }
 
-// chat is an offer with its body: a rulebook of some 8 KiB and a document.
+// chatOffer returns an offer and its body: a shared system prompt of 8,400 bytes
+// and a document.
 func chatOffer(t testing.TB, id, workspace, document string) (*jayv1.Offer, string) {
 	t.Helper()
 	type message struct {
@@ -41,7 +42,7 @@
 		Content string `json:"content"`
 	}
 	body, err := json.Marshal(map[string]any{"stream": true, "max_tokens": 4, "messages": []message{
-		{"system", strings.Repeat("rule of the charity. ", 400)}, {"user", document},
+		{"system", strings.Repeat("terms of the policy. ", 400)}, {"user", document},
 	}})
 	require.NoError(t, err)
 	parts, err := prefix.Render(body)
@@ -53,8 +54,8 @@
 	return offer, string(body)
 }
 
-// A request would be sent for a prefix that nobody holds: the engine has
-// crashed and come back cold, or the text belongs to another workspace.
+// Guards against reporting a prefix as cached when the engine has restarted with
+// an empty cache, or when another workspace submitted the text.
 func TestOnlyCurrentlyCachedPrefixIsReported(t *testing.T) {
 	for _, vendor := range []string{standin.Merle, standin.Pica} {
 		t.Run(vendor, func(t *testing.T) {
@@ -81,7 +82,7 @@
 			assert.Zero(t, cached("w1"))
 
 			offer, body = chatOffer(t, "r2", "w1", "third")
-			offer.Incarnation = before // The entry believes in the engine's old cache.
+			offer.Incarnation = before // The entry has not observed the restart.
 			require.Eventually(t, func() bool { return fix.probe().GetReady() }, 5*time.Second, 10*time.Millisecond)
 			got = readAnswer(t, fix.accepted(offer, body))
 			require.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome(), got.end.GetError())
@@ -91,8 +92,8 @@
 	}
 }
 
-// A document that many ask about at once would be computed at many engines: the
-// first request computes it here, and the next is declined for that cost.
+// Guards against counting a prefix that is already being computed as cost of the
+// next request, which would spread requests for one document over many engines.
 func TestPrefixBeingComputedDoesNotCountTowardsCost(t *testing.T) {
 	fix := newFixture(t, nil)
 	gate := make(chan struct{})
@@ -105,7 +106,7 @@
 	shared, reply := fix.offer(second)
 	send(t, shared, bodyFrame(body, true))
 	assert.Greater(t, full, 200.0)
-	assert.Less(t, reply.GetCostMs()-full, 20.0, "it waits for the first, and computes its own end")
+	assert.Less(t, reply.GetCostMs()-full, 20.0, "cost of the second beyond the wait for the first")
 	assert.Zero(t, reply.GetCachedBytes(), "nothing is cached yet")
 	close(gate)
 	readAnswer(t, alone)
@@ -133,7 +134,8 @@
 	}
 }
 
-// Guards against entries that take any broken answer for a crash, or no crash for one.
+// Guards against reporting any interrupted response as an engine crash, or no
+// crash when the engine did crash.
 func TestEndReportsWhetherEngineCrashed(t *testing.T) {
 	for _, vendor := range []string{standin.Merle, standin.Pica} {
 		t.Run(vendor, func(t *testing.T) {
@@ -146,7 +148,7 @@
 			assert.True(t, got.end.GetEngineCrashed(), got.end.GetError())
 			assert.Equal(t, before, got.end.GetIncarnation())
 		})
-		t.Run(vendor+"-cut", func(t *testing.T) {
+		t.Run(vendor+"-interrupted", func(t *testing.T) {
 			fix, engine := newStandInFixture(t, vendor)
 			engine.SetFaults(sim.Faults{BreakShare: 1, BreakAfter: 1})
 			offer, body := chatOffer(t, "r1", "w1", "cut")
--- a/internal/agent/enginecache.go
+++ b/internal/agent/enginecache.go
@@ -14,18 +14,21 @@
 )
 
 const (
-	// eventRetry is the pause before the stream of events is opened again.
+	// eventRetryInterval is the pause before the event stream is opened again.
 	eventRetryInterval = 200 * time.Millisecond
-	// cacheTick is how often overdue events are given up.
+	// repairInterval is how often the index is checked for overdue events and
+	// for the need of a snapshot.
 	repairInterval = 100 * time.Millisecond
-	// snapshotEvery is the least time between two snapshots: one takes the
-	// engine and the agent some milliseconds for 23,000 blocks.
+	// snapshotInterval is the minimum time between two snapshots, which cost
+	// processor time in the engine and in the agent.
 	snapshotInterval = time.Second
-	// snapshotTimeout bounds the reading of one.
+	// snapshotTimeout bounds the read of one snapshot.
 	snapshotTimeout = 5 * time.Second
-	// seekStep is less than the events that engines keep for late readers, and
-	// seekTries bounds the search for the place where they start.
-	seekStep     = 2048
+	// seekStep is the distance in sequence numbers between two attempts to find
+	// the events that an engine retains. It is less than the number of retained
+	// events, so that no step skips them all.
+	seekStep = 2048
+	// maxSeekSteps bounds the search.
 	maxSeekSteps = 1 << 14
 )
 
@@ -36,7 +39,7 @@
 	mu      sync.Mutex
 	index   *cacheindex.Index
 	aliases *cacheindex.Aliases
-	// snapshots: the engine has them.
+	// snapshots is false once the engine has reported that it has none.
 	snapshots bool
 }
 
@@ -49,20 +52,20 @@
 	}
 }
 
-// look returns how much of a prompt's start is cached now, and how much was
-// submitted here before.
+// lookup returns the length in bytes of the prompt's prefix that the engine has
+// cached now, and of the prefix that was submitted to this engine before.
 func (c *engineCache) lookup(now time.Time, chain []*jayv1.PrefixPoint) (cached, submitted int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.index.CachedBytes(now, c.aliases, chain), c.aliases.KnownBytes(chain)
 }
 
-// submitted learns which of the engine's blocks stand for the points of the
-// prompt that was just handed over.
+// recordSubmitted maps the points of a prompt that was just submitted to the
+// engine's blocks.
 func (c *engineCache) recordSubmitted(chain []*jayv1.PrefixPoint, req engine.Request) {
 	blocks, ends, err := c.engine.Blocks(req)
 	if err != nil {
-		klog.V(1).InfoS("blocks of a prompt not known", "request", req.ID, "error", err.Error())
+		klog.V(1).InfoS("prompt not added to the cache index: its block hashes could not be computed", "request", req.ID, "error", err.Error())
 		return
 	}
 	c.mu.Lock()
@@ -89,14 +92,15 @@
 	return c.index.Survival(now)
 }
 
-// evicting tells whether the engine has removed blocks to make room.
+// evicting reports whether the engine has removed blocks to free space.
 func (c *engineCache) evicting() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.index.Evicting()
 }
 
-// repair reads snapshots when the index asks for them, and gives up overdue events.
+// repair reads snapshots when the index needs one, and has the index treat
+// overdue events as lost. It runs until the context ends.
 func (c *engineCache) repair(ctx context.Context) {
 	ticker := time.NewTicker(repairInterval)
 	defer ticker.Stop()
@@ -119,7 +123,8 @@
 	}
 }
 
-// resync reads a snapshot. An engine that has none is followed by forgetting.
+// resync replaces the index's contents by a snapshot. For an engine without
+// snapshots it switches the index to the Forget mode of repair.
 func (c *engineCache) resync(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
@@ -135,19 +140,19 @@
 		c.index.SawIncarnation(incarnation)
 		c.index.Lost(now)
 	case err != nil:
-		klog.V(1).InfoS("no snapshot of the cache", "error", err.Error())
+		klog.V(1).InfoS("cache snapshot could not be read", "error", err.Error())
 	default:
 		c.index.Snapshot(now, snapshot)
 	}
 }
 
-// follow reads cache events until the context ends.
+// followEvents reads cache events until the context ends.
 func (c *engineCache) followEvents(ctx context.Context) {
 	for ctx.Err() == nil {
 		if reader := c.openEvents(ctx); reader != nil {
 			err := c.readEvents(ctx, reader)
 			_ = reader.Close()
-			klog.V(1).InfoS("cache events ended", "cause", err)
+			klog.V(1).InfoS("cache event stream ended", "cause", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -168,9 +173,10 @@
 	}
 }
 
-// open subscribes where the index stands. When the engine no longer has those
-// events, the picture is lost; a snapshot tells where to go on, and without
-// one the place is searched for.
+// openEvents subscribes after the last event in the index. When the engine no
+// longer has the following events, the index is marked as lost: a snapshot then
+// gives the next sequence number, and without snapshots it is searched for.
+// Returns nil when no subscription was made.
 func (c *engineCache) openEvents(ctx context.Context) engine.EventReader {
 	c.mu.Lock()
 	after := max(c.index.Next(), 1) - 1
@@ -192,7 +198,8 @@
 	return c.seekEvents(ctx)
 }
 
-// seek finds the events that the engine still keeps.
+// seekEvents subscribes to the events that the engine still retains. Returns
+// nil when it finds none.
 func (c *engineCache) seekEvents(ctx context.Context) engine.EventReader {
 	for i := range uint64(maxSeekSteps) {
 		reader, err := c.engine.Events(ctx, i*seekStep)
--- a/internal/agent/enginestate.go
+++ b/internal/agent/enginestate.go
@@ -14,13 +14,15 @@
 )
 
 const (
-	// engineDownRetry is what a caller is told to wait while the engine is down.
+	// engineRetryAfter is the Retry-After sent while the engine is unavailable
+	// or full.
 	engineRetryAfter = 2 * time.Second
-	// statePollTimeout bounds one reading of the engine's state.
+	// statePollTimeout bounds one read of the engine's state.
 	statePollTimeout = 2 * time.Second
 )
 
-// modelBackend is the model engine beside the agent with what is known of it.
+// modelBackend is the model engine beside the agent, with its last observed
+// state and cache contents.
 type modelBackend struct {
 	engine       engine.Engine
 	cache        *engineCache
@@ -62,7 +64,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if state.Incarnation < m.state.Incarnation {
-		return // A report from before the last start, late on its way.
+		return // A late report of an earlier incarnation.
 	}
 	if !m.up || state.Incarnation != m.state.Incarnation {
 		klog.InfoS("engine is up", "incarnation", state.Incarnation, "versions", state.Versions)
@@ -70,7 +72,7 @@
 	m.up, m.state = true, state
 }
 
-// incarnation of the engine as last seen.
+// incarnation returns the latest incarnation observed of the engine.
 func (m *modelBackend) incarnation() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,8 +83,8 @@
 	return max(m.state.Incarnation, m.cache.incarnation())
 }
 
-// crashed tells whether an incarnation of the engine is proven to have ended:
-// nothing listens, or another one answers.
+// crashed reports whether an incarnation of the engine is proven to have ended:
+// its port refuses connections, or a later incarnation responds.
 func (m *modelBackend) crashed(ctx context.Context, incarnation uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, statePollTimeout)
 	defer cancel()
@@ -103,7 +105,8 @@
 	m.up = false
 }
 
-// check refuses an offer whose version or adapter is not loaded.
+// check refuses offers while the engine is down, and offers whose version or
+// adapter is not loaded. A refusal of 0 means that the offer is allowed.
 func (m *modelBackend) check(offer *jayv1.Offer) (jayv1.Refusal, string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,7 +122,7 @@
 	return 0, ""
 }
 
-// describe fills in the engine's part of the agent's state.
+// fillState fills in the engine's part of the agent's state.
 func (m *modelBackend) fillState(state *jayv1.AgentState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/agent/fake_test.go
+++ b/internal/agent/fake_test.go
@@ -19,7 +19,7 @@
 
 const digest = "sha256:v1"
 
-// fakeEngine answers each request with scripted events.
+// fakeEngine responds to each request with scripted events.
 type fakeEngine struct {
 	mu        sync.Mutex
 	state     engine.State
@@ -27,8 +27,8 @@
 	submitErr error
 	submitted []engine.Request
 	cancelled []string
-	// script makes the events of a request; they are sent one for each token
-	// from gate, or all at once when gate is nil.
+	// script returns the events of a request. One is sent for each value
+	// received from gate; all are sent at once when gate is closed or nil.
 	script func(req engine.Request) []engine.Event
 	gate   chan struct{}
 	orders []engine.Order
@@ -42,7 +42,8 @@
 	}
 }
 
-// words scripts one event a word and a last one with the usage.
+// wordEvents returns a script with one event for each word and a last one with
+// the usage.
 func wordEvents(list ...string) func(engine.Request) []engine.Event {
 	return func(req engine.Request) []engine.Event {
 		var events []engine.Event
@@ -160,7 +161,7 @@
 
 func (s *fakeStream) Close() error { return nil }
 
-// bench is an agent with a fake engine or a service, and an entry's node.
+// fixture is an agent with a fake engine or a service, and an entry's node.
 type fixture struct {
 	t      testing.TB
 	agent  *agent.Agent
@@ -264,7 +265,7 @@
 	}}}
 }
 
-// offer sends an offer and returns the reply.
+// offer sends an offer and returns its stream and the reply.
 func (fix *fixture) offer(offer *jayv1.Offer) (*transport.Stream, *jayv1.OfferReply) {
 	fix.t.Helper()
 	s := fix.open()
@@ -274,7 +275,7 @@
 	return s, reply
 }
 
-// accepted sends an offer that must be accepted, and its body.
+// accepted sends an offer that must be accepted, and then its body.
 func (fix *fixture) accepted(offer *jayv1.Offer, body string) *transport.Stream {
 	fix.t.Helper()
 	s, reply := fix.offer(offer)
@@ -285,7 +286,7 @@
 	return s
 }
 
-// answer reads a stream to its end.
+// answer is a response read to its end.
 type answer struct {
 	head   *jayv1.ServiceHead
 	chunks []string
--- a/internal/agent/kv.go
+++ b/internal/agent/kv.go
@@ -21,20 +21,22 @@
 )
 
 const (
-	// kvAskTimeout bounds the question what the store has, and kvTransferTimeout
-	// a fetch or a put: a store that is slow must cost less than computing.
-	kvLookupTimeout   = 50 * time.Millisecond
+	// kvLookupTimeout bounds the lookup of a prompt's prefixes in the store, so
+	// that a slow store costs less than computing the prompt.
+	kvLookupTimeout = 50 * time.Millisecond
+	// kvTransferTimeout bounds one fetch or one export.
 	kvTransferTimeout = 2 * time.Second
-	// maxKVBytes of one fetch.
+	// maxKVBytes bounds one fetch.
 	maxKVBytes = 1 << 30
 )
 
 var (
-	errKVAbsent = errors.New("not in the store of kept KV cache")
-	errKVStatus = errors.New("store of kept KV cache refused")
+	errKVAbsent = errors.New("not in the KV cache store")
+	errKVStatus = errors.New("KV cache store refused the request")
 )
 
-// kvLink moves KV cache between the engine and the store of kept KV cache.
+// kvStore is the client of the KV cache store. It moves KV cache between the
+// engine and the store.
 type kvStore struct {
 	base   string
 	vendor string
@@ -42,7 +44,7 @@
 
 	mu      sync.Mutex
 	planner *kvplan.Planner
-	// moving: an export is under way; one at a time is enough.
+	// exporting is true while an export runs; there is at most one at a time.
 	exporting bool
 }
 
@@ -54,20 +56,22 @@
 	}
 }
 
-// url of a point's blob. The point's hash covers workspace, model, version and
-// adapter; blobs of different vendors do not mix.
+// url returns the URL of a point's blob. The point's hash covers workspace,
+// model, version and adapter; the vendor is part of the name because blobs of
+// different vendors are incompatible.
 func (k *kvStore) url(point *jayv1.PrefixPoint) string {
 	return fmt.Sprintf("%s/kv/%s-%016x", k.base, k.vendor, point.GetHash())
 }
 
-// usesKV tells whether the pool keeps KV cache in a store that is reached from here.
+// usesKV reports whether the attempt's pool declares a KV cache store and the
+// settings have its URL.
 func (a *Agent) usesKV(att *attempt) bool {
 	pool, ok := a.catalog.Current().Pool(att.offer.GetPool())
 	return ok && pool.GetKvService() != "" && a.model.kv.base != ""
 }
 
-// importKV fetches the missing part of the prompt's prefix when that is cheaper
-// than computing it. Whatever fails, the engine computes.
+// importKV fetches the uncached part of the prompt's prefix when that is
+// cheaper than computing it. On any failure the engine computes the prompt.
 func (a *Agent) importKV(att *attempt) {
 	if !a.usesKV(att) {
 		return
@@ -95,8 +99,8 @@
 	a.metrics.Count(metricImported, att.offer.GetWorkspace(), 1)
 }
 
-// find asks the store for all candidates at once and returns the deepest that
-// it has, with its size in bytes.
+// findDeepest looks all candidates up in parallel and returns the first that
+// the store has, with its size in bytes. Candidates are ordered deepest first.
 func (k *kvStore) findDeepest(ctx context.Context, candidates []*jayv1.PrefixPoint) (*jayv1.PrefixPoint, int64) {
 	ctx, cancel := context.WithTimeout(ctx, kvLookupTimeout)
 	defer cancel()
@@ -130,7 +134,8 @@
 	return response.ContentLength, nil
 }
 
-// note keeps what the store said about a point; a failed call says nothing.
+// recordPresence records whether the store has a point. Errors other than
+// errKVAbsent leave that open and are ignored.
 func (k *kvStore) recordPresence(point *jayv1.PrefixPoint, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -168,11 +173,11 @@
 func (k *kvStore) do(ctx context.Context, method string, point *jayv1.PrefixPoint, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, k.url(point), bytes.NewReader(body))
 	if err != nil {
-		return nil, eris.Wrap(err, "KV request")
+		return nil, eris.Wrap(err, "build KV cache store request")
 	}
 	response, err := k.client.Do(request)
 	if err != nil {
-		return nil, eris.Wrap(err, "KV store")
+		return nil, eris.Wrap(err, "KV cache store")
 	}
 	if response.StatusCode < http.StatusMultipleChoices {
 		return response, nil
@@ -184,8 +189,9 @@
 	return nil, eris.Wrapf(errKVStatus, "status %d", response.StatusCode)
 }
 
-// keepKV counts the prompt and puts its hot prefix into the store while the
-// engine is evicting: without pressure every engine keeps its own.
+// exportKV counts the use of the prompt's prefixes and exports a frequently
+// used one to the store while the engine is evicting. An engine that evicts
+// nothing still has the prefix in its own cache.
 func (a *Agent) exportKV(att *attempt, req engine.Request) {
 	if !a.usesKV(att) {
 		return
@@ -203,7 +209,7 @@
 	k.mu.Unlock()
 	a.goTracked(func() {
 		if err := k.put(a.ctx, a.model.engine, point, req); err != nil {
-			klog.V(1).InfoS("KV cache not kept", "request", att.id, "error", err.Error())
+			klog.V(1).InfoS("KV cache not exported", "request", att.id, "error", err.Error())
 		}
 		k.mu.Lock()
 		k.exporting = false
--- a/internal/agent/kv_test.go
+++ b/internal/agent/kv_test.go
@@ -18,7 +18,8 @@
 	"github.com/jayproxy/jayproxy/internal/standin/kvstore"
 )
 
-// kvBench is an agent beside a cold engine with a small cache and a store.
+// newKVFixture starts an agent beside an engine with a small, empty cache and a
+// KV cache store.
 func newKVFixture(t *testing.T, vendor string, store *kvstore.Store) *fixture {
 	t.Helper()
 	started, err := standin.Start(standin.Options{Vendor: vendor, Engine: sim.Options{
@@ -37,7 +38,8 @@
 	})
 }
 
-// cachedTokens runs a prompt and returns what the engine reused of it.
+// runCachedTokens runs a prompt and returns the number of its tokens that the
+// engine had cached.
 func (fix *fixture) runCachedTokens(id, workspace, document string) uint32 {
 	fix.t.Helper()
 	offer, body := chatOffer(fix.t, id, workspace, document)
@@ -46,8 +48,8 @@
 	return got.end.GetUsage().GetCachedTokens()
 }
 
-// A rulebook that is hot at one engine is computed anew at each other, although
-// the store of kept KV cache could give it in a fraction of the time.
+// Guards against computing a frequently used prefix that the KV cache store has,
+// and against a request that fails or is late when the store is down or slow.
 func TestHotPrefixIsFetchedInsteadOfComputed(t *testing.T) {
 	for _, vendor := range []string{standin.Merle, standin.Pica} {
 		t.Run(vendor, func(t *testing.T) {
@@ -62,13 +64,13 @@
 
 			cold := newKVFixture(t, vendor, store)
 			assert.Greater(t, cold.runCachedTokens("r1", "w1", "another"), uint32(1900))
-			assert.Zero(t, cold.runCachedTokens("r2", "w2", "another"), "kept for another workspace")
+			assert.Zero(t, cold.runCachedTokens("r2", "w2", "another"), "stored for another workspace")
 
 			store.SetFaults(kvstore.Faults{Outage: true})
-			assert.Zero(t, newKVFixture(t, vendor, store).runCachedTokens("r3", "w1", "another"), "store down: computed")
+			assert.Zero(t, newKVFixture(t, vendor, store).runCachedTokens("r3", "w1", "another"), "cached tokens with the store down")
 			store.SetFaults(kvstore.Faults{DelayMS: 500})
 			began := time.Now()
-			assert.Zero(t, newKVFixture(t, vendor, store).runCachedTokens("r4", "w1", "another"), "store slow: computed")
+			assert.Zero(t, newKVFixture(t, vendor, store).runCachedTokens("r4", "w1", "another"), "cached tokens with a slow store")
 			assert.Less(t, time.Since(began), 2*time.Second)
 		})
 	}
--- a/internal/agent/model.go
+++ b/internal/agent/model.go
@@ -14,11 +14,11 @@
 	"github.com/jayproxy/jayproxy/internal/relay"
 )
 
-// cancelTimeout bounds the call that frees a slot in the engine.
+// cancelTimeout bounds the call that cancels a request in the engine.
 const cancelTimeout = 5 * time.Second
 
-// runModel hands an attempt to the engine and relays what comes back. It owns
-// the slot until the engine has let go of the request.
+// runModel submits an attempt to the engine and relays the response. It holds
+// the attempt's slot until the engine has ended or cancelled the request.
 func (a *Agent) runModel(att *attempt) {
 	defer a.scheduler.done(att.id)
 	a.importKV(att)
@@ -38,14 +38,15 @@
 		a.exportKV(att, req)
 		return
 	}
-	// The engine may still work on it: the slot is free only after the cancel.
+	// The engine may still be running the request; the slot is freed after the
+	// cancel.
 	a.cancelEngine(req.ID)
 	a.end(att, eventFail, a.interruptedEnd(att, err, incarnation, quarantine.JustBegun(time.Now(), prefill.firstTokenAt)))
 }
 
-// brokenEnd is the end of a run whose outcome is not known. Where it had just
-// begun it says whether the engine crashed: entries keep a request under which
-// engines crash from the next one.
+// interruptedEnd returns the End of an attempt whose outcome is indeterminate.
+// For a request that had just begun it reports whether the engine crashed, since
+// entries quarantine requests that crash engines.
 func (a *Agent) interruptedEnd(att *attempt, err error, incarnation uint64, early bool) *jayv1.End {
 	end := &jayv1.End{Error: err.Error()}
 	if early && att.ctx.Err() == nil && a.model.crashed(a.ctx, incarnation) {
@@ -69,8 +70,8 @@
 	}
 }
 
-// submitFailed ends an attempt that the engine did not take. Only the two
-// errors that prove it make it "not run".
+// submitFailed ends an attempt whose submission failed. Its outcome is "not
+// run" only for ErrNotReached and ErrRefused, which prove that.
 func (a *Agent) submitFailed(att *attempt, err error, incarnation uint64) {
 	switch {
 	case errors.Is(err, engine.ErrNotReached):
@@ -88,9 +89,10 @@
 	}
 }
 
-// engineRefused says why the engine ran nothing of a request. A version may have
-// been unloaded since the offer was accepted, and an engine may be busy: others
-// can serve the request then, and the entry must not take it for invalid.
+// refusedEnd returns the End of a request that the engine refused. The version
+// may have been unloaded since the offer was accepted, or the engine may be
+// full: other engines can serve the request then, so it is not reported as
+// invalid.
 func (a *Agent) refusedEnd(att *attempt, err error) *jayv1.End {
 	end := &jayv1.End{Refusal: jayv1.Refusal_REFUSAL_INVALID, Error: err.Error()}
 	if errors.Is(err, engine.ErrInvalid) {
@@ -105,18 +107,18 @@
 	return end
 }
 
-// cancelEngine frees the request's slot in the engine, also when the attempt's
-// own context has ended.
+// cancelEngine cancels the request in the engine. It does not use the attempt's
+// context, which may have ended.
 func (a *Agent) cancelEngine(id string) {
 	ctx, cancel := context.WithTimeout(a.ctx, cancelTimeout)
 	defer cancel()
 	if err := a.model.engine.Cancel(ctx, id); err != nil {
-		klog.V(1).InfoS("cancel did not reach the engine", "request", id, "error", err.Error())
+		klog.V(1).InfoS("request could not be cancelled in the engine", "request", id, "error", err.Error())
 	}
 }
 
-// relayEngine passes the stream on, event by event, until its end. nil: the
-// answer is whole and its end is on its way.
+// relayEngine relays the stream event by event until its end. It returns nil
+// when the response is complete and its End is set.
 func (a *Agent) relayEngine(att *attempt, stream engine.Stream, prefill *prefillTimer) error {
 	origin := relay.NewOrigin(att.id, att.offer.GetVersionDigest())
 	for {
@@ -151,7 +153,8 @@
 	queueWait := att.queueWait
 	att.mu.Unlock()
 	a.model.cache.observeIncarnation(origin.Incarnation())
-	// The slot goes first, so that the state sent with the end counts it as free.
+	// The slot is freed first, so that the state sent with the End counts it as
+	// free.
 	a.scheduler.done(att.id)
 	a.end(att, eventFinish, &jayv1.End{
 		Incarnation:   origin.Incarnation(),
@@ -166,24 +169,25 @@
 	})
 }
 
-// recomputed is how many prompt tokens had been submitted here before, and were
-// no longer cached.
+// recomputed returns the number of prompt tokens that had been submitted to this
+// engine before and were no longer cached.
 func (a *Agent) recomputed(att *attempt, usage engine.Usage) int {
 	submitted := a.tokens(att.offer.GetPool(), att.submittedBytes)
 	return max(0, int(submitted)-usage.CachedTokens)
 }
 
-// minMeasuredTokens of a prompt must be computed for it to count in the measured
-// prefill rate: with fewer, the time to the first token is that of the call.
+// minSampleTokens is the minimum number of uncached tokens for a prompt to count
+// as a sample of the prefill rate. With fewer, the time to the first token is
+// mostly call overhead.
 const minSampleTokens = 128
 
-// prefillTimer tells the scheduler once when a prompt is computed.
+// prefillTimer reports to the scheduler, once, that a prompt was computed.
 type prefillTimer struct {
 	agent   *Agent
 	attempt *attempt
 	sampled bool
 	ended   bool
-	// firstAt is when the first token came; zero: it has not.
+	// firstTokenAt is when the first token was received; zero before that.
 	firstTokenAt time.Time
 }
 
@@ -195,7 +199,7 @@
 	return p
 }
 
-// computed reports the first token.
+// recordFirstToken reports the first token. Later calls do nothing.
 func (p *prefillTimer) recordFirstToken() {
 	if p.ended {
 		return
@@ -205,7 +209,8 @@
 	p.agent.observeFirstToken(p.attempt)
 }
 
-// end reports that the prompt was computed, or given up with 0 tokens.
+// end reports that the given number of tokens were computed; 0 when the prompt
+// was abandoned. Later calls do nothing.
 func (p *prefillTimer) end(tokens float64) {
 	if p.ended {
 		return
--- a/internal/agent/observe.go
+++ b/internal/agent/observe.go
@@ -8,7 +8,7 @@
 	"github.com/jayproxy/jayproxy/internal/catalog"
 )
 
-// Names of the agent's metrics. Each is kept per workspace and per class.
+// Names of the agent's metrics. Each is recorded per workspace and per class.
 const (
 	metricQueueWait   = "queue_wait"
 	metricFirstToken  = "agent_first_token"
@@ -21,7 +21,8 @@
 
 const permille = 1000
 
-// each calls f with both labels that a request counts under.
+// forEachLabel calls f with the workspace label and with the class label of a
+// request.
 func forEachLabel(offer *jayv1.Offer, f func(label string)) {
 	f(offer.GetWorkspace())
 	f(className(offer.GetClass()))
--- a/internal/agent/offer.go
+++ b/internal/agent/offer.go
@@ -17,7 +17,7 @@
 	return relay.Claim{Workspace: req.GetWorkspace(), Nonce: req.GetNonce()}
 }
 
-// serveOffer answers an offer and, when it is accepted, serves its stream to
+// serveOffer replies to an offer and, when it is accepted, serves its stream to
 // the end. A refused offer has not reached the engine or service.
 func (a *Agent) serveOffer(ctx context.Context, offer *jayv1.Offer, s *transport.Stream) {
 	now := time.Now()
@@ -43,7 +43,7 @@
 	a.relay(ctx, att, link, s)
 }
 
-// decide accepts or refuses an offer. An accepted one is in the queue.
+// admit accepts or refuses an offer. An accepted one is in the queue.
 func (a *Agent) admit(now time.Time, att *attempt) *jayv1.OfferReply {
 	if refusal, message := a.check(att.offer); refusal != 0 {
 		reply := &jayv1.OfferReply{Refusal: refusal, Message: message}
@@ -53,7 +53,7 @@
 		return reply
 	}
 	if refusal := a.attempts.add(att); refusal != 0 {
-		return &jayv1.OfferReply{Refusal: refusal, Message: "this attempt was offered before, or the agent stops"}
+		return &jayv1.OfferReply{Refusal: refusal, Message: "this attempt was offered before, or the agent is stopping"}
 	}
 	a.lookupCached(now, att)
 	a.applyLimits(att.offer)
@@ -69,12 +69,13 @@
 	if !decision.Accepted {
 		a.inFlightPrefixes.remove(att.offer.GetChain())
 		a.attempts.withdraw(att.id)
-		reply.Message = "refused before anything ran"
+		reply.Message = "refused by the admission queue; nothing ran"
 	}
 	return reply
 }
 
-// measure fills in what the cache index knows of the prompt.
+// lookupCached sets the cached, submitted and uncached sizes of the prompt from
+// the cache index.
 func (a *Agent) lookupCached(now time.Time, att *attempt) {
 	if a.model == nil {
 		return
@@ -110,7 +111,7 @@
 	return req
 }
 
-// applyLimits takes slots and queue length from the catalog in force.
+// applyLimits sets slots and queue length from the catalog in force.
 func (a *Agent) applyLimits(offer *jayv1.Offer) {
 	a.applyPool(offer.GetPool())
 	if service, ok := a.catalog.Current().Service(offer.GetService()); ok {
@@ -129,7 +130,8 @@
 	}
 }
 
-// check refuses what may not run here, whatever the load.
+// check refuses offers that may not run here regardless of load. A refusal of 0
+// means that the offer is allowed.
 func (a *Agent) check(offer *jayv1.Offer) (jayv1.Refusal, string) {
 	switch {
 	case offer.GetRequestId() == "" || offer.GetWorkspace() == "":
@@ -137,9 +139,9 @@
 	case (offer.GetPool() == "") == (offer.GetService() == ""):
 		return jayv1.Refusal_REFUSAL_INVALID, "exactly one of pool and service must be set"
 	case int(offer.GetPromptBytes()) > a.settings.Queue.BodyBytes:
-		return jayv1.Refusal_REFUSAL_INVALID, "prompt too large"
+		return jayv1.Refusal_REFUSAL_INVALID, "prompt is larger than the agent's queue.body_bytes"
 	case a.isDraining():
-		return jayv1.Refusal_REFUSAL_LEAVING, "backend server is leaving"
+		return jayv1.Refusal_REFUSAL_LEAVING, "backend server is draining"
 	case offer.GetPool() != "":
 		return a.checkModel(offer)
 	}
@@ -148,7 +150,7 @@
 
 func (a *Agent) checkModel(offer *jayv1.Offer) (jayv1.Refusal, string) {
 	if a.model == nil {
-		return jayv1.Refusal_REFUSAL_NOT_FOUND, "no model engine here"
+		return jayv1.Refusal_REFUSAL_NOT_FOUND, "backend server has no model engine"
 	}
 	server, declared := a.catalog.Current().BackendServer(a.settings.Name)
 	if declared && server.GetPool() != offer.GetPool() {
@@ -157,13 +159,13 @@
 	return a.model.check(offer)
 }
 
-// checkService refuses calls that this agent does not serve, and calls that
-// may run at most once but were not offered as such. The latter come from an
-// entry whose catalog is older than the declaration: it holds no claim for
-// the call and would repeat it.
+// checkService refuses calls that this agent does not serve, and calls that are
+// declared as non-repeatable but were not offered as such. The latter come from
+// an entry whose catalog is older than the declaration: it has no claim for the
+// call and would repeat it.
 func (a *Agent) checkService(offer *jayv1.Offer) (jayv1.Refusal, string) {
 	if a.service == nil || offer.GetService() != a.settings.Service.Name {
-		return jayv1.Refusal_REFUSAL_NOT_FOUND, "service is not here"
+		return jayv1.Refusal_REFUSAL_NOT_FOUND, "backend server does not run this service"
 	}
 	callPath, clean := catalog.CallPath(offer.GetPath())
 	if !clean {
@@ -174,15 +176,15 @@
 		return jayv1.Refusal_REFUSAL_STALE_CONFIG, "call is declared as not repeatable"
 	}
 	if offer.GetNonRepeatable() && !offer.GetHasBody() {
-		// Without a last body frame the call would run on the acceptance alone,
-		// whose loss looks to the entry like an offer that never ran.
-		return jayv1.Refusal_REFUSAL_INVALID, "a call that may run at most once needs a closing body frame"
+		// Without a last body frame the call would run as soon as it is accepted.
+		// If that reply were lost, the entry would report the call as not run.
+		return jayv1.Refusal_REFUSAL_INVALID, "non-repeatable call needs a last body frame"
 	}
 	return 0, ""
 }
 
-// takeBody adds a part of the body. What all attempts hold together is bounded
-// here, since the body of a plain service's call has no size in its offer.
+// receiveBody appends a part of the body. The total size of all bodies is
+// limited here, since the offer of a service call does not state a size.
 func (a *Agent) receiveBody(att *attempt, data *jayv1.Data, s *transport.Stream) error {
 	size := len(data.GetData())
 	att.mu.Lock()
@@ -196,12 +198,12 @@
 	att.mu.Unlock()
 	switch {
 	case !receiving:
-		return nil // Refused while the rest of the body was on its way.
+		return nil // Ended while the rest of the body was in transit.
 	case tooLong:
-		a.end(att, eventCancel, &jayv1.End{Refusal: jayv1.Refusal_REFUSAL_INVALID, Error: "body too large"})
+		a.end(att, eventCancel, &jayv1.End{Refusal: jayv1.Refusal_REFUSAL_INVALID, Error: "body is larger than the agent's queue.body_bytes"})
 	case full:
 		a.end(att, eventRefuse, &jayv1.End{
-			Refusal: jayv1.Refusal_REFUSAL_QUEUE_FULL, Error: "too many bodies wait, nothing ran",
+			Refusal: jayv1.Refusal_REFUSAL_QUEUE_FULL, Error: "request bodies together exceed the agent's queue.bytes; nothing ran",
 			RetryAfterMs: uint32(engineRetryAfter.Milliseconds()),
 		})
 	case data.GetLast():
@@ -217,7 +219,7 @@
 	}
 }
 
-// perform does what the admission queue asks for.
+// perform carries out an action of the admission queue.
 func (a *Agent) perform(action admission.Action) {
 	att := a.attempts.get(action.ID)
 	if att == nil {
@@ -226,13 +228,13 @@
 	if action.Kind == admission.Refuse {
 		a.end(att, eventRefuse, &jayv1.End{
 			Refusal:      action.Refusal,
-			Error:        "refused while it waited, nothing ran",
+			Error:        "refused while in the admission queue; nothing ran",
 			RetryAfterMs: uint32(action.RetryAfter.Milliseconds()),
 		})
 		return
 	}
 	if _, started := att.fire(eventStart); !started {
-		return // Cancelled in the same moment; its end frees the slot.
+		return // Cancelled meanwhile; its end frees the slot.
 	}
 	att.mu.Lock()
 	att.queueWait = action.Waited
@@ -248,8 +250,8 @@
 	a.runService(att)
 }
 
-// end moves an attempt to its final state by the event and sends its last
-// frame. An attempt that is over already stays as it ended.
+// end applies an event that moves an attempt to its final state, and sends its
+// last frame. It does nothing for an attempt that has ended.
 func (a *Agent) end(att *attempt, event string, end *jayv1.End) {
 	if _, changed := att.fire(event); !changed {
 		return
@@ -257,7 +259,8 @@
 	a.finishAttempt(att, end)
 }
 
-// settle completes an attempt that has just reached its final state.
+// finishAttempt frees the resources of an attempt that has just reached its
+// final state, and queues its End.
 func (a *Agent) finishAttempt(att *attempt, end *jayv1.End) {
 	state := att.currentState()
 	end.Outcome = outcomeOf(state)
@@ -278,7 +281,7 @@
 	klog.V(1).InfoS("attempt ended", "request", att.offer.GetRequestId(), "attempt", att.offer.GetAttempt(),
 		"workspace", att.offer.GetWorkspace(), "backendServer", a.settings.Name, "outcome", state,
 		"refusal", end.GetRefusal().String(), "error", end.GetError())
-	// An answer that nobody fetches is let go after the retain time.
+	// A response that no entry reads is discarded after replay.retain_ms.
 	id := att.id
 	time.AfterFunc(millis(a.settings.Replay.RetainMS), func() { a.attempts.forget(id) })
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -18,20 +18,22 @@
 )
 
 const (
-	// fencePrefix is followed by the backend server's name in the key of its floor.
+	// watermarkKeyPrefix is followed by the backend server's name in the key of
+	// the row that holds its watermark.
 	watermarkKeyPrefix = "fence/"
-	// orderTimeout bounds one order's call of the engine; then its outcome is unknown.
+	// orderTimeout bounds one order's call of the engine; after it the outcome is
+	// indeterminate.
 	orderTimeout = 60 * time.Second
-	// floorTimeout bounds one call of the table.
+	// watermarkTimeout bounds one read or write of the watermark.
 	watermarkTimeout = 5 * time.Second
-	// orderTick is how often orders that wait for a slow engine are looked at.
+	// orderCheckInterval is how often waiting orders are checked.
 	orderCheckInterval = 200 * time.Millisecond
 )
 
-// errOrderInvalid means that an order does not concern this backend server.
+// errWrongServer means that an order is for another backend server.
 var errWrongServer = errors.New("order is not for this backend server")
 
-// orderDesk does the I/O around the gate.
+// orderHandler does the I/O for the order gate.
 type orderHandler struct {
 	agent *Agent
 	table platform.Table // nil without a platform
@@ -56,7 +58,8 @@
 	return h
 }
 
-// watch tells the gate of the engine's boots and of time passing.
+// watch periodically reports the engine's incarnation and the current time to
+// the gate.
 func (h *orderHandler) watch(ctx context.Context) {
 	ticker := time.NewTicker(orderCheckInterval)
 	defer ticker.Stop()
@@ -71,7 +74,8 @@
 	}
 }
 
-// with runs a step of the gate and then, outside the lock, what it asked for.
+// update runs a step of the gate and then, outside the lock, the actions that it
+// returned.
 func (h *orderHandler) update(step func(now time.Time) []ordergate.Action) {
 	h.mu.Lock()
 	actions := step(time.Now())
@@ -107,7 +111,7 @@
 	defer cancel()
 	rows, err := h.table.Get(ctx, h.watermarkKey())
 	if err != nil {
-		klog.ErrorS(err, "floor of orders not read", "backendServer", h.agent.settings.Name)
+		klog.ErrorS(err, "watermark of orders could not be read", "backendServer", h.agent.settings.Name)
 		h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 		return
 	}
@@ -122,7 +126,7 @@
 	var watermark ordergate.Watermark
 	if len(row.Value) > 0 {
 		if err := json.Unmarshal(row.Value, &watermark); err != nil {
-			klog.ErrorS(err, "floor of orders not understood", "row", row.Key)
+			klog.ErrorS(err, "watermark of orders could not be decoded", "row", row.Key)
 			h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 			return
 		}
@@ -130,9 +134,9 @@
 	h.update(func(now time.Time) []ordergate.Action { return h.gate.WatermarkRead(now, watermark, row.Version) })
 }
 
-// writeFloor raises the floor before the order is passed. A write whose answer
-// was lost counts as failed: the order is refused, and the next one reads the
-// row first.
+// writeWatermark raises the watermark before the order is forwarded. A write
+// whose response was lost counts as failed: the order is refused, and the row is
+// read again before the next one.
 func (h *orderHandler) writeWatermark(action ordergate.WriteWatermark) {
 	value, err := json.Marshal(action.Watermark)
 	if err != nil {
@@ -147,7 +151,7 @@
 	})
 	switch {
 	case err != nil:
-		klog.ErrorS(err, "floor of orders not written", "backendServer", h.agent.settings.Name)
+		klog.ErrorS(err, "watermark of orders could not be written", "backendServer", h.agent.settings.Name)
 		h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 	case result.Committed:
 		h.update(func(now time.Time) []ordergate.Action { return h.gate.WatermarkWritten(now, result.Commit) })
@@ -158,7 +162,7 @@
 	}
 }
 
-// pass hands an order to the engine.
+// forward sends an order to the engine.
 func (h *orderHandler) forward(id uint64) {
 	h.mu.Lock()
 	order := h.pending[id].order
@@ -174,12 +178,12 @@
 	if err != nil && !refused {
 		err = eris.Wrapf(ordergate.ErrIndeterminate, "%v", err)
 	}
-	klog.InfoS("order passed", "backendServer", h.agent.settings.Name, "kind", order.GetKind().String(),
+	klog.InfoS("order forwarded", "backendServer", h.agent.settings.Name, "kind", order.GetKind().String(),
 		"fence", order.GetFence(), "seq", order.GetSeq(), "error", err)
 	h.update(func(now time.Time) []ordergate.Action { return h.gate.Forwarded(now, err, refused) })
 }
 
-// submit brings an order through the gate and waits for its end.
+// submit proposes an order to the gate and waits for its result.
 func (h *orderHandler) submit(ctx context.Context, order *jayv1.Order) error {
 	server, declared := h.agent.catalog.Current().BackendServer(h.agent.settings.Name)
 	switch {
@@ -202,11 +206,11 @@
 	}
 }
 
-// serveOrder answers an order with its outcome and the highest fence seen.
+// serveOrder replies to an order with its outcome and the highest fence seen.
 func (a *Agent) serveOrder(ctx context.Context, order *jayv1.Order, s *transport.Stream) {
 	err := a.orders.submit(ctx, order)
 	if err == nil && a.model != nil {
-		a.model.readState(a.ctx) // The state sent back shows what the order changed.
+		a.model.readState(a.ctx) // The state in the reply includes the order's effect.
 	}
 	a.orders.mu.Lock()
 	fence := a.orders.gate.Highest().Fence
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -28,9 +28,9 @@
 	return &jayv1.Order{Fence: fence, Seq: seq, Kind: jayv1.OrderKind_ORDER_KIND_LOAD_VERSION, Digest: version}
 }
 
-// A rollout would be undone: the first holder of the lease was paused, the
-// second has loaded the new version, the agent was replaced in between, and
-// then the first holder's order arrives at an engine that ignores numbers.
+// Guards against undoing a rollout: an order of an earlier lease holder arrives
+// after one of the next holder, the agent was replaced in between, and the
+// engine does not check fencing.
 func TestOrderOfExpiredLeaseHolderIsRefusedByNextAgent(t *testing.T) {
 	table, err := platform.Start(platform.Options{})
 	require.NoError(t, err)
@@ -63,7 +63,8 @@
 	assert.True(t, reply.GetDone(), reply.GetError())
 }
 
-// The engine takes its time over an order; the later one must not overtake it.
+// Guards against a later order that overtakes one that the engine is still
+// executing.
 func TestOrdersReachTheEngineOneAtATime(t *testing.T) {
 	table, err := platform.Start(platform.Options{})
 	require.NoError(t, err)
--- a/internal/agent/outbox.go
+++ b/internal/agent/outbox.go
@@ -10,12 +10,12 @@
 	"github.com/jayproxy/jayproxy/internal/relay"
 )
 
-// errSlowReader means that the reader did not take the answer in time.
+// errSlowReader means that the replay buffer stayed full for the stall timeout.
 var errSlowReader = errors.New("reader too slow, replay buffer full")
 
-// outbox is one answer on its way out: the replay buffer, guarded for the
-// goroutine that fills it and the one that sends from it. At most one link
-// sends at a time, the latest to attach.
+// responseBuffer is the replay buffer of one response, safe for use by the
+// goroutine that fills it and those that send from it. A link is one stream to
+// an entry that the response is sent on; only the link that attached last sends.
 type responseBuffer struct {
 	mu       sync.Mutex
 	buffer   *relay.Buffer
@@ -30,7 +30,8 @@
 	return &responseBuffer{buffer: relay.NewBuffer(maxBytes), changed: make(chan struct{})}
 }
 
-// notify wakes all who wait for a change. The caller holds the lock.
+// notify unblocks all goroutines that wait for a change. The caller holds the
+// lock.
 func (o *responseBuffer) notify() {
 	close(o.changed)
 	o.changed = make(chan struct{})
@@ -43,9 +44,10 @@
 	o.notify()
 }
 
-// append adds a chunk. A full buffer holds the caller, and through it the
-// engine, back until the reader goes on; after the stall time the reader
-// counts as gone: memory stays bounded whatever a caller does.
+// append adds a chunk. When the buffer is full it blocks, which stops reading
+// from the engine, until the entry acknowledges chunks. It returns errSlowReader
+// after the stall timeout, so that a reader that does not read can't hold memory
+// for longer.
 func (o *responseBuffer) append(ctx context.Context, data []byte, stall time.Duration) error {
 	timer := time.NewTimer(stall)
 	defer timer.Stop()
@@ -70,7 +72,7 @@
 	}
 }
 
-// finish sets the last frame; it is sent once all chunks are.
+// finish sets the last frame, which is sent after all chunks.
 func (o *responseBuffer) finish(end *jayv1.End) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -82,7 +84,8 @@
 	o.notify()
 }
 
-// attach makes the caller the only sender, from the chunk with the number on.
+// attach registers a new link as the only sender, starting at the chunk with the
+// number next. It fails when that chunk is no longer in the buffer.
 func (o *responseBuffer) attach(next uint64) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -95,14 +98,14 @@
 	return o.link, nil
 }
 
-// bytes that the kept chunks take.
+// bytes returns the size of the buffered chunks.
 func (o *responseBuffer) bytes() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.buffer.Bytes()
 }
 
-// holds tells whether the link is still the one that sends.
+// isCurrent reports whether the link is still the one that sends.
 func (o *responseBuffer) isCurrent(link int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -116,14 +119,15 @@
 	o.notify()
 }
 
-// outgoing is what a sender has to do next.
+// outgoing is the next step of a sender.
 type outgoing struct {
-	// frame to send; nil: wait for the channel.
+	// frame is the next frame to send; nil when the sender must wait for the
+	// wait channel to be closed.
 	frame *jayv1.ServerFrame
 	wait  <-chan struct{}
-	// last: the frame ends the answer.
+	// last is true when the frame ends the response.
 	last bool
-	// replaced: another link has taken over.
+	// replaced is true when another link has attached since.
 	replaced bool
 }
 
--- a/internal/agent/outcome_test.go
+++ b/internal/agent/outcome_test.go
@@ -18,7 +18,7 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// runs counts how often a service was asked for each request.
+// runCounter counts how often a service was called for each request id.
 type runCounter struct {
 	mu    sync.Mutex
 	count map[string]int
@@ -37,8 +37,8 @@
 	return r.count[id]
 }
 
-// handOverUntil goes through the steps of a hand-over and cuts the link after
-// the given one. It returns what the entry may conclude.
+// handoffUntil runs the given number of steps of a handoff and then aborts the
+// stream. It returns the outcome that the entry may assume.
 func handoffUntil(fix *fixture, offer *jayv1.Offer, step int) jayv1.Outcome {
 	s := fix.open()
 	defer s.Abort()
@@ -77,8 +77,8 @@
 	}
 }
 
-// A booking that was reported as "not run" is made again, and the crusher is
-// promised twice. Links are cut at every step of the hand-over, the queue
+// Guards against reporting a call as "not run" that did run, which the caller
+// would repeat. Streams are aborted at every step of the handoff, the queue
 // overflows, and deadlines pass while requests wait.
 func TestNotRunIsReportedOnlyWhenNothingRan(t *testing.T) {
 	const requests, workers = 600, 12
@@ -113,10 +113,10 @@
 		}
 	}
 	t.Log(tally)
-	assert.Len(t, tally, 3, "the cuts must lead to every outcome")
+	assert.Len(t, tally, 3, "the aborts must lead to every outcome")
 }
 
-// Memory would grow without bound: many callers send large bodies at once.
+// Guards against unbounded memory when many callers send large bodies at once.
 func TestTotalBodyBytesAreBounded(t *testing.T) {
 	counter := &runCounter{count: map[string]int{}}
 	fix := newServiceFixture(t, counter.serve, func(s *agent.Settings) { s.Queue.Bytes = 4096 })
@@ -136,8 +136,8 @@
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome())
 }
 
-// Many links are lost at once: what is kept for the readers stays in bounds,
-// and the answers that ended last are still there.
+// Guards against unbounded memory when many streams are lost at once. The
+// responses that ended last must still be resumable.
 func TestTotalKeptResponseBytesAreBounded(t *testing.T) {
 	fix := newFixture(t, func(s *agent.Settings) { s.Replay.TotalBytes = 8192 })
 	fix.engine.set(func(f *fakeEngine) { f.script = wordEvents(strings.Repeat("x", 1000)) })
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -9,14 +9,13 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// rememberedAttempts bounds the ids of attempts that are over, kept to refuse
-// an offer that comes twice.
+// maxAcceptedIDs bounds the number of ids kept to refuse duplicate offers.
 const maxAcceptedIDs = 1 << 16
 
-// registry holds the attempts whose answer can still be asked for, and the
-// ids of those that were accepted before.
+// attemptRegistry holds the attempts whose response can still be read, and the
+// ids of all recently accepted ones.
 type attemptRegistry struct {
-	// maxKept bounds the bytes of ended answers that wait for their readers.
+	// maxKeptBytes bounds the total size of complete responses kept for resume.
 	maxKeptBytes int
 
 	mu          sync.Mutex
@@ -24,7 +23,8 @@
 	attempts    map[string]*attempt
 	acceptedIDs *simplelru.LRU[string, struct{}]
 	changed     chan struct{}
-	// ended answers, the oldest first, and the bytes that they keep.
+	// ended lists the attempts that have ended, oldest first; keptBytes has the
+	// size of each one's response, totalBytes their sum.
 	ended      []string
 	keptBytes  map[string]int
 	totalBytes int
@@ -33,28 +33,28 @@
 func newAttemptRegistry(maxKeptBytes int) *attemptRegistry {
 	acceptedIDs, err := simplelru.NewLRU[string, struct{}](maxAcceptedIDs, nil)
 	if err != nil {
-		panic(err) // Only a size below 1 is refused.
+		panic(err) // NewLRU fails only for a size below 1.
 	}
 	return &attemptRegistry{
 		maxKeptBytes: maxKeptBytes, attempts: map[string]*attempt{}, acceptedIDs: acceptedIDs, changed: make(chan struct{}), keptBytes: map[string]int{},
 	}
 }
 
-// close takes no attempt in from now on. A stop calls it before it waits for
-// those that are there: one that passed its checks just before, and came in
-// after the wait had found nothing, would be cut off by the stop.
+// close makes add refuse all later attempts. Shutdown calls it before waitEmpty:
+// an attempt that had passed its checks and was added after waitEmpty returned
+// would be interrupted.
 func (r *attemptRegistry) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
 }
 
-// add registers an attempt; a refusal when the id was accepted before or the
-// registry is closed.
+// add registers an attempt. It returns a refusal when the id was accepted before
+// or the registry is closed, else 0.
 //
-// An offer that comes twice, say because an entry gave its link up and sent
-// it again, would run the request twice. The id is taken before anything is
-// queued, so only one of two that come at once gets in.
+// A duplicate offer, for example one sent again after its stream was lost, would
+// run the request twice. The id is registered before the attempt is queued, so
+// that only one of two concurrent duplicates is accepted.
 func (r *attemptRegistry) add(att *attempt) jayv1.Refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,8 +69,8 @@
 	return 0
 }
 
-// withdraw takes back an attempt that was not accepted after all, so that the
-// same offer may come again.
+// withdraw removes an attempt that was refused after add, so that the same offer
+// may be sent again.
 func (r *attemptRegistry) withdraw(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,15 +78,16 @@
 	r.drop(id)
 }
 
-// forget lets go of an attempt's answer; its id stays known.
+// forget discards an attempt and its response. Its id is still refused as a
+// duplicate.
 func (r *attemptRegistry) forget(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.drop(id)
 }
 
-// keep notes that an attempt has ended and how much of its answer is kept. When
-// many links are lost at once, the answers that have waited longest go first.
+// keep records that an attempt has ended and the size of its kept response. When
+// the total exceeds maxKeptBytes, the oldest responses are discarded.
 func (r *attemptRegistry) keep(id string, bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,7 +133,7 @@
 	return all
 }
 
-// waitEmpty waits until no answer is kept any more.
+// waitEmpty waits until no attempt is registered.
 func (r *attemptRegistry) waitEmpty(ctx context.Context) error {
 	for {
 		r.mu.Lock()
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -10,8 +10,8 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// A rolling replacement would cut a request: it passes its checks, the stop
-// begins, finds nothing to wait for and ends, and then the request comes in.
+// Guards against accepting an attempt after a shutdown has found no attempt to
+// wait for; it would be interrupted.
 func TestClosedRegistryAcceptsNoAttempt(t *testing.T) {
 	r := newAttemptRegistry(1 << 20)
 	late := newAttempt(t.Context(), &jayv1.Offer{RequestId: "late", Attempt: 1}, 1024, time.Now())
--- a/internal/agent/schedule.go
+++ b/internal/agent/schedule.go
@@ -8,7 +8,7 @@
 	"github.com/jayproxy/jayproxy/internal/admission"
 )
 
-// schedule is the admission queue with its lock and its timer.
+// scheduler is the admission queue with its lock and its timer.
 type scheduler struct {
 	ctx     context.Context
 	perform func(admission.Action)
@@ -29,7 +29,8 @@
 	}
 }
 
-// with runs a step of the queue and then, outside the lock, what it asked for.
+// update runs a step of the queue and then, outside the lock, the actions that
+// it returned.
 func (s *scheduler) update(step func(now time.Time, q *admission.Queue) []admission.Action) {
 	s.mu.Lock()
 	actions := step(time.Now(), s.queue)
@@ -64,7 +65,8 @@
 	s.update(func(now time.Time, q *admission.Queue) []admission.Action { return q.Configure(now, slots, length) })
 }
 
-// prefillBegin and prefillEnd bracket the computing of a prompt.
+// prefillBegin and prefillEnd mark the start and the end of a prompt's prefill
+// for the rate meter.
 func (s *scheduler) prefillBegin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +103,8 @@
 	return s.queue.Load(time.Now())
 }
 
-// cost is the expected time to the first token of a request that is only asked about.
+// cost returns the expected time to the first token, in milliseconds, of a
+// request that is not queued.
 func (s *scheduler) cost(req admission.Request) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +112,8 @@
 	return s.queue.CostMS(time.Now(), req.Class, req.Tokens)
 }
 
-// loop refuses waiting requests when their deadlines pass.
+// loop refuses waiting requests when their deadlines pass, until the context
+// ends.
 func (s *scheduler) loop() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -20,13 +20,13 @@
 
 const (
 	serviceDialTimeout = 2 * time.Second
-	// serviceReadSize is how much of an answer becomes one chunk at most.
+	// serviceReadSize is the maximum size of a chunk of the response, in bytes.
 	serviceReadSize = 16 << 10
 	// requestIDHeader carries the request id to the service.
 	requestIDHeader = "X-Request-Id"
 )
 
-// hopHeaders concern one connection and are not passed on.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Host", "Content-Length",
@@ -35,9 +35,9 @@
 // serviceBackend is the plain service beside the agent.
 type serviceBackend struct {
 	base *url.URL
-	// shared keeps connections for calls that may be repeated.
+	// pooled reuses connections, for calls that may be repeated.
 	pooled *http.Transport
-	// once uses a connection for one call only.
+	// singleUse opens a connection for each call.
 	singleUse *http.Transport
 }
 
@@ -49,11 +49,11 @@
 	return &serviceBackend{base: base, pooled: newTransport(false), singleUse: newTransport(true)}, nil
 }
 
-// newTransport makes a client transport. The library sends a request again by
-// itself when a kept connection breaks under it, if the method is idempotent
-// or the request carries an Idempotency-Key: a booking with a key would be made
-// twice. With once, each call has a connection of its own, for which the
-// library never does that; HTTP/2, which has retries of its own, is off.
+// newTransport makes a client transport. net/http resends a request when a
+// reused connection fails, if the method is idempotent or the request has an
+// Idempotency-Key header; a non-repeatable call could then run twice. With
+// singleUse each call has a connection of its own, for which net/http does not
+// resend. HTTP/2 is off because it has retries of its own.
 func newTransport(singleUse bool) *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -65,10 +65,10 @@
 	}
 }
 
-// errServiceNotReached means that no connection to the service was made.
+// errServiceNotReached means that the request was not sent to the service.
 var errServiceNotReached = errors.New("service not reached")
 
-// call sends the request once. Redirects are the caller's business.
+// call sends the request once. Redirects are returned, not followed.
 func (b *serviceBackend) call(ctx context.Context, offer *jayv1.Offer, body []byte) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// With GetBody set, the library could read the body again and resend it.
+	// With GetBody set, net/http could resend the body.
 	req.GetBody = nil
 	if len(body) == 0 {
 		req.Body = http.NoBody
@@ -125,7 +125,7 @@
 	}
 }
 
-// runService makes a plain service's call and relays its answer.
+// runService calls the plain service and relays its response.
 func (a *Agent) runService(att *attempt) {
 	defer a.scheduler.done(att.id)
 	att.mu.Lock()
@@ -180,7 +180,7 @@
 			return nil
 		}
 		if err != nil {
-			return eris.Wrap(err, "read the service's answer")
+			return eris.Wrap(err, "read the service's response")
 		}
 	}
 }
--- a/internal/agent/service_test.go
+++ b/internal/agent/service_test.go
@@ -50,18 +50,17 @@
 	offer.Headers = []*jayv1.Header{
 		{Name: "X-Kept", Value: "yes"}, {Name: "X-Dropped", Value: "no"}, {Name: "Connection", Value: "X-Dropped"},
 	}
-	got := readAnswer(t, fix.accepted(offer, "jaw crusher"))
+	got := readAnswer(t, fix.accepted(offer, "request body"))
 	require.NotNil(t, got.head)
 	assert.EqualValues(t, http.StatusCreated, got.head.GetStatus())
-	assert.Equal(t, "PUT /bookings/7?x=1 jaw crusher", strings.Join(got.chunks, ""))
+	assert.Equal(t, "PUT /bookings/7?x=1 request body", strings.Join(got.chunks, ""))
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome())
 	assert.Contains(t, got.head.GetHeaders(), &jayv1.Header{Name: "X-Answer", Value: "a"})
 }
 
-// A quarry gets the same crusher booked twice: the service takes a booking
-// that carries an Idempotency-Key on a connection that was used before, runs
-// it and breaks the connection. The HTTP library takes the broken connection
-// for one that idled out and sends the booking again by itself.
+// Guards against net/http resending a call with an Idempotency-Key when the
+// service runs it on a reused connection and closes the connection without a
+// response.
 func TestNonRepeatableCallIsSentOnce(t *testing.T) {
 	var runs atomic.Int32
 	fix := newServiceFixture(t, func(w http.ResponseWriter, r *http.Request) {
@@ -90,9 +89,8 @@
 	assert.Equal(t, jayv1.Refusal_REFUSAL_ENGINE_DOWN, got.end.GetRefusal())
 }
 
-// A booking would run twice: an operator has just declared the call as not
-// repeatable, and an entry that has not heard of it offers the call without a
-// claim and would retry it.
+// Guards against running a call twice when an operator has just declared it as
+// non-repeatable and an entry with an older catalog offers it without a claim.
 func TestNonRepeatableCallWithoutClaimIsRefused(t *testing.T) {
 	var runs atomic.Int32
 	holder := catalog.NewHolder()
@@ -108,9 +106,9 @@
 		path string
 		want jayv1.Refusal
 	}{
-		"declared":          {"/bookings/new?a=b", jayv1.Refusal_REFUSAL_STALE_CONFIG},
-		"around the prefix": {"/x/../bookings", jayv1.Refusal_REFUSAL_INVALID},
-		"relative":          {"bookings", jayv1.Refusal_REFUSAL_INVALID},
+		"declared":               {"/bookings/new?a=b", jayv1.Refusal_REFUSAL_STALE_CONFIG},
+		"path with dot segments": {"/x/../bookings", jayv1.Refusal_REFUSAL_INVALID},
+		"relative":               {"bookings", jayv1.Refusal_REFUSAL_INVALID},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -118,7 +116,7 @@
 			assert.Equal(t, test.want, reply.GetRefusal())
 		})
 	}
-	offer := callOffer("no closing frame", http.MethodPost, "/bookings")
+	offer := callOffer("no last body frame", http.MethodPost, "/bookings")
 	offer.NonRepeatable, offer.HasBody = true, false
 	_, reply := fix.offer(offer)
 	assert.Equal(t, jayv1.Refusal_REFUSAL_INVALID, reply.GetRefusal())
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -8,8 +8,7 @@
 	"github.com/jayproxy/jayproxy/internal/spread"
 )
 
-// Settings of an agent. Times are in milliseconds, so that a settings file
-// needs no notation of its own for them.
+// Settings of an agent. Times are integers in milliseconds.
 type Settings struct {
 	Name       string `toml:"name" validate:"required" unit:"" doc:"Name of the backend server, as declared in the catalog and in the agent's certificate."`
 	Listen     string `toml:"listen" validate:"required,ip_port" unit:"ip:port" doc:"Address for the other processes (QUIC over UDP)."`
@@ -27,16 +26,16 @@
 	DrainMS     int `toml:"drain_ms" validate:"min=0" unit:"ms" doc:"How long a graceful shutdown waits for running work."`
 	KeyReloadMS int `toml:"key_reload_ms" validate:"min=100" unit:"ms" doc:"How often the keys folder is read again."`
 
-	// Spread of the catalog between processes.
+	// Spread configures the distribution of the catalog between processes.
 	Spread spread.Settings `toml:"spread"`
 
-	// Catalog in force; nil starts with an empty one.
+	// Catalog holds the catalog in force; nil starts with an empty one.
 	Catalog *catalog.Holder `toml:"-" validate:"-"`
-	// OpenEngine opens a dialect by vendor; set by whoever starts the agent.
+	// OpenEngine opens an engine client by vendor. Required with Engine.URL.
 	OpenEngine func(vendor, baseURL string) (engine.Engine, error) `toml:"-" validate:"-"`
 }
 
-// EngineSettings name the model engine beside the agent.
+// EngineSettings configure the model engine beside the agent.
 type EngineSettings struct {
 	Vendor string `toml:"vendor" validate:"required_with=URL" unit:"" doc:"Dialect of the model engine: merle or pica."`
 	URL    string `toml:"url" validate:"omitempty,url" unit:"URL" doc:"Base URL of the model engine; empty when the agent stands beside a plain service."`
@@ -44,14 +43,14 @@
 	PollMS int    `toml:"poll_ms" validate:"min=10" unit:"ms" doc:"How often the engine's state is read."`
 }
 
-// ServiceSettings name the plain service beside the agent.
+// ServiceSettings configure the plain service beside the agent.
 type ServiceSettings struct {
 	Name string `toml:"name" validate:"required_with=URL" unit:"" doc:"Name of the plain service, as declared in the catalog."`
 	URL  string `toml:"url" validate:"omitempty,url" unit:"URL" doc:"Base URL of the plain service; empty when the agent stands beside a model engine."`
 }
 
-// QueueSettings bound what the agent takes on. The catalog's concurrency and
-// queue length go before these.
+// QueueSettings bound what the agent accepts. The catalog's concurrency and
+// queue length take precedence over Slots and Length.
 type QueueSettings struct {
 	Slots        int     `toml:"slots" validate:"min=1" unit:"requests" doc:"Requests that run at once, unless the catalog says otherwise."`
 	Length       int     `toml:"length" validate:"min=1" unit:"requests" doc:"Requests that may wait, unless the catalog says otherwise."`
@@ -62,7 +61,8 @@
 	PrefillGuess float64 `toml:"prefill_tokens_per_second" validate:"min=0" unit:"tokens/s" doc:"Prefill rate assumed until it was measured; 0: none."`
 }
 
-// ReplaySettings bound what is kept for readers that are slow or cut off.
+// ReplaySettings bound the buffered responses for readers that are slow or have
+// lost their stream.
 type ReplaySettings struct {
 	Bytes      int `toml:"bytes" validate:"min=1024" unit:"bytes" doc:"Answer kept for resume, for each request."`
 	TotalBytes int `toml:"total_bytes" validate:"min=1024" unit:"bytes" doc:"Ended answers kept for readers that lost their link, together."`
@@ -70,7 +70,7 @@
 	StallMS    int `toml:"stall_ms" validate:"min=1" unit:"ms" doc:"How long a full buffer holds the engine's stream back before the answer ends in an error."`
 }
 
-// Default returns the settings that a file is read over.
+// Default returns the settings used for keys that a settings file omits.
 func Default() Settings {
 	return Settings{
 		Listen: "127.0.0.1:0",
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -16,9 +16,8 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// A caller's answer would stop in the middle: the link between entry and agent
-// is cut after two chunks. The engine goes on meanwhile, and a new link takes
-// up the stream at the first chunk that is missing.
+// Guards against a truncated or repeated response after the stream between entry
+// and agent is lost: a new stream resumes at the first missing chunk.
 func TestResumeStartsAtFirstMissingChunk(t *testing.T) {
 	fix := newFixture(t, nil)
 	gate := make(chan struct{}, 10)
@@ -41,8 +40,8 @@
 	assert.EqualValues(t, 3, got.end.GetCount())
 }
 
-// Another tenant would read the answer: someone who knows or guesses a request
-// id asks to resume it.
+// Guards against a workspace that resumes another's response with a known or
+// guessed request id.
 func TestResumeNeedsTheWorkspaceAndTheNonce(t *testing.T) {
 	fix := newFixture(t, nil)
 	offer := modelOffer("r1")
@@ -70,16 +69,16 @@
 	}
 }
 
-// "Not run" must be true: the entry loses its link before it has sent the
-// whole body and reports the request as not run. Nothing may start later.
+// Guards against running a request whose body was not completely received; the
+// entry reports it as not run.
 func TestIncompleteBodyNeverRuns(t *testing.T) {
-	cuts := map[string]func(fix *fixture, offer *jayv1.Offer){
-		"link cut": func(fix *fixture, offer *jayv1.Offer) {
+	interruptions := map[string]func(fix *fixture, offer *jayv1.Offer){
+		"stream aborted": func(fix *fixture, offer *jayv1.Offer) {
 			s, _ := fix.offer(offer)
 			send(t, s, bodyFrame("half", false))
 			s.Abort()
 		},
-		"entry ends its side": func(fix *fixture, offer *jayv1.Offer) {
+		"entry closes its side": func(fix *fixture, offer *jayv1.Offer) {
 			s, _ := fix.offer(offer)
 			send(t, s, bodyFrame("half", false))
 			require.NoError(t, s.CloseSend())
@@ -90,19 +89,18 @@
 			require.Error(t, s.Receive(&jayv1.ServerFrame{}))
 		},
 	}
-	for name, cut := range cuts {
+	for name, interrupt := range interruptions {
 		t.Run(name, func(t *testing.T) {
 			fix := newFixture(t, func(s *agent.Settings) { s.Queue.BodyMS = 50 })
-			cut(fix, modelOffer("r1"))
+			interrupt(fix, modelOffer("r1"))
 			require.Eventually(t, func() bool { return fix.probe().GetQueued() == 0 }, 5*time.Second, time.Millisecond)
 			assert.Empty(t, fix.engine.requests())
 		})
 	}
 }
 
-// A reader that does not read must not grow the agent's memory, nor hang for
-// ever: the engine is held back, and after the stall time the answer ends in
-// an explicit error.
+// Guards against a reader that does not read: neither memory nor time may grow
+// without bound, and the response must end in an explicit error.
 func TestSlowReaderEndsInAnError(t *testing.T) {
 	fix := newFixture(t, func(s *agent.Settings) { s.Replay.Bytes, s.Replay.StallMS = 4096, 50 })
 	const count = 4000
@@ -118,8 +116,8 @@
 	assert.Less(t, len(got.chunks), count)
 }
 
-// Late, doubled and crossed answers: an engine mixes up its streams. A caller
-// would see a sentence twice or another caller's text.
+// Guards against relaying events that an engine delivered late, twice or to the
+// wrong stream.
 func TestMisdeliveredEngineEventsAreDropped(t *testing.T) {
 	event := func(req engine.Request, index uint64, text string, change func(*engine.Event)) engine.Event {
 		e := engine.Event{RequestID: req.ID, Index: index, Data: []byte(text), Incarnation: 1, VersionDigest: digest}
@@ -134,7 +132,7 @@
 		chunks  []string
 		outcome jayv1.Outcome
 	}{
-		"crossed and doubled": {func(r engine.Request) []engine.Event {
+		"misdelivered and duplicated": {func(r engine.Request) []engine.Event {
 			return []engine.Event{
 				event(r, 0, "a", nil),
 				event(r, 1, "theirs", func(e *engine.Event) { e.RequestID = "other/1" }),
@@ -147,7 +145,7 @@
 		"missing": {func(r engine.Request) []engine.Event {
 			return []engine.Event{event(r, 0, "a", nil), event(r, 2, "c", nil), event(r, 3, "", last)}
 		}, []string{"a"}, jayv1.Outcome_OUTCOME_UNKNOWN},
-		"engine came back": {func(r engine.Request) []engine.Event {
+		"engine restarted": {func(r engine.Request) []engine.Event {
 			return []engine.Event{event(r, 0, "a", nil), event(r, 1, "b", func(e *engine.Event) { e.Incarnation = 2 })}
 		}, []string{"a"}, jayv1.Outcome_OUTCOME_UNKNOWN},
 		"weights changed": {func(r engine.Request) []engine.Event {
@@ -169,8 +167,8 @@
 	}
 }
 
-// FuzzClientFrames feeds the agent frames that no entry would send, in any
-// order. Nothing may panic, and the engine sees at most what was accepted.
+// FuzzClientFrames sends the agent valid and invalid frames in any order. Nothing
+// may panic, and nothing may run without a complete offer.
 func FuzzClientFrames(f *testing.F) {
 	f.Add("r1", "w1", "p1", "", []byte("{}"), uint64(3), byte(0x80))
 	f.Add("", "", "", "s", []byte{}, uint64(0), byte(0))
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// firstFrameTimeout bounds the wait for what a new stream is for.
+	// firstFrameTimeout bounds the wait for the first frame of a new stream.
 	firstFrameTimeout = 10 * time.Second
-	// lingerTimeout is how long a stream that has sent all waits for its peer
-	// to end its side.
+	// lingerTimeout is how long a stream that has sent its last frame waits for
+	// its peer to close its side.
 	lingerTimeout = 5 * time.Second
 )
 
-// serveStream serves one stream that a peer opened.
+// serveStream serves one stream opened by a peer.
 func (a *Agent) serveStream(ctx context.Context, peer keys.Identity, s *transport.Stream) {
 	_ = s.SetReadDeadline(time.Now().Add(firstFrameTimeout))
 	var first jayv1.ClientFrame
@@ -33,7 +33,8 @@
 	a.dispatch(ctx, peer, &first, s)
 }
 
-// dispatch serves a stream by its first frame. Only entries hand over work.
+// dispatch serves a stream according to its first frame. Streams of peers other
+// than entries are aborted.
 func (a *Agent) dispatch(ctx context.Context, peer keys.Identity, first *jayv1.ClientFrame, s *transport.Stream) {
 	if peer.Role != keys.RoleEntry {
 		s.Abort()
@@ -56,7 +57,7 @@
 	}
 }
 
-// serveResume continues an answer on a new link. Whoever asks must show the
+// serveResume continues a response on a new link. The request must contain the
 // workspace and the nonce of the offer.
 func (a *Agent) serveResume(ctx context.Context, req *jayv1.Resume, s *transport.Stream) {
 	att := a.attempts.get(attemptID(req.GetRequestId(), req.GetAttempt()))
@@ -64,7 +65,7 @@
 		a.sendEnd(s, &jayv1.End{
 			Outcome: jayv1.Outcome_OUTCOME_UNKNOWN,
 			Refusal: jayv1.Refusal_REFUSAL_NOT_FOUND,
-			Error:   "no such answer is kept here",
+			Error:   "no response is kept for this request, attempt, workspace and nonce",
 		})
 		return
 	}
@@ -86,13 +87,14 @@
 	_ = s.Send(&jayv1.ServerFrame{Frame: &jayv1.ServerFrame_End{End: end}})
 }
 
-// relay sends an answer on one link and takes what the entry says meanwhile,
-// until the answer is delivered, another link takes over or this one is lost.
+// relay sends a response on one link and handles the entry's frames meanwhile,
+// until the response is delivered, another link has attached or this one is
+// lost.
 func (a *Agent) relay(ctx context.Context, att *attempt, link int, s *transport.Stream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A reader that beats but does not read would hold the send, and with it
-	// the buffer, for ever.
+	// A reader that keeps its connection alive but does not read would block the
+	// send, and with it the buffer, for ever.
 	stopAbort := context.AfterFunc(att.discarded, s.Abort)
 	defer stopAbort()
 	readerDone := make(chan struct{})
@@ -152,15 +154,16 @@
 	}
 }
 
-// readFrames takes body, acknowledgements and cancel from the entry. It ends
-// with io.EOF when the entry has ended its side, else with what broke the link.
+// readFrames handles body, acknowledgement and cancel frames of the entry. It
+// returns io.EOF when the entry has closed its side, else the error that ended
+// the link.
 func (a *Agent) readFrames(att *attempt, s *transport.Stream) error {
 	for {
 		var frame jayv1.ClientFrame
 		if err := s.Receive(&frame); err != nil {
 			if errors.Is(err, io.EOF) && att.currentState() == stateReceiving {
-				// The entry ended its side in front of the body's end.
-				a.end(att, eventLinkLost, &jayv1.End{Error: "body incomplete"})
+				// The entry closed its side before the end of the body.
+				a.end(att, eventLinkLost, &jayv1.End{Error: "stream closed before the body was complete"})
 			}
 			return err
 		}
@@ -170,7 +173,7 @@
 	}
 }
 
-var errUnexpectedFrame = errors.New("frame does not fit the stream")
+var errUnexpectedFrame = errors.New("frame type not allowed on this stream")
 
 func (a *Agent) handleFrame(att *attempt, frame *jayv1.ClientFrame, s *transport.Stream) error {
 	switch f := frame.GetFrame().(type) {
@@ -187,8 +190,8 @@
 	return nil
 }
 
-// linkLost keeps an attempt for its reader to come back, within the retain
-// time. One whose body was incomplete has not run and never will.
+// linkLost keeps an attempt for resume within replay.retain_ms. An attempt
+// whose body is incomplete has not run, and ends.
 func (a *Agent) linkLost(att *attempt, link int) {
 	if !att.response.isCurrent(link) {
 		return
@@ -198,13 +201,13 @@
 		a.attempts.forget(att.id)
 		return
 	}
-	klog.V(1).InfoS("link lost, answer kept for resume", "request", att.offer.GetRequestId(),
+	klog.V(1).InfoS("link lost, response kept for resume", "request", att.offer.GetRequestId(),
 		"workspace", att.offer.GetWorkspace(), "backendServer", a.settings.Name, "link", link)
 	att.setResumeTimer(time.AfterFunc(millis(a.settings.Replay.RetainMS), func() {
 		if !att.response.isCurrent(link) {
-			return // The reader came back while this timer was being set.
+			return // Resumed while this timer was being set.
 		}
-		a.end(att, eventCancel, &jayv1.End{Error: "reader did not come back"})
+		a.end(att, eventCancel, &jayv1.End{Error: "response was not resumed within the agent's replay.retain_ms"})
 		a.attempts.forget(att.id)
 	}))
 }
--- a/internal/agent/underway.go
+++ b/internal/agent/underway.go
@@ -6,10 +6,10 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// underway counts the prefix points of accepted attempts that have not ended.
-// A prompt that shares them will find them cached when its turn comes: what an
-// engine is just computing is no cost of the next request, and declining it
-// for that would have the same prefix computed elsewhere as well.
+// inFlightPrefixes counts the prefix points of accepted attempts that have not
+// ended. A prompt that shares them will find them cached when it starts, so they
+// do not count as uncached. Otherwise the prompt could be declined for their
+// cost, and another engine would compute the same prefix again.
 type inFlightPrefixes struct {
 	mu     sync.Mutex
 	counts map[uint64]int
@@ -35,7 +35,7 @@
 	}
 }
 
-// bytes of a prompt's start that are being computed, or wait to be.
+// bytes returns the length of the prompt's prefix that accepted attempts share.
 func (p *inFlightPrefixes) bytes(chain []*jayv1.PrefixPoint) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/agent/work.go
+++ b/internal/agent/work.go
@@ -11,7 +11,7 @@
 	"github.com/jayproxy/jayproxy/internal/relay"
 )
 
-// Names of the chart backend_request that the code refers to.
+// Names in the state chart backend_request that the code uses.
 const (
 	chartName         = "backend_request"
 	stateReceiving    = "receiving"
@@ -27,23 +27,24 @@
 	eventFail         = "fail"
 )
 
-// work is one accepted attempt, from the offer until nobody can ask for its
-// answer any more. It outlives the stream it came on.
+// attempt is one accepted attempt of a request, from the offer until its
+// response is discarded. It may outlive the stream that it was offered on.
 type attempt struct {
 	id       string
 	offer    *jayv1.Offer
 	claim    relay.Claim
 	response *responseBuffer
-	// ctx ends when the attempt is given up.
+	// ctx ends when the attempt ends or is cancelled.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// gone ends when nobody can ask for the answer any more.
+	// discarded ends when the response is discarded.
 	discarded context.Context
 	discard   context.CancelFunc
-	// offered is when the offer was accepted here.
+	// offered is when the offer was received.
 	offered time.Time
-	// cachedBytes of the chain, knownBytes that were submitted here before, and
-	// missedTokens when the offer came.
+	// Sizes at the time of the offer: cachedBytes of the prompt were cached,
+	// submittedBytes had been submitted to this engine before, and
+	// uncachedTokens remain to be computed.
 	cachedBytes    int
 	submittedBytes int
 	uncachedTokens float64
@@ -52,9 +53,9 @@
 	state     string
 	body      []byte
 	queueWait time.Duration
-	// handed: a goroutine runs the attempt and frees its slot.
+	// started is true once a goroutine runs the attempt; it frees the slot.
 	started bool
-	// orphan fires when the reader of a lost link has not come back in time.
+	// resumeTimer ends the attempt when a lost link is not resumed in time.
 	resumeTimer *time.Timer
 }
 
@@ -79,8 +80,8 @@
 	}
 }
 
-// fire moves the attempt along its chart. It returns the new state, and
-// whether the event changed it; an attempt that is over stays as it is.
+// fire applies an event of the chart. It returns the new state and whether the
+// event changed it. Events after a final state are ignored.
 func (att *attempt) fire(event string) (string, bool) {
 	att.mu.Lock()
 	defer att.mu.Unlock()
@@ -103,7 +104,7 @@
 	return att.state
 }
 
-// outcomeOf translates a final state of the chart to the wire.
+// outcomeOf returns the wire outcome of a final state of the chart.
 func outcomeOf(state string) jayv1.Outcome {
 	switch state {
 	case stateDone:
@@ -114,7 +115,7 @@
 	return jayv1.Outcome_OUTCOME_UNKNOWN
 }
 
-// setOrphan starts or stops the wait for a reader that lost its link.
+// setResumeTimer replaces the timer for a lost link; nil only stops it.
 func (att *attempt) setResumeTimer(timer *time.Timer) {
 	att.mu.Lock()
 	defer att.mu.Unlock()
--- a/internal/ordergate/gate.go
+++ b/internal/ordergate/gate.go
@@ -1,7 +1,8 @@
-// Package ordergate is the only way in for orders to an engine. It passes one
-// order at a time, never one that is older than another it has seen, also
-// across its own restarts. It has no I/O, goroutine or clock: events come in,
-// actions go out; callers lock.
+// Package ordergate decides when an order may be sent to an engine. It forwards
+// one order at a time, and none that is older than one that it has seen, also
+// across restarts of the agent. It does no I/O and has no goroutine or clock:
+// callers report events and carry out the returned actions, under a lock of
+// their own.
 package ordergate
 
 import (
@@ -9,34 +10,36 @@
 	"time"
 )
 
-// Errors that orders are refused with. None of them has reached the engine.
+// Errors of refused orders, none of which has reached the engine.
 var (
-	// ErrStale means that a later order is known.
-	ErrStale = errors.New("a later order is known")
-	// ErrNoWatermark means that the highest number passed before is not known, since
-	// the table can't be read or written.
-	ErrNoWatermark = errors.New("the floor of order numbers is not known")
-	// ErrBusy means that too many orders wait.
-	ErrBusy = errors.New("too many orders wait")
+	// ErrStale means that an order with a higher number was proposed or recorded.
+	ErrStale = errors.New("order is older than the latest known order")
+	// ErrNoWatermark means that the highest number forwarded before is not known,
+	// since the table can't be read or written.
+	ErrNoWatermark = errors.New("highest forwarded order number is not known")
+	// ErrBusy means that too many orders are waiting.
+	ErrBusy = errors.New("too many orders are waiting")
 )
 
-// ErrIndeterminate means that the order went to the engine and its outcome is not known.
-var ErrIndeterminate = errors.New("outcome of the order is not known")
+// ErrIndeterminate means that the order may have reached the engine and that its
+// outcome is not known.
+var ErrIndeterminate = errors.New("outcome of the order is indeterminate")
 
-// DefaultSettleTime is how long an order whose outcome is unknown may still take
-// effect in the engine.
+// DefaultSettleTime is how long an order whose outcome is indeterminate may still
+// take effect in the engine.
 const DefaultSettleTime = 10 * time.Second
 
-// maxWaiting bounds the orders that wait.
+// maxWaiting bounds the waiting orders.
 const maxWaiting = 16
 
-// Number orders the orders: by fence, then by the sequence under it.
+// Number is the number of an order. Numbers are compared by fence, then by
+// sequence number.
 type Number struct {
 	Fence uint64 `json:"fence"`
 	Seq   uint64 `json:"seq"`
 }
 
-// Before tells whether n is older than other.
+// Before reports whether n is lower than other.
 func (n Number) Before(other Number) bool {
 	if n.Fence != other.Fence {
 		return n.Fence < other.Fence
@@ -44,30 +47,34 @@
 	return n.Seq < other.Seq
 }
 
-// Watermark is what the table keeps: the number of the latest order that may have
-// been passed, and the engine's incarnation then.
+// Watermark is the content of the gate's row in the table: the number of the
+// latest order that may have been forwarded, and the engine's incarnation at that
+// time.
 type Watermark struct {
 	Number
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Action is something that the caller must do.
+// Action is an action that the caller must carry out.
 type Action interface{ isAction() }
 
-// ReadWatermark reads the row; the caller reports FloorRead or FloorFailed.
+// ReadWatermark reads the row. The caller reports the result by WatermarkRead or
+// WatermarkFailed.
 type ReadWatermark struct{}
 
-// WriteWatermark writes the row if its version is still the given one; the caller
-// reports FloorWritten, FloorRead when another has written, or FloorFailed.
+// WriteWatermark writes the row if its version is still the given one. The caller
+// reports the result by WatermarkWritten, by WatermarkRead when the version
+// differs, or by WatermarkFailed.
 type WriteWatermark struct {
 	Watermark Watermark
 	Version   uint64
 }
 
-// Forward hands the order with the id to the engine; the caller reports Passed.
+// Forward sends the order with the id to the engine. The caller reports the
+// result by Forwarded.
 type Forward struct{ ID uint64 }
 
-// Reply ends the order with the id. Err nil: the engine has taken it.
+// Reply ends the order with the id. Err is nil when the engine has accepted it.
 type Reply struct {
 	ID  uint64
 	Err error
@@ -78,6 +85,7 @@
 func (Forward) isAction()        {}
 func (Reply) isAction()          {}
 
+// phase is the call that the gate waits for.
 type phase int
 
 const (
@@ -92,55 +100,56 @@
 	number Number
 }
 
-// Gate is the state of one engine's gate. Not safe for concurrent use.
+// Gate is the order gate of one engine. Not safe for concurrent use.
 type Gate struct {
 	settleTime time.Duration
-	// durable: the floor is kept in the table. Without it only engines that
-	// check numbers themselves may be given orders.
+	// persistent is true when the watermark is stored in the table. Otherwise
+	// only engines that check fencing themselves may receive orders.
 	persistent bool
 
 	phase   phase
 	waiting []proposal
 	current proposal
-	// highest number seen in an order or in the table.
+	// highest is the highest number seen in an order or in the table.
 	highest Number
-	// known: the table was read, and not written by another since.
+	// watermarkKnown is true when the row was read and no write has failed since.
 	watermarkKnown bool
 	version        uint64
 	incarnation    uint64
-	// unsettled: an order may still take effect, until settledAt or until the
-	// engine has started anew.
+	// indeterminate is true while a forwarded order may still take effect: until
+	// indeterminateUntil, or until the engine's incarnation is higher than
+	// indeterminateIncarnation.
 	indeterminate            bool
 	indeterminateIncarnation uint64
 	indeterminateUntil       time.Time
-	// done is the latest number that the engine has taken.
+	// done is the latest number that the engine has accepted.
 	done Number
 }
 
-// New makes the gate of an engine that keeps its floor in the table.
+// New returns a gate that stores its watermark in the table.
 func New(settleTime time.Duration) *Gate { return &Gate{settleTime: settleTime, persistent: true} }
 
-// NewChecked makes the gate of an engine that refuses old fencing numbers
-// itself, for an agent without a table.
+// NewChecked returns a gate without a stored watermark, for an engine that refuses
+// old fencing numbers itself.
 func NewChecked(settleTime time.Duration) *Gate {
 	return &Gate{settleTime: settleTime, watermarkKnown: true}
 }
 
-// Highest number seen.
+// Highest returns the highest number seen in an order or in the table.
 func (g *Gate) Highest() Number { return g.highest }
 
-// Propose takes an order.
+// Propose proposes an order. Its result is a Reply with the id, now or later.
 //
-// A holder whose lease has lapsed while it was paused goes on to send its
-// orders. Passed after those of the next holder they would undo them, and an
-// engine that ignores numbers would not notice. The highest number seen is
-// therefore a floor from the moment an order arrives, also while it waits.
+// A lease holder that was paused beyond the end of its lease may still send
+// orders. Forwarded after those of the next holder they would undo them, in an
+// engine that does not check numbers. An order is therefore refused as soon as
+// one with a higher number was proposed, even if that one is still waiting.
 func (g *Gate) Propose(now time.Time, id uint64, number Number) []Action {
 	if number.Before(g.highest) {
 		return []Action{Reply{ID: id, Err: ErrStale}}
 	}
 	if number == g.done {
-		return []Action{Reply{ID: id}} // Sent again after a lost answer.
+		return []Action{Reply{ID: id}} // Sent again after a lost reply.
 	}
 	if len(g.waiting) >= maxWaiting {
 		return []Action{Reply{ID: id, Err: ErrBusy}}
@@ -150,13 +159,13 @@
 	return g.step(now)
 }
 
-// WatermarkRead reports the row. A row that does not exist is the zero floor.
+// WatermarkRead reports the row. The watermark is zero when there is no row.
 //
-// The order in the row may have been handed over by an agent that has died
-// since, and may still be on its way in a slow engine. The next order waits
-// for it, unless the engine has started anew: what was on its way died with it.
+// The order in the row may have been forwarded by an agent that has ended since,
+// and may not yet have taken effect in a slow engine. The next order waits for
+// the settle time, unless the engine has restarted since.
 func (g *Gate) WatermarkRead(now time.Time, watermark Watermark, version uint64) []Action {
-	if g.phase == writing { // Another agent wrote; the order waits again.
+	if g.phase == writing { // Another agent wrote the row; the order waits again.
 		g.waiting = append([]proposal{g.current}, g.waiting...)
 	}
 	g.phase = idle
@@ -170,8 +179,9 @@
 	return g.step(now)
 }
 
-// WatermarkFailed reports that the row could not be read or written for sure.
-// What waits is refused; the floor is read again before the next order.
+// WatermarkFailed reports that the row could not be read, or that its write
+// failed or is indeterminate. Waiting orders are refused; the row is read again
+// before the next order.
 func (g *Gate) WatermarkFailed() []Action {
 	var actions []Action
 	if g.phase == writing {
@@ -190,7 +200,7 @@
 func (g *Gate) WatermarkWritten(now time.Time, version uint64) []Action {
 	g.version = version
 	if g.current.number.Before(g.highest) {
-		// A later order came while the row was written.
+		// A later order was proposed while the row was written.
 		g.phase = idle
 		return append([]Action{Reply{ID: g.current.id, Err: ErrStale}}, g.step(now)...)
 	}
@@ -198,10 +208,10 @@
 	return []Action{Forward{ID: g.current.id}}
 }
 
-// Forwarded reports the engine's word on the current order. refused: the engine
-// has proved that it did not take it. With neither nil nor a refusal the order
-// may take effect at any time within the settle time; until then no later one
-// is passed, since the earlier could undo it.
+// Forwarded reports the result of the current order: err is nil when the engine
+// accepted it; refused is true when the order certainly has no effect. With any
+// other error the order may take effect at any time within the settle time, and
+// no later one is forwarded until then, since the earlier one could undo it.
 func (g *Gate) Forwarded(now time.Time, err error, refused bool) []Action {
 	g.phase = idle
 	if err == nil {
@@ -212,13 +222,13 @@
 	return append([]Action{Reply{ID: g.current.id, Err: err}}, g.step(now)...)
 }
 
-// ObserveIncarnation reports the engine's boot number.
+// ObserveIncarnation reports the engine's incarnation.
 func (g *Gate) ObserveIncarnation(now time.Time, incarnation uint64) []Action {
 	g.incarnation = max(g.incarnation, incarnation)
 	return g.step(now)
 }
 
-// Tick lets orders on when the settle time has passed.
+// Tick forwards the next order when the settle time has passed.
 func (g *Gate) Tick(now time.Time) []Action { return g.step(now) }
 
 func (g *Gate) markIndeterminate(now time.Time, incarnation uint64) {
@@ -234,7 +244,7 @@
 	return !g.indeterminate
 }
 
-// step starts the next order when nothing else is under way.
+// step starts the next order when no call is outstanding.
 func (g *Gate) step(now time.Time) []Action {
 	var actions []Action
 	for g.phase == idle && len(g.waiting) > 0 {
@@ -249,8 +259,8 @@
 			continue
 		}
 		if g.incarnation == 0 || !g.settled(now) {
-			// Without the boot number in the row, the next agent could not tell
-			// whether what this one passed has died with the engine.
+			// The row must hold the incarnation, so that the next agent can tell
+			// whether the engine has restarted since the order was forwarded.
 			return actions
 		}
 		g.waiting = g.waiting[1:]
--- a/internal/ordergate/gate_test.go
+++ b/internal/ordergate/gate_test.go
@@ -17,25 +17,26 @@
 
 const settleTime = 10 * time.Second
 
-// world is a gate with its table row and an engine that ignores numbers and
-// may be slow.
+// simulation is a gate with its table row and an engine that does not check
+// numbers and may be slow.
 type simulation struct {
 	gate *ordergate.Gate
 	now  time.Time
 	row  ordergate.Watermark
-	// version of the row; 0: no row.
+	// version is the row's version; 0 when there is no row.
 	version uint64
 	numbers map[uint64]ordergate.Number
 	nextID  uint64
 	pending []ordergate.Action
-	// inEngine are orders that may take effect before a time.
+	// inEngine has the orders that have not yet taken effect.
 	inEngine    []delayed
 	applied     []ordergate.Number
 	incarnation uint64
 	replies     map[uint64]error
 }
 
-// restart replaces the agent; it may take a while to learn the engine's boot.
+// restart replaces the agent. The new gate has not observed the engine's
+// incarnation.
 func (s *simulation) restart() {
 	s.pending = nil
 	s.gate = ordergate.New(settleTime)
@@ -56,7 +57,8 @@
 
 func (s *simulation) enqueue(actions []ordergate.Action) { s.pending = append(s.pending, actions...) }
 
-// perform carries one action out, with the outcome that choose picks.
+// perform carries out the first pending action, with the outcome that choose
+// returns.
 func (s *simulation) perform(choose func(label string, n int) int) {
 	action := s.pending[0]
 	s.pending = s.pending[1:]
@@ -72,7 +74,7 @@
 	case ordergate.WriteWatermark:
 		s.write(a, choose("write", 4))
 	case ordergate.Forward:
-		s.forward(a, choose("pass", 4))
+		s.forward(a, choose("forward", 4))
 	}
 }
 
@@ -86,7 +88,7 @@
 		return
 	}
 	s.row, s.version = a.Watermark, s.version+1
-	if outcome == 2 { // carried out, but the answer was lost
+	if outcome == 2 { // carried out, but the response was lost
 		s.enqueue(s.gate.WatermarkFailed())
 		return
 	}
@@ -101,7 +103,7 @@
 		s.enqueue(s.gate.Forwarded(s.now, nil, false))
 	case 2:
 		s.enqueue(s.gate.Forwarded(s.now, errors.New("refused"), true))
-	case 3: // the engine is slow; its answer was lost
+	case 3: // the engine is slow and its response was lost
 		s.inEngine = append(s.inEngine, delayed{number, s.now.Add(settleTime)})
 		s.enqueue(s.gate.Forwarded(s.now, ordergate.ErrIndeterminate, false))
 	}
@@ -114,7 +116,7 @@
 	return s.nextID
 }
 
-// advance moves time on; what is in the engine takes effect before it is due.
+// advance advances the clock. Orders in the engine take effect by their deadline.
 func (s *simulation) advance(d time.Duration) {
 	s.now = s.now.Add(d)
 	var left []delayed
@@ -129,10 +131,10 @@
 	s.enqueue(s.gate.Tick(s.now))
 }
 
-// TestLaterOrderIsNeverUndone: holders whose leases lapsed, agents that are
-// replaced between any two steps, a table that fails or loses answers, an
-// engine that ignores numbers, is slow or restarts. The orders that take effect
-// must come in the order of their numbers.
+// TestOrdersTakeEffectInNumberOrder guards against undoing a later order. The
+// simulation has holders with expired leases, agents replaced between any two
+// steps, a table that fails or loses responses, and an engine that does not check
+// numbers, is slow or restarts.
 func TestOrdersTakeEffectInNumberOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation()
@@ -143,41 +145,41 @@
 			},
 			"perform one": func(t *rapid.T) {
 				if len(s.pending) == 0 {
-					t.Skip("nothing to do")
+					t.Skip("no action is pending")
 				}
 				s.perform(choose)
 			},
-			"order": func(*rapid.T) { // without a step in between
+			"order to completion": func(*rapid.T) {
 				s.propose(ordergate.Number{Fence: uint64(choose("fence", 2) + 1), Seq: uint64(choose("seq", 4) + 1)})
 				for len(s.pending) > 0 {
 					s.perform(choose)
 				}
 			},
-			"time": func(*rapid.T) { s.advance(time.Duration(choose("seconds", 8)) * time.Second) },
+			"time passes": func(*rapid.T) { s.advance(time.Duration(choose("seconds", 8)) * time.Second) },
 			"effect": func(t *rapid.T) {
 				if len(s.inEngine) == 0 {
-					t.Skip("nothing is in the engine")
+					t.Skip("no order is in the engine")
 				}
 				s.applied = append(s.applied, s.inEngine[0].number)
 				s.inEngine = s.inEngine[1:]
 			},
 			"agent restarts": func(*rapid.T) {
-				for _, action := range s.pending { // A call under way may still arrive.
+				for _, action := range s.pending { // A call in progress may still arrive.
 					if forward, ok := action.(ordergate.Forward); ok && choose("arrives", 2) == 1 {
 						s.inEngine = append(s.inEngine, delayed{s.numbers[forward.ID], s.now.Add(settleTime)})
 					}
 				}
 				s.restart()
 			},
-			"boot seen": func(*rapid.T) { s.observeIncarnation() },
+			"boot number observed": func(*rapid.T) { s.observeIncarnation() },
 			"engine restarts": func(*rapid.T) {
 				s.incarnation++
-				s.inEngine, s.applied = nil, nil // It came back with nothing loaded.
+				s.inEngine, s.applied = nil, nil // It restarts with nothing loaded.
 				s.observeIncarnation()
 			},
 			"": func(t *rapid.T) {
 				for i := 1; i < len(s.applied); i++ {
-					require.False(t, s.applied[i].Before(s.applied[i-1]), "%v took effect after %v", s.applied[i], s.applied[i-1])
+					require.False(t, s.applied[i].Before(s.applied[i-1]), "order %v took effect after %v", s.applied[i], s.applied[i-1])
 				}
 			},
 		})
@@ -193,8 +195,8 @@
 	}
 }
 
-// A holder is paused, its lease lapses, the next one rolls a version out. The
-// old one wakes up and its order would take the version away again.
+// Guards against an order of an expired lease holder that undoes one of the next
+// holder.
 func TestOrderOfExpiredLeaseHolderIsRefused(t *testing.T) {
 	s := newSimulation()
 	newer := s.propose(ordergate.Number{Fence: 8, Seq: 1})
@@ -206,7 +208,7 @@
 	assert.Equal(t, []ordergate.Number{{Fence: 8, Seq: 1}}, s.applied)
 }
 
-// The same, with an agent that was replaced in between and remembers nothing.
+// Guards against accepting such an order after the agent was replaced.
 func TestWatermarkIsReadAfterRestart(t *testing.T) {
 	s := newSimulation()
 	s.propose(ordergate.Number{Fence: 8, Seq: 1})
@@ -217,12 +219,13 @@
 	require.ErrorIs(t, s.replies[older], ordergate.ErrStale)
 }
 
-// unknown passes an order whose outcome stays unknown: the engine is slow.
+// forwardIndeterminate proposes an order that a slow engine receives and whose
+// outcome is indeterminate.
 func (s *simulation) forwardIndeterminate(number ordergate.Number) {
 	s.propose(number)
 	for len(s.pending) > 0 {
 		s.perform(func(label string, _ int) int {
-			if label == "pass" {
+			if label == "forward" {
 				return 3
 			}
 			return 0
@@ -230,8 +233,8 @@
 	}
 }
 
-// An agent hands an order to a slow engine and is replaced. The next order
-// would overtake the first, which then takes effect last.
+// Guards against an order that overtakes an earlier one, which the previous agent
+// had forwarded to a slow engine.
 func TestOrderWaitsForIndeterminateOrderOfPreviousAgent(t *testing.T) {
 	s := newSimulation()
 	s.observeIncarnation()
@@ -246,8 +249,8 @@
 	assert.Equal(t, []ordergate.Number{{Fence: 1, Seq: 1}, {Fence: 1, Seq: 2}}, s.applied)
 }
 
-// The same, with an agent that had not learned the engine's boot number: the
-// next one would take the engine's boot for a new one, and the order for dead.
+// Guards against a watermark without the engine's incarnation, from which the
+// next agent would infer a restart and not wait for the order.
 func TestNoOrderIsForwardedBeforeIncarnationIsKnown(t *testing.T) {
 	s := newSimulation()
 	s.forwardIndeterminate(ordergate.Number{Fence: 1, Seq: 1})
@@ -255,12 +258,13 @@
 	assert.Zero(t, s.version)
 }
 
-// While the row is written for an order, a later one arrives.
+// Guards against forwarding an order after a later one arrived during the write
+// of the row.
 func TestOrderSupersededDuringWriteIsNotForwarded(t *testing.T) {
 	s := newSimulation()
 	s.observeIncarnation()
 	first := s.propose(ordergate.Number{Fence: 1, Seq: 1})
-	s.perform(succeed) // read; the write is due
+	s.perform(succeed) // read; the write is pending
 	second := s.propose(ordergate.Number{Fence: 2, Seq: 1})
 	s.performAll()
 	require.ErrorIs(t, s.replies[first], ordergate.ErrStale)
@@ -297,7 +301,7 @@
 	s.observeIncarnation()
 	s.perform(succeed)                            // read
 	s.perform(succeed)                            // write
-	s.perform(func(string, int) int { return 3 }) // pass, outcome unknown
+	s.perform(func(string, int) int { return 3 }) // forward, outcome indeterminate
 	s.performAll()
 	id := s.propose(ordergate.Number{Fence: 1, Seq: 2})
 	s.performAll()
