--- a/internal/engine/blockhash/blockhash.go
+++ b/internal/engine/blockhash/blockhash.go
@@ -1,7 +1,7 @@
-// Package blockhash computes the hashes by which the vendors' engines name
-// their cached blocks. A block holds BlockTokens tokens of BytesPerToken bytes
-// of the canonical prompt; its hash covers the cache salt, the version, the
-// adapter and the whole prompt up to the block's end.
+// Package blockhash computes the hashes that the vendors' engines use for their
+// cached blocks. A block holds BlockTokens tokens of BytesPerToken bytes of the
+// canonical prompt; its hash covers the cache salt, the version, the adapter and
+// the complete prompt up to the block's end.
 package blockhash
 
 import (
@@ -12,24 +12,25 @@
 	"github.com/jayproxy/jayproxy/internal/engine"
 )
 
-// Sizes that both vendors' engines share.
+// Sizes that are the same for both vendors' engines.
 const (
 	BytesPerToken = 4
 	BlockTokens   = 16
 	BlockBytes    = BytesPerToken * BlockTokens
 )
 
-// Root is what blocks must have in common before their text counts.
+// Root identifies the cache namespace of a hash chain. Blocks of different roots
+// have different hashes, whatever their text.
 type Root struct {
 	Salt          string
 	VersionDigest string
 	Adapter       string
 }
 
-// Scheme chains a block to the one in front of it.
+// Scheme returns a block's hash from its parent's hash and its bytes.
 type Scheme func(parent uint64, block []byte) uint64
 
-// Merle hashes the parent's hash in front of the block's bytes.
+// Merle hashes the parent's hash followed by the block's bytes.
 func Merle(parent uint64, block []byte) uint64 {
 	var buffer [8 + BlockBytes]byte
 	binary.LittleEndian.PutUint64(buffer[:], parent)
@@ -42,9 +43,9 @@
 	return xxh3.HashSeed(block, parent)
 }
 
-// Chain returns the hashes of the whole blocks of a prompt in canonical parts,
-// and the prompt bytes at which each ends. A block that the prompt does not
-// fill is never cached and left out.
+// Chain returns the hashes of the full blocks of a prompt in canonical parts, and
+// the offset in bytes at which each ends. Engines do not cache a block that the
+// prompt fills only in part, so it has no hash.
 func Chain(scheme Scheme, root Root, parts []string) ([]engine.BlockHash, []int) {
 	total := 0
 	for _, part := range parts {
@@ -62,7 +63,8 @@
 	return c.hashes, c.ends
 }
 
-// seed joins the fields with their lengths, so that no two roots run together.
+// seed hashes the fields with their lengths, so that moving a boundary between
+// fields changes the hash.
 func (r Root) seed() uint64 {
 	h := xxh3.New()
 	for _, field := range []string{r.Salt, r.VersionDigest, r.Adapter} {
@@ -98,7 +100,8 @@
 	}
 }
 
-// Tokens is the number of tokens of a prompt in canonical parts, at least one.
+// Tokens returns the number of tokens of a prompt in canonical parts, at least
+// one.
 func Tokens(parts []string) int {
 	total := 0
 	for _, part := range parts {
--- a/internal/engine/dialect/bench_test.go
+++ b/internal/engine/dialect/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-// BenchmarkStream is the processor time of one streamed answer of 64 tokens to
-// a prompt of 8 KB, stand-in and client together.
+// BenchmarkStream runs one streamed response of 64 tokens to a prompt of 8 KB,
+// including the stand-in's processor time.
 func BenchmarkStream(b *testing.B) {
 	for _, vendor := range []string{dialect.Merle, dialect.Pica} {
 		b.Run("vendor="+vendor, func(b *testing.B) {
--- a/internal/engine/dialect/dialect.go
+++ b/internal/engine/dialect/dialect.go
@@ -1,10 +1,10 @@
-// Package dialect translates the vendors' HTTP interfaces into the engine
-// interface. It decides nothing and keeps no state but idle connections.
+// Package dialect implements engine.Engine for the vendors' HTTP interfaces. It
+// makes no decisions and keeps no state except idle connections.
 //
-// A stream request yields one event a chunk; the last event holds the chunk
-// with the usage, which goes to the caller only when the caller asked for it
-// (stream_options.include_usage). A request without "stream": true yields one
-// event that holds the whole answer and is the last.
+// A streamed request yields one event for each chunk. The last event holds the
+// chunk with the usage, which is for the caller only when the caller requested
+// it (stream_options.include_usage). A request without "stream": true yields a
+// single, last event that holds the complete response.
 package dialect
 
 import (
@@ -26,31 +26,33 @@
 	"github.com/jayproxy/jayproxy/internal/prefix"
 )
 
-// Vendors that Open knows.
+// Vendors that Open supports.
 const (
 	Merle = "merle"
 	Pica  = "pica"
 )
 
-// ErrUnknownVendor is returned by Open.
+// ErrUnknownVendor is returned by Open for a vendor that it does not support.
 var ErrUnknownVendor = errors.New("unknown engine vendor")
 
-// ErrMalformed means that the engine sent something that the dialect can't read.
+// ErrMalformed means that the engine sent data that could not be decoded.
 var ErrMalformed = errors.New("malformed data from the engine")
 
 const (
 	dialTimeout = 2 * time.Second
 	idleTimeout = 90 * time.Second
-	// idleConns are kept to the one engine that a client talks to.
+	// idleConns is the maximum number of idle connections to an engine.
 	idleConns = 256
-	// maxAnswer bounds an answer that is read whole, in bytes; maxKV one of KV cache.
+	// maxResponse bounds a response that is not streamed, maxKV one that contains
+	// KV cache, in bytes.
 	maxResponse = 64 << 20
 	maxKV       = 1 << 30
-	// maxError bounds the text of an error that is kept, in bytes.
+	// maxErrorText bounds the part of an error response that is kept, in bytes.
 	maxErrorText = 512
 )
 
-// Open returns the engine of a vendor at a base URL. It does not connect.
+// Open returns a client for an engine of a vendor at a base URL. It does not
+// connect.
 func Open(vendor, baseURL string) (engine.Engine, error) {
 	switch vendor {
 	case Merle:
@@ -62,7 +64,8 @@
 	}
 }
 
-// client makes HTTP calls and turns their failures into the errors of package engine.
+// client makes HTTP calls and maps their failures to the errors of package
+// engine.
 type client struct {
 	base string
 	http *http.Client
@@ -77,7 +80,7 @@
 	}}}
 }
 
-// call is one HTTP call of an engine.
+// call is one HTTP request to an engine.
 type call struct {
 	method string
 	path   string
@@ -85,8 +88,8 @@
 	body   []byte
 }
 
-// send returns a response with a status of success, whose body the caller
-// closes. The transport itself repeats a call only when it had sent none of it.
+// send returns a response with a success status; the caller closes its body. The
+// transport resends a call only when it had sent none of it.
 func (c *client) send(ctx context.Context, call call) (*http.Response, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -114,7 +117,7 @@
 	return nil, &statusError{path: call.path, status: response.StatusCode, text: string(bytes.TrimSpace(text))}
 }
 
-// open sends a call whose answer is read while it comes.
+// open sends a call and returns the response body for streaming.
 func (c *client) open(ctx context.Context, call call) (io.ReadCloser, error) {
 	response, err := c.send(ctx, call)
 	if err != nil {
@@ -123,7 +126,7 @@
 	return response.Body, nil
 }
 
-// read sends a call and reads its whole answer.
+// read sends a call and reads the complete response, up to limit bytes.
 func (c *client) read(ctx context.Context, call call, limit int64) ([]byte, error) {
 	response, err := c.send(ctx, call)
 	if err != nil {
@@ -137,8 +140,8 @@
 	return body, nil
 }
 
-// statusError is an answer that refuses a call. By itself it matches
-// engine.ErrRefused when the status says that nothing ran, else engine.ErrBroken.
+// statusError is a response with an error status. It matches engine.ErrRefused
+// when the status means that nothing ran, else engine.ErrInterrupted.
 type statusError struct {
 	path   string
 	status int
@@ -165,7 +168,8 @@
 	return target == engine.ErrInterrupted
 }
 
-// translate replaces a status that has a meaning of its own in a call.
+// mapStatus replaces an error with the given status by meaning, for statuses that
+// have a specific meaning in a call.
 func mapStatus(err error, status int, meaning error) error {
 	var refused *statusError
 	if errors.As(err, &refused) && refused.status == status {
@@ -188,8 +192,8 @@
 	return hashes, ends, nil
 }
 
-// isStream tells a streamed answer from a whole one. The answer is asked, not
-// the request: reading a long prompt once more would cost the first token time.
+// isStream reports whether the response is streamed. It inspects the response,
+// since decoding a request with a long prompt again would delay the first token.
 func isStream(response *http.Response) bool {
 	return strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
 }
--- a/internal/engine/dialect/dialect_test.go
+++ b/internal/engine/dialect/dialect_test.go
@@ -131,8 +131,8 @@
 	})
 }
 
-// A caller reads the cache of another workspace by writing the vendor's own
-// fields into its request: the salt that the router sets must win.
+// Guards against a caller that reads another workspace's cache by adding the
+// vendor's fields to its request: the salt set by the router must take effect.
 func TestCallersCannotInjectVendorFields(t *testing.T) {
 	eachVendor(t, fastEngine, func(t *testing.T, _ *standin.Engine, client engine.Engine) {
 		prompt := strings.Repeat("secret ", 100)
@@ -185,9 +185,9 @@
 	})
 }
 
-// A caller's stream stops in the middle and looks complete. The engine process
-// dies after some tokens; the stream must end in ErrBroken, and the engine
-// comes back cold under a new boot number.
+// Guards against a truncated stream that looks complete after an engine crash. It
+// must end in ErrInterrupted, and the engine must restart with an empty cache and
+// a new incarnation.
 func TestCrashInterruptsStreamAndClearsCache(t *testing.T) {
 	options := fastEngine
 	options.OutputTokens = 1000
@@ -300,9 +300,8 @@
 	})
 }
 
-// A caller gets words of somebody else's answer. The engine sends tokens late,
-// twice and into the wrong streams; the events must say whose they are, so
-// that the reader can tell.
+// Guards against mixing up responses when the engine delivers events late, twice
+// or to the wrong stream: each event must carry the id of its own request.
 func TestMisdeliveredEventsNameTheirRequest(t *testing.T) {
 	options := fastEngine
 	options.OutputTokens = 200
--- a/internal/engine/dialect/events.go
+++ b/internal/engine/dialect/events.go
@@ -10,21 +10,21 @@
 	"github.com/jayproxy/jayproxy/internal/engine"
 )
 
-// maxEventBatch bounds the events that one call of Next returns.
+// maxEventBatch bounds the number of events that one call of Next returns.
 const maxEventBatch = 256
 
-// eventReader reads cache events from a response that does not end by itself.
+// eventReader reads cache events from a streamed response.
 type eventReader struct {
 	body io.ReadCloser
 	read func() (engine.CacheEvent, error)
-	// buffered is the number of bytes that can be read without waiting.
+	// buffered returns the number of bytes that can be read without blocking.
 	buffered func() int
-	// failed is an error that came behind events already returned.
+	// pendingErr is the error that followed events already returned.
 	pendingErr error
 }
 
-// Next implements engine.EventReader: it waits for one event and adds those
-// that have arrived with it.
+// Next implements engine.EventReader. It waits for one event and returns it with
+// those already buffered.
 func (r *eventReader) Next(ctx context.Context) ([]engine.CacheEvent, error) {
 	if r.pendingErr != nil {
 		return nil, r.pendingErr
--- a/internal/engine/dialect/merle.go
+++ b/internal/engine/dialect/merle.go
@@ -20,8 +20,9 @@
 	"github.com/jayproxy/jayproxy/internal/engine/blockhash"
 )
 
-// merle speaks JSON throughout. Its fields stand in the member "merle" of a
-// request's body; the id line of an event tells its place.
+// merle is the client of Merle's engines. All its messages are JSON. Merle's own
+// fields are in the member "merle" of a request body; the id of a server-sent
+// event holds the fields that parseMerleID reads.
 type merle struct{ *client }
 
 type merleFields struct {
@@ -136,7 +137,7 @@
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
-		return nil, eris.Wrapf(engine.ErrInterrupted, "answer: %v", err)
+		return nil, eris.Wrapf(engine.ErrInterrupted, "read response: %v", err)
 	}
 	event, err := decodeMerleResponse(response.Header.Get("X-Merle-Id"), data)
 	if err != nil {
@@ -145,13 +146,14 @@
 	return &completeStream{event: event}, nil
 }
 
-// withMerleFields appends the vendor's member to a JSON object. It stands last
-// and holds every field: where a caller smuggled in a member of that name to
-// reach another workspace's cache, the engine's decoder takes the last one.
+// withMerleFields appends the member "merle" to a JSON object. It is the last
+// member and sets every field, because the engine's decoder uses the last of
+// several members with a name: a caller can't inject a member of that name to
+// read another workspace's cache.
 func withMerleFields(request engine.Request) ([]byte, error) {
 	body := bytes.TrimSpace(request.Body)
 	if len(body) < 2 || body[0] != '{' || body[len(body)-1] != '}' {
-		return nil, eris.Wrap(engine.ErrRefused, "the body is no JSON object")
+		return nil, eris.Wrap(engine.ErrRefused, "request body is not a JSON object")
 	}
 	fields, err := json.Marshal(merleFields{
 		RequestID: request.ID,
@@ -161,7 +163,7 @@
 		Adapter:   request.Adapter,
 	})
 	if err != nil {
-		return nil, eris.Wrap(err, "engine fields")
+		return nil, eris.Wrap(err, "encode merle fields")
 	}
 	inside := bytes.TrimSpace(body[1 : len(body)-1])
 	joined := make([]byte, 0, len(body)+len(fields)+16)
@@ -206,11 +208,12 @@
 	return event, err
 }
 
-// parseMerleID reads boot:index:digest:request.
+// parseMerleID parses an event id of the form boot:index:digest:request, in which
+// digest and request are query-escaped.
 func parseMerleID(id string) (engine.Event, error) {
 	fields := strings.Split(id, ":")
 	if len(fields) != 4 {
-		return engine.Event{}, eris.Wrap(ErrMalformed, "event id")
+		return engine.Event{}, eris.Wrap(ErrMalformed, "event id does not have four fields")
 	}
 	boot, err := strconv.ParseUint(fields[0], 10, 64)
 	if err != nil {
@@ -358,7 +361,7 @@
 	}
 	body, err := json.Marshal(merleBlocks{Blocks: texts})
 	if err != nil {
-		return nil, eris.Wrap(err, "export")
+		return nil, eris.Wrap(err, "encode blocks to export")
 	}
 	return m.read(ctx, call{method: http.MethodPost, path: "/kv/export", body: body, header: jsonHeader()}, maxKV)
 }
--- a/internal/engine/dialect/pica.go
+++ b/internal/engine/dialect/pica.go
@@ -20,18 +20,22 @@
 	"github.com/jayproxy/jayproxy/internal/engine/blockhash"
 )
 
-// pica takes its fields in headers, wraps each chunk into an envelope, reports
-// its state as lines of text and its cache events in binary frames.
+// pica is the client of Pica's engines, which read their own fields from headers,
+// wrap each chunk in an envelope, report their state as lines of text and send
+// cache events as binary frames.
 type pica struct{ *client }
 
-// picaLeastUrgent is the highest value of the urgency header; 0 is the most urgent.
+// picaLowestPriority is the value of the X-Pica-Urgency header for the lowest
+// priority; 0 is the highest.
 const picaLowestPriority = 9
 
 // maxPriority is the highest engine.Request.Priority.
 const maxPriority = 100
 
-// Layout of an event frame: length of the rest, boot, sequence number,
-// operation, age in milliseconds, block hashes; little endian.
+// Layout of an event frame, little endian: length of the rest (4 bytes),
+// incarnation (8), sequence number (8), operation (1), age in milliseconds (4),
+// block hashes (8 each). picaFrameHeader is the size between the length and the
+// block hashes.
 const (
 	picaFrameHeader = 8 + 8 + 1 + 4
 	maxPicaFrame    = 16 << 20
@@ -60,7 +64,7 @@
 	Output int `json:"o"`
 }
 
-// State implements engine.Engine. Pica does not tell how old its report is.
+// State implements engine.Engine. Pica does not report Lag.
 func (p *pica) State(ctx context.Context) (engine.State, error) {
 	body, err := p.read(ctx, call{method: http.MethodGet, path: "/stats"}, maxResponse)
 	if err != nil {
@@ -87,11 +91,11 @@
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
-		return nil, eris.Wrapf(engine.ErrInterrupted, "answer: %v", err)
+		return nil, eris.Wrapf(engine.ErrInterrupted, "read response: %v", err)
 	}
 	event, err := decodePicaEnvelope(data)
 	if err == nil && !event.Last {
-		err = eris.Wrap(ErrMalformed, "answer without its end")
+		err = eris.Wrap(ErrMalformed, "response without usage")
 	}
 	if err != nil {
 		return nil, errors.Join(engine.ErrInterrupted, err)
@@ -164,7 +168,8 @@
 	if length < picaFrameHeader || length > maxPicaFrame || (length-picaFrameHeader)%8 != 0 {
 		return engine.CacheEvent{}, eris.Wrapf(ErrMalformed, "event frame of %d bytes", length)
 	}
-	// Copied as it arrives, so that a lying length can't claim the memory.
+	// The buffer grows as data arrives, so that a false length does not allocate
+	// memory.
 	var frame bytes.Buffer
 	if _, err := io.CopyN(&frame, r, int64(length)); err != nil {
 		return engine.CacheEvent{}, io.ErrUnexpectedEOF
@@ -198,7 +203,7 @@
 	return event, nil
 }
 
-// Snapshot implements engine.Engine: pica has no such call.
+// Snapshot implements engine.Engine. Pica has no such call.
 func (p *pica) Snapshot(context.Context) (engine.CacheSnapshot, error) {
 	return engine.CacheSnapshot{}, engine.ErrUnsupported
 }
--- a/internal/engine/dialect/picastate.go
+++ b/internal/engine/dialect/picastate.go
@@ -18,8 +18,8 @@
 	value string
 }
 
-// decodePicaState reads a report; unknown names are passed over, so that a
-// newer engine stays readable.
+// decodePicaState decodes a state report. Unknown names are skipped, so that
+// reports of newer engines can be decoded.
 func decodePicaState(body []byte) (engine.State, error) {
 	var state engine.State
 	ratio, seen := 0.0, false
@@ -38,7 +38,7 @@
 		}
 	}
 	if !seen {
-		return state, eris.Wrap(ErrMalformed, "report without a boot number")
+		return state, eris.Wrap(ErrMalformed, "state report without pica_boot")
 	}
 	state.CachedBlocks = int(math.Round(ratio * float64(state.CapacityBlocks)))
 	return state, nil
@@ -60,7 +60,7 @@
 	case "pica_kv_usage_ratio":
 		*ratio, err = strconv.ParseFloat(line.value, 64)
 		if err == nil && !(*ratio >= 0 && *ratio <= 1) {
-			err = eris.New("ratio outside 0 to 1")
+			err = eris.New("ratio is not between 0 and 1")
 		}
 	case "pica_kv_blocks":
 		state.CapacityBlocks, err = parseCount(line.value)
--- a/internal/engine/dialect/sse.go
+++ b/internal/engine/dialect/sse.go
@@ -15,7 +15,7 @@
 const (
 	// readBuffer is the size of a stream's buffer in bytes.
 	readBufferSize = 8 << 10
-	// maxLine bounds one line of an engine's stream in bytes.
+	// maxLine bounds one line of an engine's stream, in bytes.
 	maxLine = 4 << 20
 )
 
@@ -35,8 +35,8 @@
 	return &sseReader{lines: bufio.NewReaderSize(r, readBufferSize)}
 }
 
-// next returns the next event that has data. io.EOF at the end of the input,
-// io.ErrUnexpectedEOF when it ends inside an event.
+// next returns the next event that has data. It returns io.EOF at the end of the
+// input and io.ErrUnexpectedEOF when the input ends inside an event.
 func (r *sseReader) next() (sseEvent, error) {
 	var event sseEvent
 	started := false
@@ -78,14 +78,15 @@
 	}
 }
 
-// readLine returns a line without its end. A last line without an end is an
-// unexpected end: the sender was cut off.
+// readLine returns a line without its line ending. It returns
+// io.ErrUnexpectedEOF for a last line without one, since the input was then
+// truncated.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	var long []byte
 	for {
 		piece, err := r.ReadSlice('\n')
 		if len(long)+len(piece) > maxLine {
-			return nil, eris.Wrap(ErrMalformed, "line too long")
+			return nil, eris.Wrap(ErrMalformed, "line longer than 4 MiB")
 		}
 		switch {
 		case err == nil && long == nil:
@@ -102,8 +103,8 @@
 	}
 }
 
-// stream is an answer under way; decode turns an event of the wire into one of
-// the interface, ok is false for events that carry nothing.
+// stream is a streamed response. decode converts a server-sent event into an
+// engine event; ok is false for events that carry no data for the reader.
 type stream struct {
 	body   io.ReadCloser
 	events *sseReader
@@ -117,7 +118,7 @@
 	if s.ended {
 		return engine.Event{}, io.EOF
 	}
-	// Closing the body is the only way to end a read that waits.
+	// Closing the body is the only way to end a blocked read.
 	stop := context.AfterFunc(ctx, func() { _ = s.body.Close() })
 	defer stop()
 	for {
@@ -142,7 +143,8 @@
 // Close implements engine.Stream.
 func (s *stream) Close() error { return s.body.Close() }
 
-// wholeStream is the stream of an answer that came in one piece.
+// completeStream is the stream of a response that was not streamed: a single
+// event.
 type completeStream struct {
 	event     engine.Event
 	delivered bool
