--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -21,7 +21,7 @@
 
 func TestEngineResponseReachesEntryComplete(t *testing.T) {
 	fix := newFixture(t, nil)
-	got := readAnswer(t, fix.accepted(modelOffer("r1"), `{"prompt":"x"}`))
+	got := readResponse(t, fix.accepted(modelOffer("r1"), `{"prompt":"x"}`))
 	assert.Equal(t, []string{"one", "two", "three"}, got.chunks)
 	assert.Equal(t, []uint64{0, 1, 2}, got.seqs)
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome())
@@ -64,7 +64,7 @@
 // during an offer sends the same attempt again.
 func TestSameAttemptOfferedTwiceRunsOnce(t *testing.T) {
 	fix := newFixture(t, nil)
-	readAnswer(t, fix.accepted(modelOffer("r1"), "{}"))
+	readResponse(t, fix.accepted(modelOffer("r1"), "{}"))
 	_, reply := fix.offer(modelOffer("r1"))
 	assert.Equal(t, jayv1.Refusal_REFUSAL_DUPLICATE, reply.GetRefusal())
 	assert.Len(t, fix.engine.requests(), 1)
@@ -89,11 +89,11 @@
 	s := fix.accepted(modelOffer("r1"), "{}")
 	require.Eventually(t, func() bool { return len(fix.engine.requests()) == 1 }, 5*time.Second, time.Millisecond)
 	send(t, s, cancelFrame())
-	got := readAnswer(t, s)
+	got := readResponse(t, s)
 	assert.Equal(t, jayv1.Outcome_OUTCOME_UNKNOWN, got.end.GetOutcome())
 	require.Eventually(t, func() bool { return len(fix.engine.cancels()) == 1 }, 5*time.Second, time.Millisecond)
 	close(gate)
-	got = readAnswer(t, fix.accepted(modelOffer("r2"), "{}"))
+	got = readResponse(t, fix.accepted(modelOffer("r2"), "{}"))
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome())
 }
 
@@ -113,7 +113,7 @@
 		t.Run(name, func(t *testing.T) {
 			fix := newFixture(t, nil)
 			fix.engine.set(func(f *fakeEngine) { f.submitErr = test.err })
-			got := readAnswer(t, fix.accepted(modelOffer("r1"), "{}"))
+			got := readResponse(t, fix.accepted(modelOffer("r1"), "{}"))
 			assert.Equal(t, test.outcome, got.end.GetOutcome())
 			assert.Equal(t, test.refusal, got.end.GetRefusal())
 		})
@@ -128,7 +128,7 @@
 		f.state.Versions = []string{"sha256:new"}
 		f.submitErr = engine.ErrRefused
 	})
-	got := readAnswer(t, fix.accepted(modelOffer("r1"), "{}"))
+	got := readResponse(t, fix.accepted(modelOffer("r1"), "{}"))
 	assert.Equal(t, jayv1.Outcome_OUTCOME_NOT_RUN, got.end.GetOutcome())
 	assert.Equal(t, jayv1.Refusal_REFUSAL_VERSION, got.end.GetRefusal())
 	assert.Equal(t, []string{"sha256:new"}, got.end.GetState().GetVersionDigests())
@@ -158,7 +158,7 @@
 	assert.Equal(t, jayv1.Refusal_REFUSAL_LEAVING, reply.GetRefusal())
 	assert.True(t, reply.GetState().GetLeaving())
 	close(gate)
-	got := readAnswer(t, s)
+	got := readResponse(t, s)
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome())
 	assert.Equal(t, []string{"one", "two", "three"}, got.chunks)
 	require.NoError(t, <-stopped)
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -29,7 +29,7 @@
 				send(b, s, offerFrame(modelOffer(fmt.Sprint("r", i))))
 				require.True(b, receive(b, s).GetOfferReply().GetAccepted())
 				send(b, s, bodyFrame("{}", true))
-				got := readAnswer(b, s)
+				got := readResponse(b, s)
 				require.Equal(b, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome())
 			}
 		})
--- a/internal/agent/engine_test.go
+++ b/internal/agent/engine_test.go
@@ -61,15 +61,15 @@
 		t.Run(vendor, func(t *testing.T) {
 			fix, engine := newStandInFixture(t, vendor)
 			offer, body := chatOffer(t, "r1", "w1", "first")
-			got := readAnswer(t, fix.accepted(offer, body))
+			got := readResponse(t, fix.accepted(offer, body))
 			require.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome(), got.end.GetError())
 
 			cached := func(workspace string) uint32 {
-				asked, _ := chatOffer(t, "ask", workspace, "second")
+				probed, _ := chatOffer(t, "probe", workspace, "second")
 				s := fix.open()
 				defer func() { _ = s.CloseSend() }()
 				send(t, s, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Probe{Probe: &jayv1.ProbeRequest{
-					Pool: "p1", Chain: asked.GetChain(), PromptBytes: asked.GetPromptBytes(),
+					Pool: "p1", Chain: probed.GetChain(), PromptBytes: probed.GetPromptBytes(),
 				}}})
 				return receive(t, s).GetProbeReply().GetCachedBytes()
 			}
@@ -84,7 +84,7 @@
 			offer, body = chatOffer(t, "r2", "w1", "third")
 			offer.Incarnation = before // The entry has not observed the restart.
 			require.Eventually(t, func() bool { return fix.probe().GetReady() }, 5*time.Second, 10*time.Millisecond)
-			got = readAnswer(t, fix.accepted(offer, body))
+			got = readResponse(t, fix.accepted(offer, body))
 			require.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome(), got.end.GetError())
 			assert.Zero(t, got.end.GetUsage().GetCachedTokens())
 			assert.Greater(t, got.end.GetUsage().GetRecomputedTokens(), uint32(1900))
@@ -99,24 +99,24 @@
 	gate := make(chan struct{})
 	fix.engine.set(func(f *fakeEngine) { f.gate = gate })
 	first, body := chatOffer(t, "r1", "w1", "first")
-	alone, reply := fix.offer(first)
-	send(t, alone, bodyFrame(body, true))
-	full := reply.GetCostMs()
+	firstStream, reply := fix.offer(first)
+	send(t, firstStream, bodyFrame(body, true))
+	firstCost := reply.GetCostMs()
 	second, body := chatOffer(t, "r2", "w1", "second")
-	shared, reply := fix.offer(second)
-	send(t, shared, bodyFrame(body, true))
-	assert.Greater(t, full, 200.0)
-	assert.Less(t, reply.GetCostMs()-full, 20.0, "cost of the second beyond the wait for the first")
+	secondStream, reply := fix.offer(second)
+	send(t, secondStream, bodyFrame(body, true))
+	assert.Greater(t, firstCost, 200.0)
+	assert.Less(t, reply.GetCostMs()-firstCost, 20.0, "cost of the second beyond the wait for the first")
 	assert.Zero(t, reply.GetCachedBytes(), "nothing is cached yet")
 	close(gate)
-	readAnswer(t, alone)
-	readAnswer(t, shared)
+	readResponse(t, firstStream)
+	readResponse(t, secondStream)
 	third, _ := chatOffer(t, "r3", "w1", "third")
 	_, reply = fix.offer(third)
 	assert.Greater(t, reply.GetCostMs(), 100.0, "both have ended, and the fake caches nothing")
 }
 
-// A caller's answer would stop in silence when the engine dies under it.
+// Guards against a response that ends without an error when the engine crashes.
 func TestEngineCrashInTheMiddleEndsInAnError(t *testing.T) {
 	for _, vendor := range []string{standin.Merle, standin.Pica} {
 		t.Run(vendor, func(t *testing.T) {
@@ -126,7 +126,7 @@
 			s := fix.accepted(offer, body)
 			require.NotEmpty(t, receive(t, s).GetChunk().GetData())
 			engine.Crash(0)
-			got := readAnswer(t, s)
+			got := readResponse(t, s)
 			assert.Equal(t, jayv1.Outcome_OUTCOME_UNKNOWN, got.end.GetOutcome())
 			assert.NotEmpty(t, got.end.GetError())
 			assert.EqualValues(t, len(got.chunks)+1, got.end.GetCount(), fmt.Sprint(got.seqs))
@@ -143,7 +143,7 @@
 			before := fix.probe().GetIncarnation()
 			engine.CrashOn("crash", time.Hour)
 			offer, body := chatOffer(t, "r1", "w1", "crash")
-			got := readAnswer(t, fix.accepted(offer, body))
+			got := readResponse(t, fix.accepted(offer, body))
 			assert.Equal(t, jayv1.Outcome_OUTCOME_UNKNOWN, got.end.GetOutcome())
 			assert.True(t, got.end.GetEngineCrashed(), got.end.GetError())
 			assert.Equal(t, before, got.end.GetIncarnation())
@@ -151,8 +151,8 @@
 		t.Run(vendor+"-interrupted", func(t *testing.T) {
 			fix, engine := newStandInFixture(t, vendor)
 			engine.SetFaults(sim.Faults{BreakShare: 1, BreakAfter: 1})
-			offer, body := chatOffer(t, "r1", "w1", "cut")
-			got := readAnswer(t, fix.accepted(offer, body))
+			offer, body := chatOffer(t, "r1", "w1", "interrupted")
+			got := readResponse(t, fix.accepted(offer, body))
 			assert.False(t, got.end.GetEngineCrashed(), got.end.GetError())
 		})
 	}
--- a/internal/agent/enginecache.go
+++ b/internal/agent/enginecache.go
@@ -60,8 +60,8 @@
 	return c.index.CachedBytes(now, c.aliases, chain), c.aliases.KnownBytes(chain)
 }
 
-// recordSubmitted maps the points of a prompt that was just submitted to the
-// engine's blocks.
+// recordSubmitted records which of the engine's blocks correspond to the prefix
+// points of a submitted prompt.
 func (c *engineCache) recordSubmitted(chain []*jayv1.PrefixPoint, req engine.Request) {
 	blocks, ends, err := c.engine.Blocks(req)
 	if err != nil {
--- a/internal/agent/enginestate.go
+++ b/internal/agent/enginestate.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// engineRetryAfter is the Retry-After sent while the engine is unavailable
-	// or full.
+	// engineRetryAfter is the Retry-After sent while the engine or service is
+	// unavailable or full.
 	engineRetryAfter = 2 * time.Second
 	// statePollTimeout bounds one read of the engine's state.
 	statePollTimeout = 2 * time.Second
--- a/internal/agent/fake_test.go
+++ b/internal/agent/fake_test.go
@@ -286,17 +286,17 @@
 	return s
 }
 
-// answer is a response read to its end.
-type answer struct {
+// response is a response of the agent, read to its end.
+type response struct {
 	head   *jayv1.ServiceHead
 	chunks []string
 	seqs   []uint64
 	end    *jayv1.End
 }
 
-func readAnswer(t testing.TB, s *transport.Stream) answer {
+func readResponse(t testing.TB, s *transport.Stream) response {
 	t.Helper()
-	var got answer
+	var got response
 	for got.end == nil {
 		switch f := receive(t, s).GetFrame().(type) {
 		case *jayv1.ServerFrame_ServiceHead:
--- a/internal/agent/kv.go
+++ b/internal/agent/kv.go
@@ -64,7 +64,7 @@
 }
 
 // usesKV reports whether the attempt's pool declares a KV cache store and the
-// settings have its URL.
+// settings contain the URL of one.
 func (a *Agent) usesKV(att *attempt) bool {
 	pool, ok := a.catalog.Current().Pool(att.offer.GetPool())
 	return ok && pool.GetKvService() != "" && a.model.kv.base != ""
@@ -197,11 +197,11 @@
 		return
 	}
 	k, rate, perToken := a.model.kv, a.scheduler.prefillRate(), a.bytesPerToken(att.offer.GetPool())
-	pressure := a.model.cache.evicting()
+	evicting := a.model.cache.evicting()
 	k.mu.Lock()
 	k.planner.Used(att.offer.GetChain())
 	point := k.planner.Keep(time.Now(), att.offer.GetChain(), rate, perToken)
-	if point == nil || !pressure || k.exporting {
+	if point == nil || !evicting || k.exporting {
 		k.mu.Unlock()
 		return
 	}
--- a/internal/agent/kv_test.go
+++ b/internal/agent/kv_test.go
@@ -43,7 +43,7 @@
 func (fix *fixture) runCachedTokens(id, workspace, document string) uint32 {
 	fix.t.Helper()
 	offer, body := chatOffer(fix.t, id, workspace, document)
-	got := readAnswer(fix.t, fix.accepted(offer, body))
+	got := readResponse(fix.t, fix.accepted(offer, body))
 	require.Equal(fix.t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome(), got.end.GetError())
 	return got.end.GetUsage().GetCachedTokens()
 }
--- a/internal/agent/outbox.go
+++ b/internal/agent/outbox.go
@@ -13,9 +13,9 @@
 // errSlowReader means that the replay buffer stayed full for the stall timeout.
 var errSlowReader = errors.New("reader too slow, replay buffer full")
 
-// responseBuffer is the replay buffer of one response, safe for use by the
-// goroutine that fills it and those that send from it. A link is one stream to
-// an entry that the response is sent on; only the link that attached last sends.
+// responseBuffer is the replay buffer of one response, safe for concurrent use.
+// A link is one stream to an entry on which the response is sent; only the link
+// that attached last sends.
 type responseBuffer struct {
 	mu       sync.Mutex
 	buffer   *relay.Buffer
@@ -32,33 +32,33 @@
 
 // notify unblocks all goroutines that wait for a change. The caller holds the
 // lock.
-func (o *responseBuffer) notify() {
-	close(o.changed)
-	o.changed = make(chan struct{})
+func (r *responseBuffer) notify() {
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-func (o *responseBuffer) setHead(head *jayv1.ServiceHead) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.head = head
-	o.notify()
+func (r *responseBuffer) setHead(head *jayv1.ServiceHead) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.head = head
+	r.notify()
 }
 
 // append adds a chunk. When the buffer is full it blocks, which stops reading
 // from the engine, until the entry acknowledges chunks. It returns errSlowReader
 // after the stall timeout, so that a reader that does not read can't hold memory
 // for longer.
-func (o *responseBuffer) append(ctx context.Context, data []byte, stall time.Duration) error {
+func (r *responseBuffer) append(ctx context.Context, data []byte, stall time.Duration) error {
 	timer := time.NewTimer(stall)
 	defer timer.Stop()
 	for {
-		o.mu.Lock()
-		err := o.buffer.Append(data)
-		changed := o.changed
+		r.mu.Lock()
+		err := r.buffer.Append(data)
+		changed := r.changed
 		if err == nil {
-			o.notify()
+			r.notify()
 		}
-		o.mu.Unlock()
+		r.mu.Unlock()
 		if err == nil {
 			return nil
 		}
@@ -73,50 +73,50 @@
 }
 
 // finish sets the last frame, which is sent after all chunks.
-func (o *responseBuffer) finish(end *jayv1.End) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.end != nil {
+func (r *responseBuffer) finish(end *jayv1.End) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.end != nil {
 		return
 	}
-	end.Count = o.buffer.Count()
-	o.end = end
-	o.notify()
+	end.Count = r.buffer.Count()
+	r.end = end
+	r.notify()
 }
 
 // attach registers a new link as the only sender, starting at the chunk with the
 // number next. It fails when that chunk is no longer in the buffer.
-func (o *responseBuffer) attach(next uint64) (int, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if err := o.buffer.Resume(next); err != nil {
+func (r *responseBuffer) attach(next uint64) (int, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err := r.buffer.Resume(next); err != nil {
 		return 0, err
 	}
-	o.link++
-	o.headSent = next > 0
-	o.notify()
-	return o.link, nil
+	r.link++
+	r.headSent = next > 0
+	r.notify()
+	return r.link, nil
 }
 
 // bytes returns the size of the buffered chunks.
-func (o *responseBuffer) bytes() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.buffer.Bytes()
+func (r *responseBuffer) bytes() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.buffer.Bytes()
 }
 
 // isCurrent reports whether the link is still the one that sends.
-func (o *responseBuffer) isCurrent(link int) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.link == link
+func (r *responseBuffer) isCurrent(link int) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.link == link
 }
 
-func (o *responseBuffer) ack(next uint64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.buffer.Ack(next)
-	o.notify()
+func (r *responseBuffer) ack(next uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.buffer.Ack(next)
+	r.notify()
 }
 
 // outgoing is the next step of a sender.
@@ -131,23 +131,23 @@
 	replaced bool
 }
 
-func (o *responseBuffer) next(link int) outgoing {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if link != o.link {
+func (r *responseBuffer) next(link int) outgoing {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if link != r.link {
 		return outgoing{replaced: true}
 	}
-	if o.head != nil && !o.headSent {
-		o.headSent = true
-		return outgoing{frame: &jayv1.ServerFrame{Frame: &jayv1.ServerFrame_ServiceHead{ServiceHead: o.head}}}
+	if r.head != nil && !r.headSent {
+		r.headSent = true
+		return outgoing{frame: &jayv1.ServerFrame{Frame: &jayv1.ServerFrame_ServiceHead{ServiceHead: r.head}}}
 	}
-	if seq, data, ok := o.buffer.Next(); ok {
-		o.notify()
+	if seq, data, ok := r.buffer.Next(); ok {
+		r.notify()
 		chunk := &jayv1.Chunk{Seq: seq, Data: data}
 		return outgoing{frame: &jayv1.ServerFrame{Frame: &jayv1.ServerFrame_Chunk{Chunk: chunk}}}
 	}
-	if o.end != nil {
-		return outgoing{frame: &jayv1.ServerFrame{Frame: &jayv1.ServerFrame_End{End: o.end}}, last: true}
+	if r.end != nil {
+		return outgoing{frame: &jayv1.ServerFrame{Frame: &jayv1.ServerFrame_End{End: r.end}}, last: true}
 	}
-	return outgoing{wait: o.changed}
+	return outgoing{wait: r.changed}
 }
--- a/internal/agent/outcome_test.go
+++ b/internal/agent/outcome_test.go
@@ -38,7 +38,8 @@
 }
 
 // handoffUntil runs the given number of steps of a handoff and then aborts the
-// stream. It returns the outcome that the entry may assume.
+// stream; with more steps than there are, it reads the response to its end. It
+// returns the outcome that the entry may assume.
 func handoffUntil(fix *fixture, offer *jayv1.Offer, step int) jayv1.Outcome {
 	s := fix.open()
 	defer s.Abort()
@@ -127,12 +128,12 @@
 		s, reply := fix.offer(callOffer(fmt.Sprint("r", time.Now().UnixNano()), http.MethodPost, "/x"))
 		require.True(t, reply.GetAccepted())
 		send(t, s, bodyFrame(strings.Repeat("y", 200), true))
-		got := readAnswer(t, s)
+		got := readResponse(t, s)
 		return got.end.GetOutcome() == jayv1.Outcome_OUTCOME_NOT_RUN && got.end.GetRefusal() == jayv1.Refusal_REFUSAL_QUEUE_FULL
 	}, 5*time.Second, 5*time.Millisecond)
 	send(t, first, bodyFrame("", true))
-	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, readAnswer(t, first).end.GetOutcome())
-	got := readAnswer(t, fix.accepted(callOffer("r3", http.MethodPost, "/x"), strings.Repeat("z", 4000)))
+	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, readResponse(t, first).end.GetOutcome())
+	got := readResponse(t, fix.accepted(callOffer("r3", http.MethodPost, "/x"), strings.Repeat("z", 4000)))
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome())
 }
 
@@ -149,10 +150,10 @@
 		require.NotNil(t, receive(t, s).GetChunk())
 		s.Abort()
 	}
-	resume := func(i int) answer {
+	resume := func(i int) response {
 		s := fix.open()
 		send(t, s, resumeFrame(offers[i], 0))
-		return readAnswer(t, s)
+		return readResponse(t, s)
 	}
 	assert.Equal(t, jayv1.Refusal_REFUSAL_NOT_FOUND, resume(0).end.GetRefusal())
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, resume(19).end.GetOutcome())
--- a/internal/agent/service_test.go
+++ b/internal/agent/service_test.go
@@ -50,7 +50,7 @@
 	offer.Headers = []*jayv1.Header{
 		{Name: "X-Kept", Value: "yes"}, {Name: "X-Dropped", Value: "no"}, {Name: "Connection", Value: "X-Dropped"},
 	}
-	got := readAnswer(t, fix.accepted(offer, "request body"))
+	got := readResponse(t, fix.accepted(offer, "request body"))
 	require.NotNil(t, got.head)
 	assert.EqualValues(t, http.StatusCreated, got.head.GetStatus())
 	assert.Equal(t, "PUT /bookings/7?x=1 request body", strings.Join(got.chunks, ""))
@@ -73,18 +73,18 @@
 			_ = hijacked.Close()
 		}
 	}, nil)
-	readAnswer(t, fix.accepted(callOffer("warm", http.MethodGet, "/warm"), ""))
+	readResponse(t, fix.accepted(callOffer("warm", http.MethodGet, "/warm"), ""))
 	offer := callOffer("r1", http.MethodPost, "/bookings")
 	offer.NonRepeatable = true
 	offer.Headers = []*jayv1.Header{{Name: "Idempotency-Key", Value: "k1"}}
-	got := readAnswer(t, fix.accepted(offer, ""))
+	got := readResponse(t, fix.accepted(offer, ""))
 	assert.Equal(t, jayv1.Outcome_OUTCOME_UNKNOWN, got.end.GetOutcome())
 	assert.EqualValues(t, 1, runs.Load())
 }
 
 func TestUnreachableServiceIsReportedAsNotRun(t *testing.T) {
 	fix := newServiceFixture(t, nil, func(s *agent.Settings) { s.Service.URL = "http://127.0.0.1:1" })
-	got := readAnswer(t, fix.accepted(callOffer("r1", http.MethodPost, "/bookings"), "x"))
+	got := readResponse(t, fix.accepted(callOffer("r1", http.MethodPost, "/bookings"), "x"))
 	assert.Equal(t, jayv1.Outcome_OUTCOME_NOT_RUN, got.end.GetOutcome())
 	assert.Equal(t, jayv1.Refusal_REFUSAL_ENGINE_DOWN, got.end.GetRefusal())
 }
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -8,7 +8,8 @@
 	"github.com/jayproxy/jayproxy/internal/spread"
 )
 
-// Settings of an agent. Times are integers in milliseconds.
+// Settings of an agent. Times are integers in milliseconds, so that a settings
+// file needs no duration syntax.
 type Settings struct {
 	Name       string `toml:"name" validate:"required" unit:"" doc:"Name of the backend server, as declared in the catalog and in the agent's certificate."`
 	Listen     string `toml:"listen" validate:"required,ip_port" unit:"ip:port" doc:"Address for the other processes (QUIC over UDP)."`
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -33,7 +33,7 @@
 
 	resumed := fix.open()
 	send(t, resumed, resumeFrame(offer, 1))
-	got := readAnswer(t, resumed)
+	got := readResponse(t, resumed)
 	assert.Equal(t, []string{"two", "three"}, got.chunks)
 	assert.Equal(t, []uint64{1, 2}, got.seqs)
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome())
@@ -61,7 +61,7 @@
 			change(frame.GetResume())
 			resumed := fix.open()
 			send(t, resumed, frame)
-			got := readAnswer(t, resumed)
+			got := readResponse(t, resumed)
 			assert.Empty(t, got.chunks)
 			assert.Equal(t, jayv1.Outcome_OUTCOME_UNKNOWN, got.end.GetOutcome())
 			assert.Equal(t, jayv1.Refusal_REFUSAL_NOT_FOUND, got.end.GetRefusal())
@@ -82,7 +82,7 @@
 			s, _ := fix.offer(offer)
 			send(t, s, bodyFrame("half", false))
 			require.NoError(t, s.CloseSend())
-			assert.Equal(t, jayv1.Outcome_OUTCOME_NOT_RUN, readAnswer(t, s).end.GetOutcome())
+			assert.Equal(t, jayv1.Outcome_OUTCOME_NOT_RUN, readResponse(t, s).end.GetOutcome())
 		},
 		"body too slow": func(fix *fixture, offer *jayv1.Offer) {
 			s, _ := fix.offer(offer)
@@ -109,7 +109,7 @@
 	})
 	s := fix.accepted(modelOffer("r1"), "{}")
 	require.Eventually(t, func() bool { return len(fix.engine.cancels()) == 1 }, 10*time.Second, time.Millisecond)
-	got := readAnswer(t, s)
+	got := readResponse(t, s)
 	assert.Equal(t, jayv1.Outcome_OUTCOME_UNKNOWN, got.end.GetOutcome())
 	assert.Contains(t, got.end.GetError(), "reader too slow")
 	assert.EqualValues(t, len(got.chunks), got.end.GetCount())
@@ -159,7 +159,7 @@
 		t.Run(name, func(t *testing.T) {
 			fix := newFixture(t, nil)
 			fix.engine.set(func(f *fakeEngine) { f.script = test.script })
-			got := readAnswer(t, fix.accepted(modelOffer("r1"), "{}"))
+			got := readResponse(t, fix.accepted(modelOffer("r1"), "{}"))
 			assert.Equal(t, test.chunks, got.chunks)
 			assert.Equal(t, test.outcome, got.end.GetOutcome())
 			assert.EqualValues(t, len(got.chunks), got.end.GetCount())
--- a/internal/engine/dialect/dialect.go
+++ b/internal/engine/dialect/dialect.go
@@ -2,8 +2,8 @@
 // makes no decisions and keeps no state except idle connections.
 //
 // A streamed request yields one event for each chunk. The last event holds the
-// chunk with the usage, which is for the caller only when the caller requested
-// it (stream_options.include_usage). A request without "stream": true yields a
+// chunk with the usage, which a caller receives only when it requested it
+// (stream_options.include_usage). A request without "stream": true yields a
 // single, last event that holds the complete response.
 package dialect
 
@@ -97,7 +97,7 @@
 	})
 	request, err := http.NewRequestWithContext(ctx, call.method, c.base+call.path, bytes.NewReader(call.body))
 	if err != nil {
-		return nil, eris.Wrap(err, "engine request")
+		return nil, eris.Wrap(err, "build engine request")
 	}
 	if call.header != nil {
 		request.Header = call.header
@@ -141,7 +141,8 @@
 }
 
 // statusError is a response with an error status. It matches engine.ErrRefused
-// when the status means that nothing ran, else engine.ErrInterrupted.
+// when the status means that nothing ran, else engine.ErrInterrupted. It also
+// matches engine.ErrInvalid when the status is about the request's content.
 type statusError struct {
 	path   string
 	status int
--- a/internal/engine/dialect/sse.go
+++ b/internal/engine/dialect/sse.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// readBuffer is the size of a stream's buffer in bytes.
+	// readBufferSize is the size of a stream's buffer, in bytes.
 	readBufferSize = 8 << 10
 	// maxLine bounds one line of an engine's stream, in bytes.
 	maxLine = 4 << 20
--- a/internal/ordergate/gate.go
+++ b/internal/ordergate/gate.go
@@ -237,6 +237,7 @@
 	g.indeterminateUntil = now.Add(g.settleTime)
 }
 
+// settled reports whether no earlier order may still take effect.
 func (g *Gate) settled(now time.Time) bool {
 	if g.indeterminate && (g.incarnation > g.indeterminateIncarnation || !now.Before(g.indeterminateUntil)) {
 		g.indeterminate = false
--- a/internal/ordergate/gate_test.go
+++ b/internal/ordergate/gate_test.go
@@ -171,7 +171,7 @@
 				}
 				s.restart()
 			},
-			"boot number observed": func(*rapid.T) { s.observeIncarnation() },
+			"current incarnation observed": func(*rapid.T) { s.observeIncarnation() },
 			"engine restarts": func(*rapid.T) {
 				s.incarnation++
 				s.inEngine, s.applied = nil, nil // It restarts with nothing loaded.
@@ -208,7 +208,8 @@
 	assert.Equal(t, []ordergate.Number{{Fence: 8, Seq: 1}}, s.applied)
 }
 
-// Guards against accepting such an order after the agent was replaced.
+// Guards against accepting an order of an expired lease holder after the agent
+// was replaced.
 func TestWatermarkIsReadAfterRestart(t *testing.T) {
 	s := newSimulation()
 	s.propose(ordergate.Number{Fence: 8, Seq: 1})
