--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,8 +1,8 @@
-// Package agent is the process beside one backend server. It has the last word
-// on what its backend server takes on: it admits or refuses offers, hands work
-// to the engine or service, relays the answer and keeps it for readers that
-// lost their link. The decisions are made by pure packages; this one does the
-// I/O around them.
+// Package agent implements the process that runs beside one backend server. It
+// admits or refuses offers, passes accepted requests to the engine or service,
+// relays the response and buffers it so that an entry whose stream was lost can
+// resume it. Decisions are made by packages without I/O; this one does the I/O
+// for them.
 package agent
 
 import (
@@ -24,37 +24,38 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// maxMetricLabels bounds the workspaces and classes that metrics keep apart.
+// maxMetricLabels bounds the distinct workspace and class labels in metrics.
 const maxMetricLabels = 300
 
 // Agent is a running agent.
 type Agent struct {
-	settings Settings
-	started  time.Time
-	ctx      context.Context
-	stop     context.CancelFunc
-	node     *transport.Node
-	admin    *http.Server
-	adminAt  net.Listener
-	catalog  *catalog.Holder
-	metrics  *metrics.Registry
-	works    *registry
-	underway *underway
-	schedule *schedule
-	model    *modelBackend   // nil beside a plain service
-	service  *serviceBackend // nil beside a model engine
-	orders   *orderDesk
-	spread   *spread.Service
-	ready    chan struct{} // closed when spread is set
-	leaving  atomic.Bool
-	// bodyBytes that all attempts hold together.
+	settings         Settings
+	started          time.Time
+	ctx              context.Context
+	stop             context.CancelFunc
+	node             *transport.Node
+	admin            *http.Server
+	adminListener    net.Listener
+	catalog          *catalog.Holder
+	metrics          *metrics.Registry
+	attempts         *attemptRegistry
+	inFlightPrefixes *inFlightPrefixes
+	scheduler        *scheduler
+	model            *modelBackend   // nil beside a plain service
+	service          *serviceBackend // nil beside a model engine
+	orders           *orderHandler
+	spread           *spread.Service
+	ready            chan struct{} // closed when spread is set
+	draining         atomic.Bool
+	// bodyBytes is the total size of the request bodies held by all attempts.
 	bodyBytes atomic.Int64
 	wg        sync.WaitGroup
 	mu        sync.Mutex
 	closed    bool
 }
 
-// Start runs an agent until Shutdown or Close. The context bounds the start only.
+// Start starts an agent, which runs until Shutdown or Close. The context is not
+// used.
 func Start(_ context.Context, settings Settings) (*Agent, error) {
 	if _, err := charts.All(); err != nil {
 		return nil, err
@@ -64,24 +65,24 @@
 		return nil, eris.Wrap(err, "load keys")
 	}
 	a := &Agent{
-		settings: settings,
-		started:  time.Now(),
-		catalog:  settings.Catalog,
-		metrics:  metrics.New(maxMetricLabels),
-		works:    newRegistry(settings.Replay.TotalBytes),
-		underway: newUnderway(),
-		ready:    make(chan struct{}),
+		settings:         settings,
+		started:          time.Now(),
+		catalog:          settings.Catalog,
+		metrics:          metrics.New(maxMetricLabels),
+		attempts:         newAttemptRegistry(settings.Replay.TotalBytes),
+		inFlightPrefixes: newInFlightPrefixes(),
+		ready:            make(chan struct{}),
 	}
 	if a.catalog == nil {
 		a.catalog = catalog.NewHolder()
 	}
 	a.ctx, a.stop = context.WithCancel(context.Background())
-	a.schedule = newSchedule(a.ctx, settings.Queue, a.perform)
+	a.scheduler = newScheduler(a.ctx, settings.Queue, a.perform)
 	if err := a.openBackend(); err != nil {
 		a.stop()
 		return nil, err
 	}
-	a.orders = newOrderDesk(a)
+	a.orders = newOrderHandler(a)
 	if err := a.listen(creds); err != nil {
 		a.stop()
 		return nil, err
@@ -90,13 +91,13 @@
 		a.Close()
 		return nil, err
 	}
-	a.goRun(func() { creds.Watch(a.ctx, millis(settings.KeyReloadMS)) })
-	a.goRun(func() { a.schedule.loop() })
+	a.goTracked(func() { creds.Watch(a.ctx, millis(settings.KeyReloadMS)) })
+	a.goTracked(func() { a.scheduler.loop() })
 	if a.model != nil {
-		a.goRun(func() { a.model.poll(a.ctx) })
-		a.goRun(func() { a.model.cache.follow(a.ctx) })
-		a.goRun(func() { a.model.cache.repair(a.ctx) })
-		a.goRun(func() { a.orders.watch(a.ctx) })
+		a.goTracked(func() { a.model.poll(a.ctx) })
+		a.goTracked(func() { a.model.cache.followEvents(a.ctx) })
+		a.goTracked(func() { a.model.cache.repair(a.ctx) })
+		a.goTracked(func() { a.orders.watch(a.ctx) })
 	}
 	klog.InfoS("agent started", "backendServer", settings.Name, "address", a.Address(), "admin", a.AdminURL())
 	return a, nil
@@ -106,10 +107,10 @@
 	s := a.settings
 	switch {
 	case s.Engine.URL != "" && s.Service.URL != "":
-		return eris.New("settings name both an engine and a service")
+		return eris.New("settings have both engine.url and service.url; exactly one is required")
 	case s.Engine.URL != "":
 		if s.OpenEngine == nil {
-			return eris.New("no dialects are linked in")
+			return eris.New("settings have engine.url, but OpenEngine is not set")
 		}
 		opened, err := s.OpenEngine(s.Engine.Vendor, s.Engine.URL)
 		if err != nil {
@@ -122,27 +123,27 @@
 		a.service = service
 		return err
 	}
-	return eris.New("settings name neither an engine nor a service")
+	return eris.New("settings have neither engine.url nor service.url; exactly one is required")
 }
 
 func (a *Agent) listen(creds *transport.Credentials) error {
 	var err error
-	if a.adminAt, err = net.Listen("tcp", a.settings.Admin); err != nil {
+	if a.adminListener, err = net.Listen("tcp", a.settings.Admin); err != nil {
 		return eris.Wrapf(err, "listen on %s", a.settings.Admin)
 	}
 	a.node, err = transport.Listen(transport.Options{Address: a.settings.Listen}, creds, a.serveStream)
 	if err != nil {
-		_ = a.adminAt.Close()
+		_ = a.adminListener.Close()
 		return err
 	}
 	a.admin = &http.Server{Handler: a.adminHandler(), ReadHeaderTimeout: adminHeaderTimeout}
-	a.goRun(func() { _ = a.admin.Serve(a.adminAt) })
+	a.goTracked(func() { _ = a.admin.Serve(a.adminListener) })
 	return nil
 }
 
-// goRun runs a function that Close waits for. After Close it does nothing:
-// timers of attempts may still fire then.
-func (a *Agent) goRun(f func()) {
+// goTracked runs f in a goroutine that Close waits for. After Close it does
+// nothing, since timers of attempts may still fire.
+func (a *Agent) goTracked(f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
@@ -151,40 +152,42 @@
 	a.wg.Go(f)
 }
 
-// Address of the agent's QUIC listener, ip:port.
+// Address returns the address of the agent's QUIC listener, ip:port.
 func (a *Agent) Address() string { return a.node.Address() }
 
-// AdminURL of the port for health, metrics and debugging.
-func (a *Agent) AdminURL() string { return "http://" + a.adminAt.Addr().String() }
+// AdminURL returns the base URL for health, metrics and debugging.
+func (a *Agent) AdminURL() string { return "http://" + a.adminListener.Addr().String() }
 
-// Leave refuses new work from now on and says so with every answer.
-func (a *Agent) Leave() {
-	if !a.leaving.Swap(true) {
-		klog.InfoS("leaving, no new work is taken", "backendServer", a.settings.Name)
+// StartDrain refuses all later offers and marks the agent as draining in every
+// state that it sends.
+func (a *Agent) StartDrain() {
+	if !a.draining.Swap(true) {
+		klog.InfoS("draining, new offers are refused", "backendServer", a.settings.Name)
 	}
 }
 
-// isLeaving tells whether new work is refused: the agent was told to stop, or
-// an operator drains the backend server.
-func (a *Agent) isLeaving() bool {
+// isDraining reports whether new offers are refused, because the agent is
+// stopping or an operator drains the backend server.
+func (a *Agent) isDraining() bool {
 	server, _ := a.catalog.Current().BackendServer(a.settings.Name)
-	return a.leaving.Load() || server.GetDraining()
+	return a.draining.Load() || server.GetDraining()
 }
 
-// Shutdown refuses new work, waits until every accepted request has ended and
-// its reader has the whole answer, and stops. When the context or the drain
-// time ends first, what still runs is cut; the error says so.
+// Shutdown refuses new offers, waits until every accepted request has ended and
+// its complete response was read or has expired, and stops the agent. When the
+// context or the drain timeout ends first, it interrupts what still runs and
+// returns an error.
 func (a *Agent) Shutdown(ctx context.Context) error {
-	a.Leave()
+	a.StartDrain()
 	ctx, cancel := context.WithTimeout(ctx, millis(a.settings.DrainMS))
 	defer cancel()
-	a.works.close()
-	err := a.works.waitEmpty(ctx)
+	a.attempts.close()
+	err := a.attempts.waitEmpty(ctx)
 	a.Close()
 	return eris.Wrap(err, "drain")
 }
 
-// Close stops at once, as a crash would.
+// Close stops the agent at once and interrupts running requests.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	a.closed = true
@@ -198,9 +201,9 @@
 	a.wg.Wait()
 }
 
-// state is the agent's own view, sent with every answer.
+// state returns the load and readiness that the agent sends with every reply.
 func (a *Agent) state() *jayv1.AgentState {
-	load := a.schedule.load()
+	load := a.scheduler.load()
 	state := &jayv1.AgentState{
 		BackendServer: a.settings.Name,
 		Generation:    a.catalog.Current().Generation(),
@@ -208,12 +211,12 @@
 		Queued:        uint32(load.Queued),
 		Slots:         uint32(load.Slots),
 		QueueMs:       load.QueueMS,
-		Leaving:       a.isLeaving(),
+		Leaving:       a.isDraining(),
 		Ready:         true,
 	}
-	state.PrefillTokensPerSecond = a.schedule.prefillRate()
+	state.PrefillTokensPerSecond = a.scheduler.prefillRate()
 	if a.model != nil {
-		a.model.describe(state)
+		a.model.fillState(state)
 	}
 	return state
 }
--- a/internal/agent/enginecache.go
+++ b/internal/agent/enginecache.go
@@ -14,19 +14,22 @@
 )
 
 const (
-	// eventRetry is the pause before the stream of events is opened again.
-	eventRetry = 200 * time.Millisecond
-	// cacheTick is how often overdue events are given up.
-	cacheTick = 100 * time.Millisecond
-	// snapshotEvery is the least time between two snapshots: one takes the
-	// engine and the agent some milliseconds for 23,000 blocks.
-	snapshotEvery = time.Second
-	// snapshotTimeout bounds the reading of one.
+	// eventRetryInterval is the pause before the event stream is opened again.
+	eventRetryInterval = 200 * time.Millisecond
+	// repairInterval is how often the index is checked for overdue events and
+	// for the need of a snapshot.
+	repairInterval = 100 * time.Millisecond
+	// snapshotInterval is the minimum time between two snapshots, which cost
+	// processor time in the engine and in the agent.
+	snapshotInterval = time.Second
+	// snapshotTimeout bounds the read of one snapshot.
 	snapshotTimeout = 5 * time.Second
-	// seekStep is less than the events that engines keep for late readers, and
-	// seekTries bounds the search for the place where they start.
-	seekStep  = 2048
-	seekTries = 1 << 14
+	// seekStep is the distance in sequence numbers between two attempts to find
+	// the events that an engine retains. It is less than the number of retained
+	// events, so that no step skips them all.
+	seekStep = 2048
+	// maxSeekSteps bounds the search.
+	maxSeekSteps = 1 << 14
 )
 
 // engineCache keeps the index of the engine's cache up to date.
@@ -36,7 +39,7 @@
 	mu      sync.Mutex
 	index   *cacheindex.Index
 	aliases *cacheindex.Aliases
-	// snapshots: the engine has them.
+	// snapshots is false once the engine has reported that it has none.
 	snapshots bool
 }
 
@@ -49,20 +52,20 @@
 	}
 }
 
-// look returns how much of a prompt's start is cached now, and how much was
-// submitted here before.
-func (c *engineCache) look(now time.Time, chain []*jayv1.PrefixPoint) (cached, known int) {
+// lookup returns the length in bytes of the prompt's prefix that the engine has
+// cached now, and of the prefix that was submitted to this engine before.
+func (c *engineCache) lookup(now time.Time, chain []*jayv1.PrefixPoint) (cached, submitted int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.index.CachedBytes(now, c.aliases, chain), c.aliases.KnownBytes(chain)
 }
 
-// submitted learns which of the engine's blocks stand for the points of the
-// prompt that was just handed over.
-func (c *engineCache) submitted(chain []*jayv1.PrefixPoint, req engine.Request) {
+// recordSubmitted records which of the engine's blocks correspond to the prefix
+// points of a submitted prompt.
+func (c *engineCache) recordSubmitted(chain []*jayv1.PrefixPoint, req engine.Request) {
 	blocks, ends, err := c.engine.Blocks(req)
 	if err != nil {
-		klog.V(1).InfoS("blocks of a prompt not known", "request", req.ID, "error", err.Error())
+		klog.V(1).InfoS("prompt not added to the cache index: its block hashes could not be computed", "request", req.ID, "error", err.Error())
 		return
 	}
 	c.mu.Lock()
@@ -71,7 +74,7 @@
 	c.index.Used(time.Now(), blocks)
 }
 
-func (c *engineCache) sawIncarnation(incarnation uint64) {
+func (c *engineCache) observeIncarnation(incarnation uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index.SawIncarnation(incarnation)
@@ -83,22 +86,23 @@
 	return c.index.Incarnation()
 }
 
-func (c *engineCache) survival(now time.Time) time.Duration {
+func (c *engineCache) retention(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.index.Survival(now)
 }
 
-// evicting tells whether the engine has removed blocks to make room.
+// evicting reports whether the engine has removed blocks to free space.
 func (c *engineCache) evicting() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.index.Evicting()
 }
 
-// repair reads snapshots when the index asks for them, and gives up overdue events.
+// repair reads snapshots when the index needs one, and has the index treat
+// overdue events as lost. It runs until the context ends.
 func (c *engineCache) repair(ctx context.Context) {
-	ticker := time.NewTicker(cacheTick)
+	ticker := time.NewTicker(repairInterval)
 	defer ticker.Stop()
 	var lastSnapshot time.Time
 	for {
@@ -107,7 +111,7 @@
 		c.index.Tick(now)
 		wanted := c.index.NeedsSnapshot() && c.snapshots
 		c.mu.Unlock()
-		if wanted && now.Sub(lastSnapshot) >= snapshotEvery {
+		if wanted && now.Sub(lastSnapshot) >= snapshotInterval {
 			lastSnapshot = now
 			c.resync(ctx)
 		}
@@ -119,7 +123,8 @@
 	}
 }
 
-// resync reads a snapshot. An engine that has none is followed by forgetting.
+// resync replaces the index's contents by a snapshot. For an engine without
+// snapshots it switches the index to the Forget mode of repair.
 func (c *engineCache) resync(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
@@ -135,28 +140,28 @@
 		c.index.SawIncarnation(incarnation)
 		c.index.Lost(now)
 	case err != nil:
-		klog.V(1).InfoS("no snapshot of the cache", "error", err.Error())
+		klog.V(1).InfoS("cache snapshot could not be read", "error", err.Error())
 	default:
 		c.index.Snapshot(now, snapshot)
 	}
 }
 
-// follow reads cache events until the context ends.
-func (c *engineCache) follow(ctx context.Context) {
+// followEvents reads cache events until the context ends.
+func (c *engineCache) followEvents(ctx context.Context) {
 	for ctx.Err() == nil {
-		if reader := c.open(ctx); reader != nil {
-			err := c.read(ctx, reader)
+		if reader := c.openEvents(ctx); reader != nil {
+			err := c.readEvents(ctx, reader)
 			_ = reader.Close()
-			klog.V(1).InfoS("cache events ended", "cause", err)
+			klog.V(1).InfoS("cache event stream ended", "cause", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(eventRetry):
+		case <-time.After(eventRetryInterval):
 		}
 	}
 }
 
-func (c *engineCache) read(ctx context.Context, reader engine.EventReader) error {
+func (c *engineCache) readEvents(ctx context.Context, reader engine.EventReader) error {
 	for {
 		events, err := reader.Next(ctx)
 		if err != nil {
@@ -168,10 +173,11 @@
 	}
 }
 
-// open subscribes where the index stands. When the engine no longer has those
-// events, the picture is lost; a snapshot tells where to go on, and without
-// one the place is searched for.
-func (c *engineCache) open(ctx context.Context) engine.EventReader {
+// openEvents subscribes after the last event in the index. When the engine no
+// longer has the following events, the index is marked as lost: a snapshot then
+// gives the next sequence number, and without snapshots it is searched for.
+// Returns nil when no subscription was made.
+func (c *engineCache) openEvents(ctx context.Context) engine.EventReader {
 	c.mu.Lock()
 	after := max(c.index.Next(), 1) - 1
 	c.mu.Unlock()
@@ -189,12 +195,13 @@
 	if snapshots {
 		return nil
 	}
-	return c.seek(ctx)
+	return c.seekEvents(ctx)
 }
 
-// seek finds the events that the engine still keeps.
-func (c *engineCache) seek(ctx context.Context) engine.EventReader {
-	for i := range uint64(seekTries) {
+// seekEvents subscribes to the events that the engine still retains. Returns
+// nil when it finds none.
+func (c *engineCache) seekEvents(ctx context.Context) engine.EventReader {
+	for i := range uint64(maxSeekSteps) {
 		reader, err := c.engine.Events(ctx, i*seekStep)
 		if err == nil {
 			return reader
--- a/internal/agent/enginestate.go
+++ b/internal/agent/enginestate.go
@@ -14,18 +14,20 @@
 )
 
 const (
-	// engineDownRetry is what a caller is told to wait while the engine is down.
-	engineDownRetry = 2 * time.Second
-	// statePollTimeout bounds one reading of the engine's state.
+	// engineRetryAfter is the Retry-After sent while the engine or service is
+	// unavailable or full.
+	engineRetryAfter = 2 * time.Second
+	// statePollTimeout bounds one read of the engine's state.
 	statePollTimeout = 2 * time.Second
 )
 
-// modelBackend is the model engine beside the agent with what is known of it.
+// modelBackend is the model engine beside the agent, with its last observed
+// state and cache contents.
 type modelBackend struct {
-	engine engine.Engine
-	cache  *engineCache
-	kv     *kvLink
-	every  time.Duration
+	engine       engine.Engine
+	cache        *engineCache
+	kv           *kvStore
+	pollInterval time.Duration
 
 	mu    sync.Mutex
 	up    bool
@@ -33,15 +35,15 @@
 }
 
 func newModelBackend(e engine.Engine, s Settings) *modelBackend {
-	return &modelBackend{engine: e, cache: newEngineCache(e, time.Now()), kv: newKVLink(s), every: millis(s.Engine.PollMS)}
+	return &modelBackend{engine: e, cache: newEngineCache(e, time.Now()), kv: newKVStore(s), pollInterval: millis(s.Engine.PollMS)}
 }
 
 // poll reads the engine's state until the context ends.
 func (m *modelBackend) poll(ctx context.Context) {
-	ticker := time.NewTicker(m.every)
+	ticker := time.NewTicker(m.pollInterval)
 	defer ticker.Stop()
 	for {
-		m.read(ctx)
+		m.readState(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -50,7 +52,7 @@
 	}
 }
 
-func (m *modelBackend) read(ctx context.Context) {
+func (m *modelBackend) readState(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, statePollTimeout)
 	defer cancel()
 	state, err := m.engine.State(ctx)
@@ -58,11 +60,11 @@
 		m.markDown(err)
 		return
 	}
-	m.cache.sawIncarnation(state.Incarnation)
+	m.cache.observeIncarnation(state.Incarnation)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if state.Incarnation < m.state.Incarnation {
-		return // A report from before the last start, late on its way.
+		return // A late report of an earlier incarnation.
 	}
 	if !m.up || state.Incarnation != m.state.Incarnation {
 		klog.InfoS("engine is up", "incarnation", state.Incarnation, "versions", state.Versions)
@@ -70,7 +72,7 @@
 	m.up, m.state = true, state
 }
 
-// incarnation of the engine as last seen.
+// incarnation returns the latest incarnation observed of the engine.
 func (m *modelBackend) incarnation() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,8 +83,8 @@
 	return max(m.state.Incarnation, m.cache.incarnation())
 }
 
-// crashed tells whether an incarnation of the engine is proven to have ended:
-// nothing listens, or another one answers.
+// crashed reports whether an incarnation of the engine is proven to have ended:
+// its port refuses connections, or a later incarnation responds.
 func (m *modelBackend) crashed(ctx context.Context, incarnation uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, statePollTimeout)
 	defer cancel()
@@ -103,7 +105,8 @@
 	m.up = false
 }
 
-// check refuses an offer whose version or adapter is not loaded.
+// check refuses offers while the engine is down, and offers whose version or
+// adapter is not loaded. A refusal of 0 means that the offer is allowed.
 func (m *modelBackend) check(offer *jayv1.Offer) (jayv1.Refusal, string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,12 +122,12 @@
 	return 0, ""
 }
 
-// describe fills in the engine's part of the agent's state.
-func (m *modelBackend) describe(state *jayv1.AgentState) {
+// fillState fills in the engine's part of the agent's state.
+func (m *modelBackend) fillState(state *jayv1.AgentState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	state.Incarnation = m.incarnationLocked()
-	state.CacheSurvivalMs = float64(m.cache.survival(time.Now())) / float64(time.Millisecond)
+	state.CacheSurvivalMs = float64(m.cache.retention(time.Now())) / float64(time.Millisecond)
 	state.VersionDigests = m.state.Versions
 	state.Adapters = m.state.Adapters
 	state.Ready = m.up && len(m.state.Versions) > 0
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -18,21 +18,23 @@
 )
 
 const (
-	// fencePrefix is followed by the backend server's name in the key of its floor.
-	fencePrefix = "fence/"
-	// orderTimeout bounds one order's call of the engine; then its outcome is unknown.
+	// watermarkKeyPrefix is followed by the backend server's name in the key of
+	// the row that holds its watermark.
+	watermarkKeyPrefix = "fence/"
+	// orderTimeout bounds one order's call of the engine; after it the outcome is
+	// indeterminate.
 	orderTimeout = 60 * time.Second
-	// floorTimeout bounds one call of the table.
-	floorTimeout = 5 * time.Second
-	// orderTick is how often orders that wait for a slow engine are looked at.
-	orderTick = 200 * time.Millisecond
+	// watermarkTimeout bounds one read or write of the watermark.
+	watermarkTimeout = 5 * time.Second
+	// orderCheckInterval is how often waiting orders are checked.
+	orderCheckInterval = 200 * time.Millisecond
 )
 
-// errOrderInvalid means that an order does not concern this backend server.
-var errOrderInvalid = errors.New("order is not for this backend server")
+// errWrongServer means that an order is for another backend server.
+var errWrongServer = errors.New("order is not for this backend server")
 
-// orderDesk does the I/O around the gate.
-type orderDesk struct {
+// orderHandler does the I/O for the order gate.
+type orderHandler struct {
 	agent *Agent
 	table platform.Table // nil without a platform
 
@@ -47,18 +49,19 @@
 	done  chan error
 }
 
-func newOrderDesk(a *Agent) *orderDesk {
-	d := &orderDesk{agent: a, pending: map[uint64]*pendingOrder{}, gate: ordergate.NewChecked(ordergate.DefaultSettle)}
+func newOrderHandler(a *Agent) *orderHandler {
+	h := &orderHandler{agent: a, pending: map[uint64]*pendingOrder{}, gate: ordergate.NewChecked(ordergate.DefaultSettleTime)}
 	if a.settings.Platform != "" {
-		d.table = platform.NewClient(a.settings.Platform, platform.ClientOptions{})
-		d.gate = ordergate.New(ordergate.DefaultSettle)
+		h.table = platform.NewClient(a.settings.Platform, platform.ClientOptions{})
+		h.gate = ordergate.New(ordergate.DefaultSettleTime)
 	}
-	return d
+	return h
 }
 
-// watch tells the gate of the engine's boots and of time passing.
-func (d *orderDesk) watch(ctx context.Context) {
-	ticker := time.NewTicker(orderTick)
+// watch periodically reports the engine's incarnation and the current time to
+// the gate.
+func (h *orderHandler) watch(ctx context.Context) {
+	ticker := time.NewTicker(orderCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -66,147 +69,148 @@
 			return
 		case <-ticker.C:
 		}
-		incarnation := d.agent.model.cache.incarnation()
-		d.with(func(now time.Time) []ordergate.Action { return d.gate.SawIncarnation(now, incarnation) })
+		incarnation := h.agent.model.cache.incarnation()
+		h.update(func(now time.Time) []ordergate.Action { return h.gate.ObserveIncarnation(now, incarnation) })
 	}
 }
 
-// with runs a step of the gate and then, outside the lock, what it asked for.
-func (d *orderDesk) with(step func(now time.Time) []ordergate.Action) {
-	d.mu.Lock()
+// update runs a step of the gate and then, outside the lock, the actions that it
+// returned.
+func (h *orderHandler) update(step func(now time.Time) []ordergate.Action) {
+	h.mu.Lock()
 	actions := step(time.Now())
-	d.mu.Unlock()
+	h.mu.Unlock()
 	for _, action := range actions {
-		d.perform(action)
+		h.perform(action)
 	}
 }
 
-func (d *orderDesk) perform(action ordergate.Action) {
+func (h *orderHandler) perform(action ordergate.Action) {
 	switch a := action.(type) {
 	case ordergate.Reply:
-		d.mu.Lock()
-		p := d.pending[a.ID]
-		delete(d.pending, a.ID)
-		d.mu.Unlock()
+		h.mu.Lock()
+		p := h.pending[a.ID]
+		delete(h.pending, a.ID)
+		h.mu.Unlock()
 		if p != nil {
 			p.done <- a.Err
 		}
-	case ordergate.ReadFloor:
-		d.agent.goRun(d.readFloor)
-	case ordergate.WriteFloor:
-		d.agent.goRun(func() { d.writeFloor(a) })
-	case ordergate.Pass:
-		d.agent.goRun(func() { d.pass(a.ID) })
+	case ordergate.ReadWatermark:
+		h.agent.goTracked(h.readWatermark)
+	case ordergate.WriteWatermark:
+		h.agent.goTracked(func() { h.writeWatermark(a) })
+	case ordergate.Forward:
+		h.agent.goTracked(func() { h.forward(a.ID) })
 	}
 }
 
-func (d *orderDesk) key() string { return fencePrefix + d.agent.settings.Name }
+func (h *orderHandler) watermarkKey() string { return watermarkKeyPrefix + h.agent.settings.Name }
 
-func (d *orderDesk) readFloor() {
-	ctx, cancel := context.WithTimeout(d.agent.ctx, floorTimeout)
+func (h *orderHandler) readWatermark() {
+	ctx, cancel := context.WithTimeout(h.agent.ctx, watermarkTimeout)
 	defer cancel()
-	rows, err := d.table.Get(ctx, d.key())
+	rows, err := h.table.Get(ctx, h.watermarkKey())
 	if err != nil {
-		klog.ErrorS(err, "floor of orders not read", "backendServer", d.agent.settings.Name)
-		d.with(func(time.Time) []ordergate.Action { return d.gate.FloorFailed() })
+		klog.ErrorS(err, "watermark of orders could not be read", "backendServer", h.agent.settings.Name)
+		h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 		return
 	}
 	var row platform.Row
 	if len(rows) > 0 {
 		row = rows[0]
 	}
-	d.tookFloor(row)
+	h.applyWatermark(row)
 }
 
-func (d *orderDesk) tookFloor(row platform.Row) {
-	var floor ordergate.Floor
+func (h *orderHandler) applyWatermark(row platform.Row) {
+	var watermark ordergate.Watermark
 	if len(row.Value) > 0 {
-		if err := json.Unmarshal(row.Value, &floor); err != nil {
-			klog.ErrorS(err, "floor of orders not understood", "row", row.Key)
-			d.with(func(time.Time) []ordergate.Action { return d.gate.FloorFailed() })
+		if err := json.Unmarshal(row.Value, &watermark); err != nil {
+			klog.ErrorS(err, "watermark of orders could not be decoded", "row", row.Key)
+			h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 			return
 		}
 	}
-	d.with(func(now time.Time) []ordergate.Action { return d.gate.FloorRead(now, floor, row.Version) })
+	h.update(func(now time.Time) []ordergate.Action { return h.gate.WatermarkRead(now, watermark, row.Version) })
 }
 
-// writeFloor raises the floor before the order is passed. A write whose answer
-// was lost counts as failed: the order is refused, and the next one reads the
-// row first.
-func (d *orderDesk) writeFloor(action ordergate.WriteFloor) {
-	value, err := json.Marshal(action.Floor)
+// writeWatermark raises the watermark before the order is forwarded. A write
+// whose response was lost counts as failed: the order is refused, and the row is
+// read again before the next one.
+func (h *orderHandler) writeWatermark(action ordergate.WriteWatermark) {
+	value, err := json.Marshal(action.Watermark)
 	if err != nil {
-		d.with(func(time.Time) []ordergate.Action { return d.gate.FloorFailed() })
+		h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 		return
 	}
-	ctx, cancel := context.WithTimeout(d.agent.ctx, floorTimeout)
+	ctx, cancel := context.WithTimeout(h.agent.ctx, watermarkTimeout)
 	defer cancel()
-	result, err := d.table.Commit(ctx, platform.Txn{
-		Conditions: []platform.Condition{{Key: d.key(), Version: action.Version}},
-		Puts:       []platform.Put{{Key: d.key(), Value: value}},
+	result, err := h.table.Commit(ctx, platform.Txn{
+		Conditions: []platform.Condition{{Key: h.watermarkKey(), Version: action.Version}},
+		Puts:       []platform.Put{{Key: h.watermarkKey(), Value: value}},
 	})
 	switch {
 	case err != nil:
-		klog.ErrorS(err, "floor of orders not written", "backendServer", d.agent.settings.Name)
-		d.with(func(time.Time) []ordergate.Action { return d.gate.FloorFailed() })
+		klog.ErrorS(err, "watermark of orders could not be written", "backendServer", h.agent.settings.Name)
+		h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 	case result.Committed:
-		d.with(func(now time.Time) []ordergate.Action { return d.gate.FloorWritten(now, result.Commit) })
+		h.update(func(now time.Time) []ordergate.Action { return h.gate.WatermarkWritten(now, result.Commit) })
 	case len(result.Failed) > 0:
-		d.tookFloor(result.Failed[0])
+		h.applyWatermark(result.Failed[0])
 	default:
-		d.with(func(time.Time) []ordergate.Action { return d.gate.FloorFailed() })
+		h.update(func(time.Time) []ordergate.Action { return h.gate.WatermarkFailed() })
 	}
 }
 
-// pass hands an order to the engine.
-func (d *orderDesk) pass(id uint64) {
-	d.mu.Lock()
-	order := d.pending[id].order
-	d.mu.Unlock()
-	ctx, cancel := context.WithTimeout(d.agent.ctx, orderTimeout)
+// forward sends an order to the engine.
+func (h *orderHandler) forward(id uint64) {
+	h.mu.Lock()
+	order := h.pending[id].order
+	h.mu.Unlock()
+	ctx, cancel := context.WithTimeout(h.agent.ctx, orderTimeout)
 	defer cancel()
-	err := d.agent.model.engine.Order(ctx, engine.Order{
+	err := h.agent.model.engine.Order(ctx, engine.Order{
 		Fence: order.GetFence(), Kind: order.GetKind(), Model: order.GetModel(), Digest: order.GetDigest(),
 		Adapter: order.GetAdapter(), Role: order.GetRole(),
 	})
 	refused := errors.Is(err, engine.ErrNotReached) || errors.Is(err, engine.ErrRefused) ||
 		errors.Is(err, engine.ErrStaleFence) || errors.Is(err, engine.ErrUnsupported)
 	if err != nil && !refused {
-		err = eris.Wrapf(ordergate.ErrUnknown, "%v", err)
+		err = eris.Wrapf(ordergate.ErrIndeterminate, "%v", err)
 	}
-	klog.InfoS("order passed", "backendServer", d.agent.settings.Name, "kind", order.GetKind().String(),
+	klog.InfoS("order forwarded", "backendServer", h.agent.settings.Name, "kind", order.GetKind().String(),
 		"fence", order.GetFence(), "seq", order.GetSeq(), "error", err)
-	d.with(func(now time.Time) []ordergate.Action { return d.gate.Passed(now, err, refused) })
+	h.update(func(now time.Time) []ordergate.Action { return h.gate.Forwarded(now, err, refused) })
 }
 
-// submit brings an order through the gate and waits for its end.
-func (d *orderDesk) submit(ctx context.Context, order *jayv1.Order) error {
-	server, declared := d.agent.catalog.Current().BackendServer(d.agent.settings.Name)
+// submit proposes an order to the gate and waits for its result.
+func (h *orderHandler) submit(ctx context.Context, order *jayv1.Order) error {
+	server, declared := h.agent.catalog.Current().BackendServer(h.agent.settings.Name)
 	switch {
-	case order.GetBackendServer() != d.agent.settings.Name || d.agent.model == nil:
-		return errOrderInvalid
-	case d.table == nil && (!declared || !server.GetChecksFencing()):
-		return ordergate.ErrNoFloor
+	case order.GetBackendServer() != h.agent.settings.Name || h.agent.model == nil:
+		return errWrongServer
+	case h.table == nil && (!declared || !server.GetChecksFencing()):
+		return ordergate.ErrNoWatermark
 	}
 	p := &pendingOrder{order: order, done: make(chan error, 1)}
-	d.with(func(now time.Time) []ordergate.Action {
-		d.nextID++
-		d.pending[d.nextID] = p
-		return d.gate.Propose(now, d.nextID, ordergate.Number{Fence: order.GetFence(), Seq: order.GetSeq()})
+	h.update(func(now time.Time) []ordergate.Action {
+		h.nextID++
+		h.pending[h.nextID] = p
+		return h.gate.Propose(now, h.nextID, ordergate.Number{Fence: order.GetFence(), Seq: order.GetSeq()})
 	})
 	select {
 	case err := <-p.done:
 		return err
 	case <-ctx.Done():
-		return ordergate.ErrUnknown
+		return ordergate.ErrIndeterminate
 	}
 }
 
-// serveOrder answers an order with its outcome and the highest fence seen.
+// serveOrder replies to an order with its outcome and the highest fence seen.
 func (a *Agent) serveOrder(ctx context.Context, order *jayv1.Order, s *transport.Stream) {
 	err := a.orders.submit(ctx, order)
 	if err == nil && a.model != nil {
-		a.model.read(a.ctx) // The state sent back shows what the order changed.
+		a.model.readState(a.ctx) // The state in the reply includes the order's effect.
 	}
 	a.orders.mu.Lock()
 	fence := a.orders.gate.Highest().Fence
--- a/internal/agent/outbox.go
+++ b/internal/agent/outbox.go
@@ -10,13 +10,13 @@
 	"github.com/jayproxy/jayproxy/internal/relay"
 )
 
-// errSlowReader means that the reader did not take the answer in time.
+// errSlowReader means that the replay buffer stayed full for the stall timeout.
 var errSlowReader = errors.New("reader too slow, replay buffer full")
 
-// outbox is one answer on its way out: the replay buffer, guarded for the
-// goroutine that fills it and the one that sends from it. At most one link
-// sends at a time, the latest to attach.
-type outbox struct {
+// responseBuffer is the replay buffer of one response, safe for concurrent use.
+// A link is one stream to an entry on which the response is sent; only the link
+// that attached last sends.
+type responseBuffer struct {
 	mu       sync.Mutex
 	buffer   *relay.Buffer
 	head     *jayv1.ServiceHead
@@ -26,37 +26,39 @@
 	changed  chan struct{}
 }
 
-func newOutbox(maxBytes int) *outbox {
-	return &outbox{buffer: relay.NewBuffer(maxBytes), changed: make(chan struct{})}
+func newResponseBuffer(maxBytes int) *responseBuffer {
+	return &responseBuffer{buffer: relay.NewBuffer(maxBytes), changed: make(chan struct{})}
 }
 
-// notify wakes all who wait for a change. The caller holds the lock.
-func (o *outbox) notify() {
-	close(o.changed)
-	o.changed = make(chan struct{})
+// notify unblocks all goroutines that wait for a change. The caller holds the
+// lock.
+func (r *responseBuffer) notify() {
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-func (o *outbox) setHead(head *jayv1.ServiceHead) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.head = head
-	o.notify()
+func (r *responseBuffer) setHead(head *jayv1.ServiceHead) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.head = head
+	r.notify()
 }
 
-// append adds a chunk. A full buffer holds the caller, and through it the
-// engine, back until the reader goes on; after the stall time the reader
-// counts as gone: memory stays bounded whatever a caller does.
-func (o *outbox) append(ctx context.Context, data []byte, stall time.Duration) error {
+// append adds a chunk. When the buffer is full it blocks, which stops reading
+// from the engine, until the entry acknowledges chunks. It returns errSlowReader
+// after the stall timeout, so that a reader that does not read can't hold memory
+// for longer.
+func (r *responseBuffer) append(ctx context.Context, data []byte, stall time.Duration) error {
 	timer := time.NewTimer(stall)
 	defer timer.Stop()
 	for {
-		o.mu.Lock()
-		err := o.buffer.Append(data)
-		changed := o.changed
+		r.mu.Lock()
+		err := r.buffer.Append(data)
+		changed := r.changed
 		if err == nil {
-			o.notify()
+			r.notify()
 		}
-		o.mu.Unlock()
+		r.mu.Unlock()
 		if err == nil {
 			return nil
 		}
@@ -70,80 +72,82 @@
 	}
 }
 
-// finish sets the last frame; it is sent once all chunks are.
-func (o *outbox) finish(end *jayv1.End) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.end != nil {
+// finish sets the last frame, which is sent after all chunks.
+func (r *responseBuffer) finish(end *jayv1.End) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.end != nil {
 		return
 	}
-	end.Count = o.buffer.Count()
-	o.end = end
-	o.notify()
+	end.Count = r.buffer.Count()
+	r.end = end
+	r.notify()
 }
 
-// attach makes the caller the only sender, from the chunk with the number on.
-func (o *outbox) attach(next uint64) (int, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if err := o.buffer.Resume(next); err != nil {
+// attach registers a new link as the only sender, starting at the chunk with the
+// number next. It fails when that chunk is no longer in the buffer.
+func (r *responseBuffer) attach(next uint64) (int, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err := r.buffer.Resume(next); err != nil {
 		return 0, err
 	}
-	o.link++
-	o.headSent = next > 0
-	o.notify()
-	return o.link, nil
+	r.link++
+	r.headSent = next > 0
+	r.notify()
+	return r.link, nil
 }
 
-// bytes that the kept chunks take.
-func (o *outbox) bytes() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.buffer.Bytes()
+// bytes returns the size of the buffered chunks.
+func (r *responseBuffer) bytes() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.buffer.Bytes()
 }
 
-// holds tells whether the link is still the one that sends.
-func (o *outbox) holds(link int) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.link == link
+// isCurrent reports whether the link is still the one that sends.
+func (r *responseBuffer) isCurrent(link int) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.link == link
 }
 
-func (o *outbox) ack(next uint64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.buffer.Ack(next)
-	o.notify()
+func (r *responseBuffer) ack(next uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.buffer.Ack(next)
+	r.notify()
 }
 
-// outgoing is what a sender has to do next.
+// outgoing is the next step of a sender.
 type outgoing struct {
-	// frame to send; nil: wait for the channel.
+	// frame is the next frame to send; nil when the sender must wait for the
+	// wait channel to be closed.
 	frame *jayv1.ServerFrame
 	wait  <-chan struct{}
-	// last: the frame ends the answer.
+	// last is true when the frame ends the response.
 	last bool
-	// replaced: another link has taken over.
+	// replaced is true when another link has attached since.
 	replaced bool
 }
 
-func (o *outbox) next(link int) outgoing {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if link != o.link {
+func (r *responseBuffer) next(link int) outgoing {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if link != r.link {
 		return outgoing{replaced: true}
 	}
-	if o.head != nil && !o.headSent {
-		o.headSent = true
-		return outgoing{frame: &jayv1.ServerFrame{Frame: &jayv1.ServerFrame_ServiceHead{ServiceHead: o.head}}}
+	if r.head != nil && !r.headSent {
+		r.headSent = true
+		return outgoing{frame: &jayv1.ServerFrame{Frame: &jayv1.ServerFrame_ServiceHead{ServiceHead: r.head}}}
 	}
-	if seq, data, ok := o.buffer.Next(); ok {
-		o.notify()
+	if seq, data, ok := r.buffer.Next(); ok {
+		r.notify()
 		chunk := &jayv1.Chunk{Seq: seq, Data: data}
 		return outgoing{frame: &jayv1.ServerFrame{Frame: &jayv1.ServerFrame_Chunk{Chunk: chunk}}}
 	}
-	if o.end != nil {
-		return outgoing{frame: &jayv1.ServerFrame{Frame: &jayv1.ServerFrame_End{End: o.end}}, last: true}
+	if r.end != nil {
+		return outgoing{frame: &jayv1.ServerFrame{Frame: &jayv1.ServerFrame_End{End: r.end}}, last: true}
 	}
-	return outgoing{wait: o.changed}
+	return outgoing{wait: r.changed}
 }
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -20,14 +20,14 @@
 
 const (
 	serviceDialTimeout = 2 * time.Second
-	// serviceReadSize is how much of an answer becomes one chunk at most.
+	// serviceReadSize is the maximum size of a chunk of the response, in bytes.
 	serviceReadSize = 16 << 10
 	// requestIDHeader carries the request id to the service.
 	requestIDHeader = "X-Request-Id"
 )
 
-// hopHeaders concern one connection and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Host", "Content-Length",
 }
@@ -35,10 +35,10 @@
 // serviceBackend is the plain service beside the agent.
 type serviceBackend struct {
 	base *url.URL
-	// shared keeps connections for calls that may be repeated.
-	shared *http.Transport
-	// once uses a connection for one call only.
-	once *http.Transport
+	// pooled reuses connections, for calls that may be repeated.
+	pooled *http.Transport
+	// singleUse opens a connection for each call.
+	singleUse *http.Transport
 }
 
 func newServiceBackend(baseURL string) (*serviceBackend, error) {
@@ -46,39 +46,39 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "service URL %q", baseURL)
 	}
-	return &serviceBackend{base: base, shared: newTransport(false), once: newTransport(true)}, nil
+	return &serviceBackend{base: base, pooled: newTransport(false), singleUse: newTransport(true)}, nil
 }
 
-// newTransport makes a client transport. The library sends a request again by
-// itself when a kept connection breaks under it, if the method is idempotent
-// or the request carries an Idempotency-Key: a booking with a key would be made
-// twice. With once, each call has a connection of its own, for which the
-// library never does that; HTTP/2, which has retries of its own, is off.
-func newTransport(once bool) *http.Transport {
+// newTransport makes a client transport. net/http resends a request when a
+// reused connection fails, if the method is idempotent or the request has an
+// Idempotency-Key header; a non-repeatable call could then run twice. With
+// singleUse each call has a connection of its own, for which net/http does not
+// resend. HTTP/2 is off because it has retries of its own.
+func newTransport(singleUse bool) *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: serviceDialTimeout}).DialContext,
-		DisableKeepAlives:  once,
+		DisableKeepAlives:  singleUse,
 		DisableCompression: true,
 		Protocols:          protocols,
 	}
 }
 
-// errServiceNotReached means that no connection to the service was made.
+// errServiceNotReached means that the request was not sent to the service.
 var errServiceNotReached = errors.New("service not reached")
 
-// call sends the request once. Redirects are the caller's business.
+// call sends the request once. Redirects are returned, not followed.
 func (b *serviceBackend) call(ctx context.Context, offer *jayv1.Offer, body []byte) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	req, err := b.request(httptrace.WithClientTrace(ctx, trace), offer, body)
+	req, err := b.newRequest(httptrace.WithClientTrace(ctx, trace), offer, body)
 	if err != nil {
 		return nil, eris.Wrapf(errServiceNotReached, "build request: %v", err)
 	}
-	transport := b.shared
+	transport := b.pooled
 	if offer.GetNonRepeatable() {
-		transport = b.once
+		transport = b.singleUse
 	}
 	response, err := transport.RoundTrip(req)
 	if err != nil && !connected.Load() {
@@ -87,7 +87,7 @@
 	return response, eris.Wrap(err, "call service")
 }
 
-func (b *serviceBackend) request(ctx context.Context, offer *jayv1.Offer, body []byte) (*http.Request, error) {
+func (b *serviceBackend) newRequest(ctx context.Context, offer *jayv1.Offer, body []byte) (*http.Request, error) {
 	target, err := url.ParseRequestURI(offer.GetPath())
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// With GetBody set, the library could read the body again and resend it.
+	// With GetBody set, net/http could resend the body.
 	req.GetBody = nil
 	if len(body) == 0 {
 		req.Body = http.NoBody
@@ -109,55 +109,55 @@
 	for _, header := range offer.GetHeaders() {
 		req.Header.Add(header.GetName(), header.GetValue())
 	}
-	dropHopHeaders(req.Header)
+	removeHopByHopHeaders(req.Header)
 	req.Header.Set(requestIDHeader, offer.GetRequestId())
 	return req, nil
 }
 
-func dropHopHeaders(header http.Header) {
+func removeHopByHopHeaders(header http.Header) {
 	for _, line := range header.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
 
-// runService makes a plain service's call and relays its answer.
-func (a *Agent) runService(w *work) {
-	defer a.schedule.done(w.id)
-	w.mu.Lock()
-	body := w.body
-	w.mu.Unlock()
-	response, err := a.service.call(w.ctx, w.offer, body)
+// runService calls the plain service and relays its response.
+func (a *Agent) runService(att *attempt) {
+	defer a.scheduler.done(att.id)
+	att.mu.Lock()
+	body := att.body
+	att.mu.Unlock()
+	response, err := a.service.call(att.ctx, att.offer, body)
 	switch {
 	case errors.Is(err, errServiceNotReached):
-		a.end(w, eventNotReached, &jayv1.End{
+		a.end(att, eventNotReached, &jayv1.End{
 			Refusal:      jayv1.Refusal_REFUSAL_ENGINE_DOWN,
 			Error:        err.Error(),
-			RetryAfterMs: uint32(engineDownRetry.Milliseconds()),
+			RetryAfterMs: uint32(engineRetryAfter.Milliseconds()),
 		})
 		return
 	case err != nil:
-		a.end(w, eventFail, &jayv1.End{Error: err.Error()})
+		a.end(att, eventFail, &jayv1.End{Error: err.Error()})
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	a.schedule.firstToken(w.id)
-	w.box.setHead(serviceHead(response))
-	a.observeFirstToken(w)
-	if err := a.relayBody(w, response.Body); err != nil {
-		a.end(w, eventFail, &jayv1.End{Error: err.Error()})
+	a.scheduler.firstToken(att.id)
+	att.response.setHead(serviceHead(response))
+	a.observeFirstToken(att)
+	if err := a.relayBody(att, response.Body); err != nil {
+		a.end(att, eventFail, &jayv1.End{Error: err.Error()})
 		return
 	}
-	a.schedule.done(w.id)
-	a.end(w, eventFinish, &jayv1.End{})
+	a.scheduler.done(att.id)
+	a.end(att, eventFinish, &jayv1.End{})
 }
 
 func serviceHead(response *http.Response) *jayv1.ServiceHead {
-	dropHopHeaders(response.Header)
+	removeHopByHopHeaders(response.Header)
 	head := &jayv1.ServiceHead{Status: uint32(response.StatusCode)}
 	for name, values := range response.Header {
 		for _, value := range values {
@@ -167,12 +167,12 @@
 	return head
 }
 
-func (a *Agent) relayBody(w *work, body io.Reader) error {
+func (a *Agent) relayBody(att *attempt, body io.Reader) error {
 	for {
 		buffer := make([]byte, serviceReadSize)
 		n, err := body.Read(buffer)
 		if n > 0 {
-			if err := w.box.append(w.ctx, buffer[:n:n], millis(a.settings.Replay.StallMS)); err != nil {
+			if err := att.response.append(att.ctx, buffer[:n:n], millis(a.settings.Replay.StallMS)); err != nil {
 				return err
 			}
 		}
@@ -180,7 +180,7 @@
 			return nil
 		}
 		if err != nil {
-			return eris.Wrap(err, "read the service's answer")
+			return eris.Wrap(err, "read the service's response")
 		}
 	}
 }
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -16,15 +16,14 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// A caller's answer would stop in the middle: the link between entry and agent
-// is cut after two chunks. The engine goes on meanwhile, and a new link takes
-// up the stream at the first chunk that is missing.
-func TestLostLinkResumesAtTheRightChunk(t *testing.T) {
-	b := newBench(t, nil)
+// Guards against a truncated or repeated response after the stream between entry
+// and agent is lost: a new stream resumes at the first missing chunk.
+func TestResumeStartsAtFirstMissingChunk(t *testing.T) {
+	fix := newFixture(t, nil)
 	gate := make(chan struct{}, 10)
-	b.engine.set(func(f *fakeEngine) { f.gate = gate })
+	fix.engine.set(func(f *fakeEngine) { f.gate = gate })
 	offer := modelOffer("r1")
-	s := b.accepted(offer, "{}")
+	s := fix.accepted(offer, "{}")
 	gate <- struct{}{}
 	gate <- struct{}{}
 	assert.Equal(t, "one", string(receive(t, s).GetChunk().GetData()))
@@ -32,21 +31,21 @@
 	s.Abort()
 	close(gate)
 
-	resumed := b.open()
+	resumed := fix.open()
 	send(t, resumed, resumeFrame(offer, 1))
-	got := readAnswer(t, resumed)
+	got := readResponse(t, resumed)
 	assert.Equal(t, []string{"two", "three"}, got.chunks)
 	assert.Equal(t, []uint64{1, 2}, got.seqs)
 	assert.Equal(t, jayv1.Outcome_OUTCOME_DONE, got.end.GetOutcome())
 	assert.EqualValues(t, 3, got.end.GetCount())
 }
 
-// Another tenant would read the answer: someone who knows or guesses a request
-// id asks to resume it.
+// Guards against a workspace that resumes another's response with a known or
+// guessed request id.
 func TestResumeNeedsTheWorkspaceAndTheNonce(t *testing.T) {
-	b := newBench(t, nil)
+	fix := newFixture(t, nil)
 	offer := modelOffer("r1")
-	s := b.accepted(offer, "{}")
+	s := fix.accepted(offer, "{}")
 	receive(t, s)
 	s.Abort()
 	tests := map[string]func(*jayv1.Resume){
@@ -60,9 +59,9 @@
 		t.Run(name, func(t *testing.T) {
 			frame := resumeFrame(offer, 0)
 			change(frame.GetResume())
-			resumed := b.open()
+			resumed := fix.open()
 			send(t, resumed, frame)
-			got := readAnswer(t, resumed)
+			got := readResponse(t, resumed)
 			assert.Empty(t, got.chunks)
 			assert.Equal(t, jayv1.Outcome_OUTCOME_UNKNOWN, got.end.GetOutcome())
 			assert.Equal(t, jayv1.Refusal_REFUSAL_NOT_FOUND, got.end.GetRefusal())
@@ -70,57 +69,56 @@
 	}
 }
 
-// "Not run" must be true: the entry loses its link before it has sent the
-// whole body and reports the request as not run. Nothing may start later.
+// Guards against running a request whose body was not completely received; the
+// entry reports it as not run.
 func TestIncompleteBodyNeverRuns(t *testing.T) {
-	cuts := map[string]func(b *bench, offer *jayv1.Offer){
-		"link cut": func(b *bench, offer *jayv1.Offer) {
-			s, _ := b.offer(offer)
+	interruptions := map[string]func(fix *fixture, offer *jayv1.Offer){
+		"stream aborted": func(fix *fixture, offer *jayv1.Offer) {
+			s, _ := fix.offer(offer)
 			send(t, s, bodyFrame("half", false))
 			s.Abort()
 		},
-		"entry ends its side": func(b *bench, offer *jayv1.Offer) {
-			s, _ := b.offer(offer)
+		"entry closes its side": func(fix *fixture, offer *jayv1.Offer) {
+			s, _ := fix.offer(offer)
 			send(t, s, bodyFrame("half", false))
 			require.NoError(t, s.CloseSend())
-			assert.Equal(t, jayv1.Outcome_OUTCOME_NOT_RUN, readAnswer(t, s).end.GetOutcome())
+			assert.Equal(t, jayv1.Outcome_OUTCOME_NOT_RUN, readResponse(t, s).end.GetOutcome())
 		},
-		"body too slow": func(b *bench, offer *jayv1.Offer) {
-			s, _ := b.offer(offer)
+		"body too slow": func(fix *fixture, offer *jayv1.Offer) {
+			s, _ := fix.offer(offer)
 			require.Error(t, s.Receive(&jayv1.ServerFrame{}))
 		},
 	}
-	for name, cut := range cuts {
+	for name, interrupt := range interruptions {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, func(s *agent.Settings) { s.Queue.BodyMS = 50 })
-			cut(b, modelOffer("r1"))
-			require.Eventually(t, func() bool { return b.probe().GetQueued() == 0 }, 5*time.Second, time.Millisecond)
-			assert.Empty(t, b.engine.requests())
+			fix := newFixture(t, func(s *agent.Settings) { s.Queue.BodyMS = 50 })
+			interrupt(fix, modelOffer("r1"))
+			require.Eventually(t, func() bool { return fix.probe().GetQueued() == 0 }, 5*time.Second, time.Millisecond)
+			assert.Empty(t, fix.engine.requests())
 		})
 	}
 }
 
-// A reader that does not read must not grow the agent's memory, nor hang for
-// ever: the engine is held back, and after the stall time the answer ends in
-// an explicit error.
+// Guards against a reader that does not read: neither memory nor time may grow
+// without bound, and the response must end in an explicit error.
 func TestSlowReaderEndsInAnError(t *testing.T) {
-	b := newBench(t, func(s *agent.Settings) { s.Replay.Bytes, s.Replay.StallMS = 4096, 50 })
+	fix := newFixture(t, func(s *agent.Settings) { s.Replay.Bytes, s.Replay.StallMS = 4096, 50 })
 	const count = 4000
-	b.engine.set(func(f *fakeEngine) {
-		f.script = words(strings.Split(strings.Repeat(strings.Repeat("x", 1000)+" ", count), " ")...)
+	fix.engine.set(func(f *fakeEngine) {
+		f.script = wordEvents(strings.Split(strings.Repeat(strings.Repeat("x", 1000)+" ", count), " ")...)
 	})
-	s := b.accepted(modelOffer("r1"), "{}")
-	require.Eventually(t, func() bool { return len(b.engine.cancels()) == 1 }, 10*time.Second, time.Millisecond)
-	got := readAnswer(t, s)
+	s := fix.accepted(modelOffer("r1"), "{}")
+	require.Eventually(t, func() bool { return len(fix.engine.cancels()) == 1 }, 10*time.Second, time.Millisecond)
+	got := readResponse(t, s)
 	assert.Equal(t, jayv1.Outcome_OUTCOME_UNKNOWN, got.end.GetOutcome())
 	assert.Contains(t, got.end.GetError(), "reader too slow")
 	assert.EqualValues(t, len(got.chunks), got.end.GetCount())
 	assert.Less(t, len(got.chunks), count)
 }
 
-// Late, doubled and crossed answers: an engine mixes up its streams. A caller
-// would see a sentence twice or another caller's text.
-func TestEventsOfOtherStreamsDoNotGetThrough(t *testing.T) {
+// Guards against relaying events that an engine delivered late, twice or to the
+// wrong stream.
+func TestMisdeliveredEngineEventsAreDropped(t *testing.T) {
 	event := func(req engine.Request, index uint64, text string, change func(*engine.Event)) engine.Event {
 		e := engine.Event{RequestID: req.ID, Index: index, Data: []byte(text), Incarnation: 1, VersionDigest: digest}
 		if change != nil {
@@ -134,7 +132,7 @@
 		chunks  []string
 		outcome jayv1.Outcome
 	}{
-		"crossed and doubled": {func(r engine.Request) []engine.Event {
+		"misdelivered and duplicated": {func(r engine.Request) []engine.Event {
 			return []engine.Event{
 				event(r, 0, "a", nil),
 				event(r, 1, "theirs", func(e *engine.Event) { e.RequestID = "other/1" }),
@@ -147,7 +145,7 @@
 		"missing": {func(r engine.Request) []engine.Event {
 			return []engine.Event{event(r, 0, "a", nil), event(r, 2, "c", nil), event(r, 3, "", last)}
 		}, []string{"a"}, jayv1.Outcome_OUTCOME_UNKNOWN},
-		"engine came back": {func(r engine.Request) []engine.Event {
+		"engine restarted": {func(r engine.Request) []engine.Event {
 			return []engine.Event{event(r, 0, "a", nil), event(r, 1, "b", func(e *engine.Event) { e.Incarnation = 2 })}
 		}, []string{"a"}, jayv1.Outcome_OUTCOME_UNKNOWN},
 		"weights changed": {func(r engine.Request) []engine.Event {
@@ -159,9 +157,9 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, nil)
-			b.engine.set(func(f *fakeEngine) { f.script = test.script })
-			got := readAnswer(t, b.accepted(modelOffer("r1"), "{}"))
+			fix := newFixture(t, nil)
+			fix.engine.set(func(f *fakeEngine) { f.script = test.script })
+			got := readResponse(t, fix.accepted(modelOffer("r1"), "{}"))
 			assert.Equal(t, test.chunks, got.chunks)
 			assert.Equal(t, test.outcome, got.end.GetOutcome())
 			assert.EqualValues(t, len(got.chunks), got.end.GetCount())
@@ -169,15 +167,15 @@
 	}
 }
 
-// FuzzClientFrames feeds the agent frames that no entry would send, in any
-// order. Nothing may panic, and the engine sees at most what was accepted.
+// FuzzClientFrames sends the agent valid and invalid frames in any order. Nothing
+// may panic, and nothing may run without a complete offer.
 func FuzzClientFrames(f *testing.F) {
 	f.Add("r1", "w1", "p1", "", []byte("{}"), uint64(3), byte(0x80))
 	f.Add("", "", "", "s", []byte{}, uint64(0), byte(0))
 	f.Add("r1", "w1", "p1", "s", []byte("\xff"), ^uint64(0), byte(0xff))
 	f.Fuzz(func(t *testing.T, id, workspace, pool, service string, body []byte, seq uint64, order byte) {
-		b := newBench(t, nil)
-		s, err := b.entry.Open(t.Context(), b.agent.Address(), keys.RoleAgent)
+		fix := newFixture(t, nil)
+		s, err := fix.entry.Open(t.Context(), fix.agent.Address(), keys.RoleAgent)
 		require.NoError(t, err)
 		offer := modelOffer(strings.ToValidUTF8(id, ""))
 		offer.Workspace = strings.ToValidUTF8(workspace, "")
@@ -203,7 +201,7 @@
 			}
 		}
 		if first != 0 || !last {
-			require.Empty(t, b.engine.requests(), "ran without a complete offer")
+			require.Empty(t, fix.engine.requests(), "ran without a complete offer")
 		}
 	})
 }
--- a/internal/agent/work.go
+++ b/internal/agent/work.go
@@ -11,7 +11,7 @@
 	"github.com/jayproxy/jayproxy/internal/relay"
 )
 
-// Names of the chart backend_request that the code refers to.
+// Names in the state chart backend_request that the code uses.
 const (
 	chartName         = "backend_request"
 	stateReceiving    = "receiving"
@@ -27,83 +27,84 @@
 	eventFail         = "fail"
 )
 
-// work is one accepted attempt, from the offer until nobody can ask for its
-// answer any more. It outlives the stream it came on.
-type work struct {
-	id    string
-	offer *jayv1.Offer
-	claim relay.Claim
-	box   *outbox
-	// ctx ends when the attempt is given up.
+// attempt is one accepted attempt of a request, from the offer until its
+// response is discarded. It may outlive the stream that it was offered on.
+type attempt struct {
+	id       string
+	offer    *jayv1.Offer
+	claim    relay.Claim
+	response *responseBuffer
+	// ctx ends when the attempt ends or is cancelled.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// gone ends when nobody can ask for the answer any more.
-	gone    context.Context
-	release context.CancelFunc
-	// offered is when the offer was accepted here.
+	// discarded ends when the response is discarded.
+	discarded context.Context
+	discard   context.CancelFunc
+	// offered is when the offer was received.
 	offered time.Time
-	// cachedBytes of the chain, knownBytes that were submitted here before, and
-	// missedTokens when the offer came.
-	cachedBytes  int
-	knownBytes   int
-	missedTokens float64
+	// Sizes at the time of the offer: cachedBytes of the prompt were cached,
+	// submittedBytes had been submitted to this engine before, and
+	// uncachedTokens remain to be computed.
+	cachedBytes    int
+	submittedBytes int
+	uncachedTokens float64
 
 	mu        sync.Mutex
 	state     string
 	body      []byte
 	queueWait time.Duration
-	// handed: a goroutine runs the attempt and frees its slot.
-	handed bool
-	// orphan fires when the reader of a lost link has not come back in time.
-	orphan *time.Timer
+	// started is true once a goroutine runs the attempt; it frees the slot.
+	started bool
+	// resumeTimer ends the attempt when a lost link is not resumed in time.
+	resumeTimer *time.Timer
 }
 
-func workID(requestID string, attempt uint32) string {
+func attemptID(requestID string, attempt uint32) string {
 	return fmt.Sprintf("%s/%d", requestID, attempt)
 }
 
-func newWork(parent context.Context, offer *jayv1.Offer, replayBytes int, now time.Time) *work {
+func newAttempt(parent context.Context, offer *jayv1.Offer, replayBytes int, now time.Time) *attempt {
 	ctx, cancel := context.WithCancelCause(parent)
-	gone, release := context.WithCancel(parent)
-	return &work{
-		gone:    gone,
-		release: release,
-		id:      workID(offer.GetRequestId(), offer.GetAttempt()),
-		offer:   offer,
-		claim:   relay.Claim{Workspace: offer.GetWorkspace(), Nonce: offer.GetNonce()},
-		box:     newOutbox(replayBytes),
-		ctx:     ctx,
-		cancel:  cancel,
-		offered: now,
-		state:   charts.Must(chartName).Initial(),
+	discarded, discard := context.WithCancel(parent)
+	return &attempt{
+		discarded: discarded,
+		discard:   discard,
+		id:        attemptID(offer.GetRequestId(), offer.GetAttempt()),
+		offer:     offer,
+		claim:     relay.Claim{Workspace: offer.GetWorkspace(), Nonce: offer.GetNonce()},
+		response:  newResponseBuffer(replayBytes),
+		ctx:       ctx,
+		cancel:    cancel,
+		offered:   now,
+		state:     charts.Must(chartName).Initial(),
 	}
 }
 
-// fire moves the attempt along its chart. It returns the new state, and
-// whether the event changed it; an attempt that is over stays as it is.
-func (w *work) fire(event string) (string, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// fire applies an event of the chart. It returns the new state and whether the
+// event changed it. Events after a final state are ignored.
+func (att *attempt) fire(event string) (string, bool) {
+	att.mu.Lock()
+	defer att.mu.Unlock()
 	chart := charts.Must(chartName)
-	if chart.Final(w.state) {
-		return w.state, false
+	if chart.Final(att.state) {
+		return att.state, false
 	}
-	next, err := chart.Next(w.state, event)
-	if err != nil || next == w.state {
-		return w.state, false
+	next, err := chart.Next(att.state, event)
+	if err != nil || next == att.state {
+		return att.state, false
 	}
-	w.state = next
-	w.handed = w.handed || event == eventStart
+	att.state = next
+	att.started = att.started || event == eventStart
 	return next, true
 }
 
-func (w *work) current() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.state
+func (att *attempt) currentState() string {
+	att.mu.Lock()
+	defer att.mu.Unlock()
+	return att.state
 }
 
-// outcomeOf translates a final state of the chart to the wire.
+// outcomeOf returns the wire outcome of a final state of the chart.
 func outcomeOf(state string) jayv1.Outcome {
 	switch state {
 	case stateDone:
@@ -114,12 +115,12 @@
 	return jayv1.Outcome_OUTCOME_UNKNOWN
 }
 
-// setOrphan starts or stops the wait for a reader that lost its link.
-func (w *work) setOrphan(timer *time.Timer) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.orphan != nil {
-		w.orphan.Stop()
+// setResumeTimer replaces the timer for a lost link; nil only stops it.
+func (att *attempt) setResumeTimer(timer *time.Timer) {
+	att.mu.Lock()
+	defer att.mu.Unlock()
+	if att.resumeTimer != nil {
+		att.resumeTimer.Stop()
 	}
-	w.orphan = timer
+	att.resumeTimer = timer
 }
--- a/internal/engine/dialect/events.go
+++ b/internal/engine/dialect/events.go
@@ -10,24 +10,24 @@
 	"github.com/jayproxy/jayproxy/internal/engine"
 )
 
-// maxEventBatch bounds the events that one call of Next returns.
+// maxEventBatch bounds the number of events that one call of Next returns.
 const maxEventBatch = 256
 
-// eventReader reads cache events from a response that does not end by itself.
+// eventReader reads cache events from a streamed response.
 type eventReader struct {
 	body io.ReadCloser
 	read func() (engine.CacheEvent, error)
-	// buffered is the number of bytes that can be read without waiting.
+	// buffered returns the number of bytes that can be read without blocking.
 	buffered func() int
-	// failed is an error that came behind events already returned.
-	failed error
+	// pendingErr is the error that followed events already returned.
+	pendingErr error
 }
 
-// Next implements engine.EventReader: it waits for one event and adds those
-// that have arrived with it.
+// Next implements engine.EventReader. It waits for one event and returns it with
+// those already buffered.
 func (r *eventReader) Next(ctx context.Context) ([]engine.CacheEvent, error) {
-	if r.failed != nil {
-		return nil, r.failed
+	if r.pendingErr != nil {
+		return nil, r.pendingErr
 	}
 	stop := context.AfterFunc(ctx, func() { _ = r.body.Close() })
 	defer stop()
@@ -35,7 +35,7 @@
 	for len(events) < maxEventBatch {
 		event, err := r.read()
 		if err != nil {
-			r.failed = eventError(ctx, err)
+			r.pendingErr = eventError(ctx, err)
 			break
 		}
 		events = append(events, event)
@@ -46,7 +46,7 @@
 	if len(events) > 0 {
 		return events, nil
 	}
-	return nil, r.failed
+	return nil, r.pendingErr
 }
 
 func eventError(ctx context.Context, err error) error {
@@ -56,7 +56,7 @@
 	case errors.Is(err, engine.ErrGap), errors.Is(err, ErrMalformed):
 		return err
 	default:
-		return eris.Wrapf(engine.ErrBroken, "cache events: %v", err)
+		return eris.Wrapf(engine.ErrInterrupted, "cache events: %v", err)
 	}
 }
 
--- a/internal/engine/dialect/merle.go
+++ b/internal/engine/dialect/merle.go
@@ -20,8 +20,9 @@
 	"github.com/jayproxy/jayproxy/internal/engine/blockhash"
 )
 
-// merle speaks JSON throughout. Its fields stand in the member "merle" of a
-// request's body; the id line of an event tells its place.
+// merle is the client of Merle's engines. All its messages are JSON. Merle's own
+// fields are in the member "merle" of a request body; the id of a server-sent
+// event holds the fields that parseMerleID reads.
 type merle struct{ *client }
 
 type merleFields struct {
@@ -90,7 +91,7 @@
 
 // State implements engine.Engine.
 func (m *merle) State(ctx context.Context) (engine.State, error) {
-	body, err := m.read(ctx, call{method: http.MethodGet, path: "/state"}, maxAnswer)
+	body, err := m.read(ctx, call{method: http.MethodGet, path: "/state"}, maxResponse)
 	if err != nil {
 		return engine.State{}, err
 	}
@@ -134,24 +135,25 @@
 		return &stream{body: response.Body, events: newSSEReader(response.Body), decode: decodeMerleChunk}, nil
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
-		return nil, eris.Wrapf(engine.ErrBroken, "answer: %v", err)
+		return nil, eris.Wrapf(engine.ErrInterrupted, "read response: %v", err)
 	}
-	event, err := decodeMerleWhole(response.Header.Get("X-Merle-Id"), answer)
+	event, err := decodeMerleResponse(response.Header.Get("X-Merle-Id"), data)
 	if err != nil {
-		return nil, errors.Join(engine.ErrBroken, err)
+		return nil, errors.Join(engine.ErrInterrupted, err)
 	}
-	return &wholeStream{event: event}, nil
+	return &completeStream{event: event}, nil
 }
 
-// withMerleFields appends the vendor's member to a JSON object. It stands last
-// and holds every field: where a caller smuggled in a member of that name to
-// reach another workspace's cache, the engine's decoder takes the last one.
+// withMerleFields appends the member "merle" to a JSON object. It is the last
+// member and sets every field, because the engine's decoder uses the last of
+// several members with a name: a caller can't inject a member of that name to
+// read another workspace's cache.
 func withMerleFields(request engine.Request) ([]byte, error) {
 	body := bytes.TrimSpace(request.Body)
 	if len(body) < 2 || body[0] != '{' || body[len(body)-1] != '}' {
-		return nil, eris.Wrap(engine.ErrRefused, "the body is no JSON object")
+		return nil, eris.Wrap(engine.ErrRefused, "request body is not a JSON object")
 	}
 	fields, err := json.Marshal(merleFields{
 		RequestID: request.ID,
@@ -161,7 +163,7 @@
 		Adapter:   request.Adapter,
 	})
 	if err != nil {
-		return nil, eris.Wrap(err, "engine fields")
+		return nil, eris.Wrap(err, "encode merle fields")
 	}
 	inside := bytes.TrimSpace(body[1 : len(body)-1])
 	joined := make([]byte, 0, len(body)+len(fields)+16)
@@ -196,21 +198,22 @@
 	return event, true, err
 }
 
-func decodeMerleWhole(id string, answer []byte) (engine.Event, error) {
+func decodeMerleResponse(id string, data []byte) (engine.Event, error) {
 	event, err := parseMerleID(id)
 	if err != nil {
 		return event, err
 	}
-	event.Data, event.Last, event.Index = answer, true, 0
-	event.Usage, err = decodeUsage(answer)
+	event.Data, event.Last, event.Index = data, true, 0
+	event.Usage, err = decodeUsage(data)
 	return event, err
 }
 
-// parseMerleID reads boot:index:digest:request.
+// parseMerleID parses an event id of the form boot:index:digest:request, in which
+// digest and request are query-escaped.
 func parseMerleID(id string) (engine.Event, error) {
 	fields := strings.Split(id, ":")
 	if len(fields) != 4 {
-		return engine.Event{}, eris.Wrap(ErrMalformed, "event id")
+		return engine.Event{}, eris.Wrap(ErrMalformed, "event id does not have four fields")
 	}
 	boot, err := strconv.ParseUint(fields[0], 10, 64)
 	if err != nil {
@@ -253,7 +256,7 @@
 	if err != nil {
 		return eris.Wrap(err, path)
 	}
-	_, err = m.read(ctx, call{method: http.MethodPost, path: path, body: body, header: jsonHeader()}, maxAnswer)
+	_, err = m.read(ctx, call{method: http.MethodPost, path: path, body: body, header: jsonHeader()}, maxResponse)
 	return err
 }
 
@@ -262,9 +265,9 @@
 	path := "/events?after=" + strconv.FormatUint(after, 10)
 	body, err := m.open(ctx, call{method: http.MethodGet, path: path})
 	if err != nil {
-		return nil, translate(err, http.StatusGone, engine.ErrGap)
+		return nil, mapStatus(err, http.StatusGone, engine.ErrGap)
 	}
-	lines := bufio.NewReaderSize(body, readBuffer)
+	lines := bufio.NewReaderSize(body, readBufferSize)
 	return &eventReader{body: body, read: func() (engine.CacheEvent, error) {
 		line, err := readLine(lines)
 		if err != nil {
@@ -315,7 +318,7 @@
 
 // Snapshot implements engine.Engine.
 func (m *merle) Snapshot(ctx context.Context) (engine.CacheSnapshot, error) {
-	body, err := m.read(ctx, call{method: http.MethodGet, path: "/cache"}, maxAnswer)
+	body, err := m.read(ctx, call{method: http.MethodGet, path: "/cache"}, maxResponse)
 	if err != nil {
 		return engine.CacheSnapshot{}, err
 	}
@@ -347,7 +350,7 @@
 		Adapter: order.Adapter,
 		Role:    order.Role,
 	})
-	return translate(err, http.StatusConflict, engine.ErrStaleFence)
+	return mapStatus(err, http.StatusConflict, engine.ErrStaleFence)
 }
 
 // ExportKV implements engine.Engine.
@@ -358,13 +361,13 @@
 	}
 	body, err := json.Marshal(merleBlocks{Blocks: texts})
 	if err != nil {
-		return nil, eris.Wrap(err, "export")
+		return nil, eris.Wrap(err, "encode blocks to export")
 	}
 	return m.read(ctx, call{method: http.MethodPost, path: "/kv/export", body: body, header: jsonHeader()}, maxKV)
 }
 
 // ImportKV implements engine.Engine.
 func (m *merle) ImportKV(ctx context.Context, kv []byte) error {
-	_, err := m.read(ctx, call{method: http.MethodPost, path: "/kv/import", body: kv}, maxAnswer)
+	_, err := m.read(ctx, call{method: http.MethodPost, path: "/kv/import", body: kv}, maxResponse)
 	return err
 }
--- a/internal/engine/dialect/pica.go
+++ b/internal/engine/dialect/pica.go
@@ -20,21 +20,25 @@
 	"github.com/jayproxy/jayproxy/internal/engine/blockhash"
 )
 
-// pica takes its fields in headers, wraps each chunk into an envelope, reports
-// its state as lines of text and its cache events in binary frames.
+// pica is the client of Pica's engines, which read their own fields from headers,
+// wrap each chunk in an envelope, report their state as lines of text and send
+// cache events as binary frames.
 type pica struct{ *client }
 
-// picaLeastUrgent is the highest value of the urgency header; 0 is the most urgent.
-const picaLeastUrgent = 9
+// picaLowestPriority is the value of the X-Pica-Urgency header for the lowest
+// priority; 0 is the highest.
+const picaLowestPriority = 9
 
 // maxPriority is the highest engine.Request.Priority.
 const maxPriority = 100
 
-// Layout of an event frame: length of the rest, boot, sequence number,
-// operation, age in milliseconds, block hashes; little endian.
+// Layout of an event frame, little endian: length of the rest (4 bytes),
+// incarnation (8), sequence number (8), operation (1), age in milliseconds (4),
+// block hashes (8 each). picaFrameHeader is the size between the length and the
+// block hashes.
 const (
-	picaFrameHead = 8 + 8 + 1 + 4
-	maxPicaFrame  = 16 << 20
+	picaFrameHeader = 8 + 8 + 1 + 4
+	maxPicaFrame    = 16 << 20
 )
 
 // Operations in event frames.
@@ -60,9 +64,9 @@
 	Output int `json:"o"`
 }
 
-// State implements engine.Engine. Pica does not tell how old its report is.
+// State implements engine.Engine. Pica does not report Lag.
 func (p *pica) State(ctx context.Context) (engine.State, error) {
-	body, err := p.read(ctx, call{method: http.MethodGet, path: "/stats"}, maxAnswer)
+	body, err := p.read(ctx, call{method: http.MethodGet, path: "/stats"}, maxResponse)
 	if err != nil {
 		return engine.State{}, err
 	}
@@ -76,7 +80,7 @@
 	header.Set("X-Pica-Salt", request.Salt)
 	header.Set("X-Pica-Weights", request.VersionDigest)
 	header.Set("X-Pica-Lora", request.Adapter)
-	header.Set("X-Pica-Urgency", strconv.Itoa(picaUrgency(request.Priority)))
+	header.Set("X-Pica-Urgency", strconv.Itoa(picaPriority(request.Priority)))
 	response, err := p.send(ctx, call{method: http.MethodPost, path: request.Path, body: request.Body, header: header})
 	if err != nil {
 		return nil, err
@@ -85,24 +89,24 @@
 		return &stream{body: response.Body, events: newSSEReader(response.Body), decode: decodePicaChunk}, nil
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
-		return nil, eris.Wrapf(engine.ErrBroken, "answer: %v", err)
+		return nil, eris.Wrapf(engine.ErrInterrupted, "read response: %v", err)
 	}
-	event, err := decodePicaEnvelope(answer)
+	event, err := decodePicaEnvelope(data)
 	if err == nil && !event.Last {
-		err = eris.Wrap(ErrMalformed, "answer without its end")
+		err = eris.Wrap(ErrMalformed, "response without usage")
 	}
 	if err != nil {
-		return nil, errors.Join(engine.ErrBroken, err)
+		return nil, errors.Join(engine.ErrInterrupted, err)
 	}
 	event.Index = 0
-	return &wholeStream{event: event}, nil
+	return &completeStream{event: event}, nil
 }
 
-func picaUrgency(priority int) int {
+func picaPriority(priority int) int {
 	priority = min(max(priority, 0), maxPriority)
-	return picaLeastUrgent - priority*picaLeastUrgent/maxPriority
+	return picaLowestPriority - priority*picaLowestPriority/maxPriority
 }
 
 func decodePicaChunk(wire sseEvent) (engine.Event, bool, error) {
@@ -138,7 +142,7 @@
 
 // Cancel implements engine.Engine.
 func (p *pica) Cancel(ctx context.Context, requestID string) error {
-	_, err := p.read(ctx, call{method: http.MethodDelete, path: "/requests/" + url.PathEscape(requestID)}, maxAnswer)
+	_, err := p.read(ctx, call{method: http.MethodDelete, path: "/requests/" + url.PathEscape(requestID)}, maxResponse)
 	return err
 }
 
@@ -147,9 +151,9 @@
 	path := "/kv/stream?from=" + strconv.FormatUint(after, 10)
 	body, err := p.open(ctx, call{method: http.MethodGet, path: path})
 	if err != nil {
-		return nil, translate(err, http.StatusRequestedRangeNotSatisfiable, engine.ErrGap)
+		return nil, mapStatus(err, http.StatusRequestedRangeNotSatisfiable, engine.ErrGap)
 	}
-	frames := bufio.NewReaderSize(body, readBuffer)
+	frames := bufio.NewReaderSize(body, readBufferSize)
 	return &eventReader{body: body, read: func() (engine.CacheEvent, error) {
 		return readPicaFrame(frames)
 	}, buffered: frames.Buffered}, nil
@@ -161,10 +165,11 @@
 		return engine.CacheEvent{}, err
 	}
 	length := binary.LittleEndian.Uint32(size[:])
-	if length < picaFrameHead || length > maxPicaFrame || (length-picaFrameHead)%8 != 0 {
+	if length < picaFrameHeader || length > maxPicaFrame || (length-picaFrameHeader)%8 != 0 {
 		return engine.CacheEvent{}, eris.Wrapf(ErrMalformed, "event frame of %d bytes", length)
 	}
-	// Copied as it arrives, so that a lying length can't claim the memory.
+	// The buffer grows as data arrives, so that a false length does not allocate
+	// memory.
 	var frame bytes.Buffer
 	if _, err := io.CopyN(&frame, r, int64(length)); err != nil {
 		return engine.CacheEvent{}, io.ErrUnexpectedEOF
@@ -190,7 +195,7 @@
 	default:
 		return event, eris.Wrapf(ErrMalformed, "event operation %d", b[16])
 	}
-	rest := b[picaFrameHead:]
+	rest := b[picaFrameHeader:]
 	event.Blocks = make([]engine.BlockHash, 0, len(rest)/8)
 	for ; len(rest) >= 8; rest = rest[8:] {
 		event.Blocks = append(event.Blocks, engine.BlockHash(binary.LittleEndian.Uint64(rest)))
@@ -198,7 +203,7 @@
 	return event, nil
 }
 
-// Snapshot implements engine.Engine: pica has no such call.
+// Snapshot implements engine.Engine. Pica has no such call.
 func (p *pica) Snapshot(context.Context) (engine.CacheSnapshot, error) {
 	return engine.CacheSnapshot{}, engine.ErrUnsupported
 }
@@ -227,8 +232,8 @@
 		return eris.Wrapf(engine.ErrUnsupported, "order %v", order.Kind)
 	}
 	header := http.Header{"X-Pica-Epoch": {strconv.FormatUint(order.Fence, 10)}}
-	_, err := p.read(ctx, call{method: method, path: path, header: header}, maxAnswer)
-	return translate(err, http.StatusPreconditionFailed, engine.ErrStaleFence)
+	_, err := p.read(ctx, call{method: method, path: path, header: header}, maxResponse)
+	return mapStatus(err, http.StatusPreconditionFailed, engine.ErrStaleFence)
 }
 
 // ExportKV implements engine.Engine.
@@ -242,6 +247,6 @@
 
 // ImportKV implements engine.Engine.
 func (p *pica) ImportKV(ctx context.Context, kv []byte) error {
-	_, err := p.read(ctx, call{method: http.MethodPut, path: "/kv", body: kv}, maxAnswer)
+	_, err := p.read(ctx, call{method: http.MethodPut, path: "/kv", body: kv}, maxResponse)
 	return err
 }
--- a/internal/engine/dialect/picastate.go
+++ b/internal/engine/dialect/picastate.go
@@ -18,8 +18,8 @@
 	value string
 }
 
-// decodePicaState reads a report; unknown names are passed over, so that a
-// newer engine stays readable.
+// decodePicaState decodes a state report. Unknown names are skipped, so that
+// reports of newer engines can be decoded.
 func decodePicaState(body []byte) (engine.State, error) {
 	var state engine.State
 	ratio, seen := 0.0, false
@@ -33,18 +33,18 @@
 			return state, err
 		}
 		seen = seen || parsed.name == "pica_boot"
-		if err := apply(&state, &ratio, parsed); err != nil {
+		if err := applyPicaLine(&state, &ratio, parsed); err != nil {
 			return state, err
 		}
 	}
 	if !seen {
-		return state, eris.Wrap(ErrMalformed, "report without a boot number")
+		return state, eris.Wrap(ErrMalformed, "state report without pica_boot")
 	}
 	state.CachedBlocks = int(math.Round(ratio * float64(state.CapacityBlocks)))
 	return state, nil
 }
 
-func apply(state *engine.State, ratio *float64, line picaLine) error {
+func applyPicaLine(state *engine.State, ratio *float64, line picaLine) error {
 	var err error
 	switch line.name {
 	case "pica_boot":
@@ -60,7 +60,7 @@
 	case "pica_kv_usage_ratio":
 		*ratio, err = strconv.ParseFloat(line.value, 64)
 		if err == nil && !(*ratio >= 0 && *ratio <= 1) {
-			err = eris.New("ratio outside 0 to 1")
+			err = eris.New("ratio is not between 0 and 1")
 		}
 	case "pica_kv_blocks":
 		state.CapacityBlocks, err = parseCount(line.value)
@@ -85,11 +85,11 @@
 }
 
 func parsePicaLine(text string) (picaLine, error) {
-	cut := strings.LastIndexByte(text, ' ')
-	if cut < 0 {
+	separator := strings.LastIndexByte(text, ' ')
+	if separator < 0 {
 		return picaLine{}, eris.Wrapf(ErrMalformed, "report line %q", text)
 	}
-	line := picaLine{name: strings.TrimSpace(text[:cut]), value: text[cut+1:]}
+	line := picaLine{name: strings.TrimSpace(text[:separator]), value: text[separator+1:]}
 	name, labels, labelled := strings.Cut(line.name, "{")
 	if !labelled {
 		return line, nil
