--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -55,7 +55,7 @@
 	work  *work
 	to    answer
 	table *catalog.Table
-	tries []routing.Tried
+	tries []routing.RefusedOffer
 	last  result
 	// maybeRan: an attempt ended unknown, so the request can't be called not run.
 	maybeRan bool
@@ -74,7 +74,7 @@
 		d.Final = d.Final || h.maxAttempts() == 1 || h.declines() >= h.entry.settings.Attempts.MaxDeclines
 		a, ok := h.newAttempt(uint32(n), d) //nolint:gosec // bounded by the setting
 		if !ok {
-			h.tries = append(h.tries, routing.Tried{Server: d.Server, Refusal: jayv1.Refusal_REFUSAL_NOT_FOUND})
+			h.tries = append(h.tries, routing.RefusedOffer{Server: d.Server, Refusal: jayv1.Refusal_REFUSAL_NOT_FOUND})
 			continue
 		}
 		h.entry.explain.decided(h.work.id, d)
@@ -131,7 +131,7 @@
 // learn keeps what the attempt showed of the backend server.
 func (h *handing) learn(a *attempt) {
 	h.entry.picker.ended(time.Now(), h.work, a)
-	t := routing.Tried{Server: a.server, Refusal: refusalOf(a), CostMS: a.reply.GetCostMs(), CachedBytes: int(a.reply.GetCachedBytes())}
+	t := routing.RefusedOffer{Server: a.server, Refusal: refusalOf(a), CostMS: a.reply.GetCostMs(), CachedBytes: int(a.reply.GetCachedBytes())}
 	h.tries = append(h.tries, t)
 	h.entry.explain.attempt(a, t.Refusal)
 	h.last.attempts, h.last.server = a.number, a.server
--- a/internal/entry/picker.go
+++ b/internal/entry/picker.go
@@ -38,7 +38,7 @@
 }
 
 // next chooses where the work is offered.
-func (p *picker) next(now time.Time, table *catalog.Table, w *work, tries []routing.Tried) (routing.Decision, error) {
+func (p *picker) next(now time.Time, table *catalog.Table, w *work, tries []routing.RefusedOffer) (routing.Decision, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.adopt(now, table)
@@ -92,10 +92,10 @@
 	defer p.mu.Unlock()
 	p.heard(now, server, reply.GetState())
 	if reply.GetAccepted() || reply.GetRefusal() == jayv1.Refusal_REFUSAL_COST {
-		p.router.Saw(now, server, w.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
+		p.router.ObserveCache(now, server, w.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
 	}
 	if reply.GetAccepted() {
-		p.router.HandedOver(now, server, w.route, reply.GetCostMs())
+		p.router.HandedOff(now, server, w.route, reply.GetCostMs())
 	}
 }
 
@@ -103,7 +103,7 @@
 	if state == nil {
 		return
 	}
-	p.router.Learn(now, server, state)
+	p.router.UpdateState(now, server, state)
 	p.members.Heard(now, server, state)
 }
 
@@ -168,7 +168,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.heard(now, server, reply.GetState())
-	p.router.Saw(now, server, w.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
+	p.router.ObserveCache(now, server, w.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
 }
 
 // vms takes an answer of the platform's list.
--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -17,10 +17,10 @@
 // gets their answers; those that do not come in time are left out.
 func (h *handing) decide(ctx context.Context) (routing.Decision, error) {
 	d, err := h.entry.picker.next(time.Now(), h.table, h.work, h.tries)
-	if err != nil || len(d.Ask) == 0 {
+	if err != nil || len(d.ProbeServers) == 0 {
 		return d, err
 	}
-	h.work.route.Probes = h.probe(ctx, d.Ask)
+	h.work.route.Probes = h.probe(ctx, d.ProbeServers)
 	d, err = h.entry.picker.next(time.Now(), h.table, h.work, h.tries)
 	h.work.route.Probes = nil
 	return d, err
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -188,8 +188,8 @@
 		return j.place(false)
 	}
 	choice, err := j.placeShared(j.stream.delivered == 0)
-	if errors.Is(err, routing.ErrNoRoom) {
-		return j.await(routing.ReadingTime(j.head.InputTokens))
+	if errors.Is(err, routing.ErrNoFreeMemory) {
+		return j.await(routing.PrefillTime(j.head.InputTokens))
 	}
 	return choice, err
 }
@@ -214,7 +214,7 @@
 
 // routed is the request as the router sees it; the state is locked.
 func (j *job) routed(s *state) routing.DirectRequest {
-	request := routing.DirectRequest{ID: j.head.ID, Apart: j.apart}
+	request := routing.DirectRequest{ID: j.head.ID, SuspectKey: j.apart}
 	if j.modelName() == "" {
 		return request
 	}
@@ -222,7 +222,7 @@
 	request.Prefix, request.Stores = j.head.Shared(), s.storesLocked(j.table, j.service.Engine)
 	request.MemoryShare = routing.MemoryShare(j.table.RankOf(j.route))
 	if j.workspace != nil && j.workspace.Isolated {
-		request.Wall = j.workspace.Name
+		request.IsolatedWorkspace = j.workspace.Name
 	}
 	return request
 }
@@ -278,7 +278,7 @@
 	j.message.Header = g.ports.Dialect.Forward(j.caller.Header, directions)
 	j.sentAt, j.firstEventAt = time.Now(), time.Time{}
 	klog.InfoS("Placed", "request", j.head.ID, "server", server.ID, "send", j.sends, "owner", j.ownerName(), "expectedMS", int(choice.ExpectedMS),
-		"queueMS", int(choice.Terms.QueueMS), "readMS", int(choice.Terms.ReadMS), "rereadMS", int(choice.Terms.RereadMS), "memoryMS", int(choice.Terms.MemoryMS),
+		"queueMS", int(choice.Terms.QueueMS), "readMS", int(choice.Terms.PrefillMS), "rereadMS", int(choice.Terms.RecomputeMS), "memoryMS", int(choice.Terms.MemoryMS),
 		"version", server.Version, "versionAgeMS", server.VersionAge.Milliseconds(), "prefix", strconv.FormatUint(uint64(choice.Prefix), 36), "source", choice.Source.String(), "fetch", choice.FetchFrom, "save", choice.SaveTo, "priority", directions.Priority, "tokens", j.head.InputTokens, "output", j.head.OutputTokens, "candidates", choice.Candidates)
 	response, err := g.pool.Send(j.ctx, server.Address, &j.message, j.freshness(), j.belongs)
 	if err != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -195,7 +195,7 @@
 	defer s.mu.Unlock()
 	g.metrics.Gauge("backend_servers", "listed", int64(s.list.Len()))
 	g.metrics.Gauge("backend_servers", "switching", int64(len(s.switches)))
-	g.metrics.Gauge("prefix_survival_ms", "estimate", s.router.Survival().Milliseconds())
+	g.metrics.Gauge("prefix_survival_ms", "estimate", s.router.Retention().Milliseconds())
 	for service, budget := range s.budgets {
 		g.metrics.Gauge("retry_budget", service, int64(budget.Left(now)))
 	}
--- a/internal/gateway/hints.go
+++ b/internal/gateway/hints.go
@@ -99,14 +99,14 @@
 func (h *hints) message(loadsDue, memoryDue bool) *jayv1.Hints {
 	s := h.gateway.state
 	s.mu.Lock()
-	news, placed, saved := s.router.News(), s.router.Placed(), s.router.Saved()
+	news, placed, saved := s.router.TakePrefixHints(), s.router.TakePlacedHints(), s.router.TakeSavedParts()
 	var loads []routing.LoadHint
 	if loadsDue {
-		loads = s.router.Loads()
+		loads = s.router.LoadHints()
 	}
 	var memory []routing.MemoryHint
 	if memoryDue {
-		memory = s.router.Memory()
+		memory = s.router.MemoryHints()
 	}
 	s.mu.Unlock()
 	h.mu.Lock()
@@ -127,7 +127,7 @@
 	message.Saved = append(message.Saved, saved...)
 	for _, l := range loads {
 		message.LoadServer = append(message.LoadServer, nameHash(l.Server))
-		message.LoadMs = append(message.LoadMs, uint32(l.ReadMS))
+		message.LoadMs = append(message.LoadMs, uint32(l.PrefillMS))
 	}
 	message.HasMemory = len(memory) > 0
 	for _, m := range memory {
@@ -137,7 +137,7 @@
 	for _, one := range placed {
 		message.PlacedServer = append(message.PlacedServer, nameHash(one.Server))
 		message.PlacedKilotokens = append(message.PlacedKilotokens, kilotokens(one.Tokens))
-		message.PlacedReadMs = append(message.PlacedReadMs, uint32(one.ReadMS))
+		message.PlacedReadMs = append(message.PlacedReadMs, uint32(one.PrefillMS))
 	}
 	return message
 }
@@ -210,22 +210,22 @@
 			prefixes = append(prefixes, routing.PrefixHint{Prefix: key, Server: b.ID, Address: b.Address, ReadyIn: time.Duration(ready[i]) * time.Millisecond})
 		}
 	}
-	s.router.Hear(now, prefixes)
-	s.router.HearSaved(now, message.GetSaved())
+	s.router.ReceivePrefixHints(now, prefixes)
+	s.router.ReceiveSavedParts(now, message.GetSaved())
 	if message.GetHasMemory() {
-		s.router.HearMemory(now, message.GetEntry(), memoryOf(message, byHash))
+		s.router.ReceiveMemoryHints(now, message.GetEntry(), memoryOf(message, byHash))
 	}
-	s.router.HearPlaced(now, message.GetEntry(), placedOf(message, byHash))
+	s.router.ReceivePlacedHints(now, message.GetEntry(), placedOf(message, byHash))
 	if len(message.GetLoadServer()) == 0 {
 		return
 	}
 	var loads []routing.LoadHint
 	for i, hash := range message.GetLoadServer() {
 		if b := byHash[hash]; b != nil {
-			loads = append(loads, routing.LoadHint{Server: b.ID, ReadMS: float64(message.GetLoadMs()[i])})
+			loads = append(loads, routing.LoadHint{Server: b.ID, PrefillMS: float64(message.GetLoadMs()[i])})
 		}
 	}
-	s.router.HearLoads(now, message.GetEntry(), loads)
+	s.router.ReceiveLoadHints(now, message.GetEntry(), loads)
 }
 
 // sameLengths tells whether the lists that belong together are of one length.
@@ -250,7 +250,7 @@
 	for i, hash := range message.GetPlacedServer() {
 		if b := byHash[hash]; b != nil {
 			hints = append(hints, routing.PlacedHint{
-				Server: b.ID, Tokens: int(message.GetPlacedKilotokens()[i]) * kilo, ReadMS: float64(message.GetPlacedReadMs()[i]),
+				Server: b.ID, Tokens: int(message.GetPlacedKilotokens()[i]) * kilo, PrefillMS: float64(message.GetPlacedReadMs()[i]),
 			})
 		}
 	}
--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -82,7 +82,7 @@
 		s.suspects.crashed(now, b.ID)
 	}
 	for _, router := range s.routers() {
-		router.Left(b.ID)
+		router.RemoveServer(b.ID)
 	}
 	s.members.Forget(b.ID)
 	delete(s.switches, b.ID)
--- a/internal/gateway/owning.go
+++ b/internal/gateway/owning.go
@@ -78,11 +78,11 @@
 	servers := s.candidatesAtLocked(now, service, ask.GetModel(), division.Owned(s.settings.Node))
 	request := s.requestOfLocked(now, table, service, ask)
 	if held := ask.GetHeld(); held != nil {
-		s.own.HearHolder(now, &request, s.holdingLocked(service.Name, held))
+		s.own.ReceiveHolder(now, &request, s.holdingLocked(service.Name, held))
 	}
 	choice, err := s.own.Choose(now, &request, servers, s.namesOfLocked(ask.GetTried()))
 	switch {
-	case errors.Is(err, routing.ErrNoRoom):
+	case errors.Is(err, routing.ErrNoFreeMemory):
 		none.Outcome = jayv1.PlacementOffer_OUTCOME_NO_ROOM
 		return none
 	case err != nil:
@@ -96,12 +96,12 @@
 func (s *state) requestOfLocked(now time.Time, table *routetable.Table, service *routetable.Service, ask *jayv1.PlacementAsk) routing.DirectRequest {
 	request := routing.DirectRequest{
 		ID: requestName(ask.GetKey()), DataCentre: ask.GetDataCentre(), MayWait: ask.GetMayWait(),
-		Until: now.Add(time.Duration(ask.GetLeftMs()) * time.Millisecond),
+		ExpiresAt: now.Add(time.Duration(ask.GetLeftMs()) * time.Millisecond),
 	}
 	if ask.GetModel() == "" {
 		return request
 	}
-	request.Wall = ask.GetWall()
+	request.IsolatedWorkspace = ask.GetWall()
 	request.Tokens, request.OutputTokens = int(ask.GetTokens()), int(ask.GetOutputTokens())
 	request.MemoryShare = float64(ask.GetMemoryPercent()) / percent
 	for i, id := range ask.GetPart() {
@@ -114,8 +114,8 @@
 }
 
 // holdingLocked names the server of a word on a prefix's holder.
-func (s *state) holdingLocked(service string, held *jayv1.Held) routing.Holding {
-	holding := routing.Holding{
+func (s *state) holdingLocked(service string, held *jayv1.Held) routing.PrefixHolder {
+	holding := routing.PrefixHolder{
 		Server: held.GetAddress(), Address: held.GetAddress(), Version: held.GetVersion(),
 		ReadyIn: time.Duration(held.GetReadyMs()) * time.Millisecond,
 	}
@@ -157,7 +157,7 @@
 		Server: nameHash(choice.Server.ID), Version: choice.Server.Version,
 		FetchFrom: choice.FetchFrom, SaveTo: choice.SaveTo, Source: uint32(choice.Source), //nolint:gosec // few
 		QueueMs: wholeMS(choice.Terms.QueueMS), MemoryMs: wholeMS(choice.Terms.MemoryMS),
-		ReadMs: wholeMS(choice.Terms.ReadMS), TotalMs: wholeMS(choice.Terms.Total()),
+		ReadMs: wholeMS(choice.Terms.PrefillMS), TotalMs: wholeMS(choice.Terms.Total()),
 	}
 }
 
@@ -181,10 +181,10 @@
 	if p.GetHasLoad() {
 		// What is in it beyond the requests that we placed came from entries that
 		// could not ask us.
-		s.own.Told(now, server, call.Load{Running: int(p.GetRunning()), Waiting: int(p.GetWaiting())})
+		s.own.UpdateLoad(now, server, call.Load{Running: int(p.GetRunning()), Waiting: int(p.GetWaiting())})
 	}
 	if held := p.GetElsewhere(); held != nil {
-		s.own.WentElsewhere(now, request, s.holdingLocked(s.serviceOf(server), held))
+		s.own.PlacedElsewhere(now, request, s.holdingLocked(s.serviceOf(server), held))
 		return
 	}
 	if p.GetEnded() {
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -182,7 +182,7 @@
 func (p *placing) holderOf(one *offered) *jayv1.Held {
 	offer := routing.Offer{
 		Server:    routing.DirectServer{Address: p.gateway.state.addressOf(one.GetServer()), Version: one.GetVersion()},
-		FetchFrom: one.GetFetchFrom(), Source: routing.SourceOfCode(one.GetSource()),
+		FetchFrom: one.GetFetchFrom(), Source: routing.SourceFromCode(one.GetSource()),
 	}
 	holding, ok := offer.Holder()
 	if !ok || holding.Address == "" {
@@ -214,7 +214,7 @@
 			p.giveBack(one, best)
 			question.Held = p.holderOf(best)
 		case jayv1.PlacementOffer_OUTCOME_NO_ROOM:
-			err = routing.ErrNoRoom
+			err = routing.ErrNoFreeMemory
 		}
 		if best != nil && routing.GoodOffer(float64(best.GetQueueMs()), float64(best.GetMemoryMs())) {
 			break
@@ -241,7 +241,7 @@
 		ask.Tried = append(ask.Tried, nameHash(id))
 	}
 	if ask.Model != "" {
-		ask.Wall = request.Wall
+		ask.Wall = request.IsolatedWorkspace
 		ask.Tokens, ask.OutputTokens = uint32(request.Tokens), uint32(request.OutputTokens) //nolint:gosec // sizes
 		ask.MemoryPercent = uint32(request.MemoryShare * percent)
 		for _, part := range request.Prefix {
@@ -252,7 +252,7 @@
 	if !s.shards.MayAsk(now) {
 		return ask, nil
 	}
-	return ask, s.divisionLocked(now, j.service.Name).Asked(request.HomeKey(s.book.Newest(ask.Model)))
+	return ask, s.divisionLocked(now, j.service.Name).Asked(request.RendezvousKey(s.book.Newest(ask.Model)))
 }
 
 // accept sends the request where it was offered, and counts it there. False: by
@@ -279,9 +279,9 @@
 		return routing.DirectChoice{}, false
 	}
 	request := j.routed(s)
-	choice := s.router.Adopt(now, &request, &routing.Offer{
-		Server: server, FetchFrom: one.GetFetchFrom(), SaveTo: one.GetSaveTo(), Source: routing.SourceOfCode(one.GetSource()),
-		QueueMS: float64(one.GetQueueMs()), MemoryMS: float64(one.GetMemoryMs()), ReadMS: float64(one.GetReadMs()),
+	choice := s.router.AcceptOffer(now, &request, &routing.Offer{
+		Server: server, FetchFrom: one.GetFetchFrom(), SaveTo: one.GetSaveTo(), Source: routing.SourceFromCode(one.GetSource()),
+		QueueMS: float64(one.GetQueueMs()), MemoryMS: float64(one.GetMemoryMs()), PrefillMS: float64(one.GetReadMs()),
 	})
 	j.offer = one
 	return choice, true
@@ -294,7 +294,7 @@
 		return j.place(mayWait)
 	}
 	best, err := j.bestOffer(mayWait)
-	if errors.Is(err, routing.ErrNoRoom) {
+	if errors.Is(err, routing.ErrNoFreeMemory) {
 		return routing.DirectChoice{}, err
 	}
 	if err == nil {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -58,7 +58,7 @@
 	room    *waitroom.Room
 	waiters map[string]*waiter
 	// stores of kept cache as the engines storesOf see them.
-	stores   []routing.KeptStore
+	stores   []routing.KVCacheStore
 	storesOf *routetable.Engine
 	// storesDown holds the addresses of stores that do not answer.
 	storesDown map[string]bool
@@ -93,7 +93,7 @@
 			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin,
 		}),
 		own: routing.NewDirect(routing.DirectOptions{
-			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin, Sole: true,
+			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin, ExclusiveServers: true,
 		}),
 		shards:   shard.NewMap(),
 		versions: map[versionKey]uint64{},
@@ -171,7 +171,7 @@
 // emptiedLocked takes in that a server holds no cached part any more.
 func (s *state) emptiedLocked(server string) {
 	for _, router := range s.routers() {
-		router.Emptied(server)
+		router.ForgetCache(server)
 	}
 }
 
@@ -293,7 +293,7 @@
 
 // storesLocked lists the stores of kept cache for a decision. The list is read
 // only, made anew with each configuration and for each kind of engine.
-func (s *state) storesLocked(table *routetable.Table, engine *routetable.Engine) []routing.KeptStore {
+func (s *state) storesLocked(table *routetable.Table, engine *routetable.Engine) []routing.KVCacheStore {
 	if s.storesOf == engine {
 		return s.stores
 	}
@@ -306,7 +306,7 @@
 		if engine.TokenBytes > 0 {
 			perSecond = store.LinkBytes / float64(engine.TokenBytes)
 		}
-		s.stores = append(s.stores, routing.NewKeptStore(store.Address, store.DataCentre, perSecond))
+		s.stores = append(s.stores, routing.NewKVCacheStore(store.Address, store.DataCentre, perSecond))
 	}
 	return s.stores
 }
@@ -366,7 +366,7 @@
 		return
 	}
 	if answer.HasLoad {
-		s.router.Told(now, server, answer.Load)
+		s.router.UpdateLoad(now, server, answer.Load)
 	}
 	if model != "" && answer.Version > 0 {
 		s.sawVersionLocked(server, model, answer.Version, "answer")
--- a/internal/gateway/stores.go
+++ b/internal/gateway/stores.go
@@ -95,7 +95,7 @@
 
 func (s *state) storesEmptiedLocked() {
 	for _, router := range s.routers() {
-		router.StoresEmptied()
+		router.ForgetStoredParts()
 	}
 }
 
@@ -104,12 +104,12 @@
 		return
 	}
 	now := time.Now()
-	store := routing.NewKeptStore(address, "", 0)
+	store := routing.NewKVCacheStore(address, "", 0)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, part := range parts {
 		for _, router := range s.routers() {
-			router.StoreChanged(now, &store, part.Salt, part.Part, !part.Dropped)
+			router.UpdateStoredPart(now, &store, part.Salt, part.Part, !part.Dropped)
 		}
 	}
 }
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -78,7 +78,7 @@
 		w.asking, w.askedAt = true, now
 		go w.ask()
 	}
-	return routing.DirectChoice{}, routing.ErrNoRoom
+	return routing.DirectChoice{}, routing.ErrNoFreeMemory
 }
 
 // await lets a request wait until a server has memory for it.
@@ -165,7 +165,7 @@
 		w := s.waiters[id]
 		// A process that stops has no time to wait.
 		choice, err := w.placeLocked(now, anyway || g.stopping.Load())
-		if errors.Is(err, routing.ErrNoRoom) {
+		if errors.Is(err, routing.ErrNoFreeMemory) {
 			return false
 		}
 		delete(s.waiters, id)
--- a/internal/routing/backend.go
+++ b/internal/routing/backend.go
@@ -62,8 +62,8 @@
 		Queued:                 int(state.GetQueued()),
 		Slots:                  int(state.GetSlots()),
 		PrefillTokensPerSecond: state.GetPrefillTokensPerSecond(),
-		CacheSurvival:          time.Duration(state.GetCacheSurvivalMs() * float64(time.Millisecond)),
-		Leaving:                state.GetLeaving(),
+		CacheRetention:         time.Duration(state.GetCacheSurvivalMs() * float64(time.Millisecond)),
+		Draining:               state.GetLeaving(),
 		Ready:                  state.GetReady(),
 	}
 	b.offeredMS = 0
@@ -102,8 +102,8 @@
 
 // survival is how long an untouched block stays cached there.
 func (b *backend) survival() time.Duration {
-	if b.signals.CacheSurvival > 0 {
-		return b.signals.CacheSurvival
+	if b.signals.CacheRetention > 0 {
+		return b.signals.CacheRetention
 	}
 	return defaultSurvival
 }
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -59,7 +59,7 @@
 	req    *Request
 	policy *PoolPolicy
 	view   *view
-	tried  []Tried
+	tried  []RefusedOffer
 
 	level      *level // main shared level; nil without one
 	levelPoint int
--- a/internal/routing/direct.go
+++ b/internal/routing/direct.go
@@ -12,9 +12,9 @@
 	DataCentre string
 	// MaxVersionAge beyond which a server with older weights gets nothing.
 	MaxVersionAge time.Duration
-	// Sole: no other router sends requests to the servers that this one chooses
+	// ExclusiveServers: no other router sends requests to the servers that this one chooses
 	// from, so that nothing is guessed of others and each server is looked at.
-	Sole bool
+	ExclusiveServers bool
 }
 
 const (
@@ -124,8 +124,8 @@
 	if len(usable) == 0 {
 		return DirectChoice{}, ErrNoServer
 	}
-	if req.Apart != 0 {
-		usable = firstOf(req.Apart, servers, usable)
+	if req.SuspectKey != 0 {
+		usable = firstOf(req.SuspectKey, servers, usable)
 	}
 	d.unheard = d.unheardTokens(now)
 	p := d.plan(now, req, servers, usable)
@@ -138,7 +138,7 @@
 		}
 	}
 	if req.MayWait && bestTerms.MemoryMS > waitMS {
-		return DirectChoice{}, ErrNoRoom
+		return DirectChoice{}, ErrNoFreeMemory
 	}
 	if math.IsInf(bestTotal, 1) {
 		return DirectChoice{}, ErrNoServer
@@ -174,8 +174,8 @@
 	d.prefixes.survival = min(max(time.Duration(kept*float64(time.Second)), heldAtLeast), heldAtMost)
 }
 
-// Survival is how long engines are thought to keep an unused prefix.
-func (d *Direct) Survival() time.Duration { return d.prefixes.survival }
+// Retention is how long engines are thought to keep an unused prefix.
+func (d *Direct) Retention() time.Duration { return d.prefixes.survival }
 
 // filter leaves the indexes of the servers that may serve. Servers that change
 // weights, or that failed of late, are taken when there is nothing else.
@@ -211,7 +211,7 @@
 
 // narrow bounds the servers that are scored in a large pool.
 func (d *Direct) narrow(req *DirectRequest, servers []DirectServer, usable []int32, p *prefixPlan) []int32 {
-	if p == nil || d.options.Sole || len(usable) <= scoredAtMost {
+	if p == nil || d.options.ExclusiveServers || len(usable) <= scoredAtMost {
 		return usable
 	}
 	d.few = d.few[:0]
@@ -240,7 +240,7 @@
 func (d *Direct) commit(now time.Time, req *DirectRequest, choice *DirectChoice, p *prefixPlan) {
 	l := d.load(choice.Server.ID)
 	l.running++
-	run := &pendingRun{server: choice.Server.ID, readMS: choice.Terms.ReadMS, at: now, until: req.Until}
+	run := &pendingRun{server: choice.Server.ID, readMS: choice.Terms.PrefillMS, at: now, until: req.ExpiresAt}
 	l.readMS += run.readMS
 	if p != nil {
 		run.tokens = memoryOf(req)
@@ -271,16 +271,16 @@
 	if s.DataCentre != d.dataCentreOf(req) {
 		t.DistanceMS = otherDataCentreMS
 	}
-	t.VersionMS = d.versionMS(s.VersionAge, t.QueueMS+t.ReadMS+t.MemoryMS)
+	t.VersionMS = d.versionMS(s.VersionAge, t.QueueMS+t.PrefillMS+t.MemoryMS)
 	if weight := max(s.Weight, leastWeight); weight < 1 {
-		t.PenaltyMS = (t.QueueMS + t.ReadMS + slownessFloor) * (1/weight - 1)
+		t.PenaltyMS = (t.QueueMS + t.PrefillMS + slownessFloor) * (1/weight - 1)
 	}
 	return t
 }
 
 // conclude makes the choice of the best server.
 func (d *Direct) conclude(now time.Time, req *DirectRequest, s *DirectServer, p *prefixPlan, terms DirectTerms) DirectChoice {
-	choice := DirectChoice{Server: *s, Terms: terms, ExpectedMS: terms.QueueMS + terms.ReadMS + terms.MemoryMS}
+	choice := DirectChoice{Server: *s, Terms: terms, ExpectedMS: terms.QueueMS + terms.PrefillMS + terms.MemoryMS}
 	if p == nil {
 		return choice
 	}
--- a/internal/routing/direct_hints.go
+++ b/internal/routing/direct_hints.go
@@ -19,8 +19,8 @@
 
 // LoadHint tells of another entry's unread prompts at a server.
 type LoadHint struct {
-	Server string
-	ReadMS float64
+	Server    string
+	PrefillMS float64
 }
 
 // maxNewsHints bounds the hints that wait to be sent; the newest are dropped.
@@ -43,39 +43,39 @@
 	}
 }
 
-// News returns what others should hear since the last call.
-func (d *Direct) News() []PrefixHint {
+// TakePrefixHints returns what others should hear since the last call.
+func (d *Direct) TakePrefixHints() []PrefixHint {
 	news := d.news
 	d.news = nil
 	return news
 }
 
-// Hear takes in hints of another entry.
-func (d *Direct) Hear(now time.Time, hints []PrefixHint) {
+// ReceivePrefixHints takes in hints of another entry.
+func (d *Direct) ReceivePrefixHints(now time.Time, hints []PrefixHint) {
 	for _, h := range hints {
 		d.prefixes.coming(now, h.Prefix, h.Server, h.Address, now.Add(h.ReadyIn))
 	}
 }
 
-// Loads returns our own unread prompts at each server that has any.
-func (d *Direct) Loads() []LoadHint {
+// LoadHints returns our own unread prompts at each server that has any.
+func (d *Direct) LoadHints() []LoadHint {
 	var loads []LoadHint
 	for server, l := range d.loads {
 		if l.readMS >= 1 {
-			loads = append(loads, LoadHint{Server: server, ReadMS: l.readMS})
+			loads = append(loads, LoadHint{Server: server, PrefillMS: l.readMS})
 		}
 	}
 	return loads
 }
 
-// HearLoads takes in another entry's unread prompts. Servers that it does not
+// ReceiveLoadHints takes in another entry's unread prompts. Servers that it does not
 // name have none of them.
-func (d *Direct) HearLoads(now time.Time, entry uint32, loads []LoadHint) {
+func (d *Direct) ReceiveLoadHints(now time.Time, entry uint32, loads []LoadHint) {
 	for _, l := range d.loads {
 		delete(l.heard, entry)
 	}
 	for _, hint := range loads {
-		d.load(hint.Server).heard[entry] = heardLoad{readMS: hint.ReadMS, at: now}
+		d.load(hint.Server).heard[entry] = heardLoad{readMS: hint.PrefillMS, at: now}
 	}
 }
 
--- a/internal/routing/direct_load.go
+++ b/internal/routing/direct_load.go
@@ -132,23 +132,23 @@
 	}
 }
 
-// Told takes in the load that came with an answer of the server; our own
+// UpdateLoad takes in the load that came with an answer of the server; our own
 // requests there are in it.
-func (d *Direct) Told(now time.Time, server string, load call.Load) {
+func (d *Direct) UpdateLoad(now time.Time, server string, load call.Load) {
 	l := d.load(server)
 	l.others = float64(max(0, load.Running+load.Waiting-l.running))
 	l.othersAt = now
 }
 
-// Left forgets a server that is gone.
-func (d *Direct) Left(server string) {
+// RemoveServer forgets a server that is gone.
+func (d *Direct) RemoveServer(server string) {
 	delete(d.loads, server)
 	d.prefixes.forget(server)
 }
 
-// Emptied tells that a server holds nothing any more: it took new weights, or
+// ForgetCache tells that a server holds nothing any more: it took new weights, or
 // its lifetime is over.
-func (d *Direct) Emptied(server string) { d.prefixes.forget(server) }
+func (d *Direct) ForgetCache(server string) { d.prefixes.forget(server) }
 
 // ServerOf returns the server that a request under way was counted at; empty
 // when it is not known.
--- a/internal/routing/direct_memory.go
+++ b/internal/routing/direct_memory.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// ErrNoRoom tells that the memory of the servers that suit a request is taken.
-var ErrNoRoom = errors.New("no memory free at the servers that suit the request")
+// ErrNoFreeMemory tells that the memory of the servers that suit a request is taken.
+var ErrNoFreeMemory = errors.New("no memory free at the servers that suit the request")
 
 // Requests under way take an engine's memory for as long as their answers
 // last. Past its end new ones wait for the end of others, the least urgent are
@@ -53,10 +53,10 @@
 	return req.Tokens + int(answerShare*float64(req.OutputTokens))
 }
 
-// Memory returns what our own requests take at each server that has any; nothing
+// MemoryHints returns what our own requests take at each server that has any; nothing
 // while the memory of all engines is far from full, taking it that all entries
 // send alike.
-func (d *Direct) Memory() []MemoryHint {
+func (d *Direct) MemoryHints() []MemoryHint {
 	var hints []MemoryHint
 	sum := 0
 	for server, l := range d.loads {
@@ -71,9 +71,9 @@
 	return hints
 }
 
-// HearMemory takes in all that another entry's requests take. Servers that it
+// ReceiveMemoryHints takes in all that another entry's requests take. Servers that it
 // does not name have none of them.
-func (d *Direct) HearMemory(now time.Time, entry uint32, hints []MemoryHint) {
+func (d *Direct) ReceiveMemoryHints(now time.Time, entry uint32, hints []MemoryHint) {
 	d.memoryHeard[entry] = now
 	for _, l := range d.loads {
 		delete(l.heardTokens, entry)
@@ -88,12 +88,12 @@
 	Server string
 	// Tokens that it takes of the server's memory.
 	Tokens int
-	// ReadMS is how long its prompt takes to read there.
-	ReadMS float64
+	// PrefillMS is how long its prompt takes to read there.
+	PrefillMS float64
 }
 
-// Placed returns the larger requests that were sent since the last call.
-func (d *Direct) Placed() []PlacedHint {
+// TakePlacedHints returns the larger requests that were sent since the last call.
+func (d *Direct) TakePlacedHints() []PlacedHint {
 	placed := d.placed
 	d.placed = nil
 	return placed
@@ -102,13 +102,13 @@
 // notePlaced keeps a larger request for the other entries.
 func (d *Direct) notePlaced(server string, tokens int, readMS float64) {
 	if tokens >= placedTokens && len(d.placed) < maxNewsHints {
-		d.placed = append(d.placed, PlacedHint{Server: server, Tokens: tokens, ReadMS: readMS})
+		d.placed = append(d.placed, PlacedHint{Server: server, Tokens: tokens, PrefillMS: readMS})
 	}
 }
 
-// HearPlaced takes in what another entry sent just now. It counts until that
+// ReceivePlacedHints takes in what another entry sent just now. It counts until that
 // entry tells all that it takes.
-func (d *Direct) HearPlaced(now time.Time, entry uint32, hints []PlacedHint) {
+func (d *Direct) ReceivePlacedHints(now time.Time, entry uint32, hints []PlacedHint) {
 	for _, hint := range hints {
 		l := d.load(hint.Server)
 		heard := l.heardTokens[entry]
@@ -117,7 +117,7 @@
 		}
 		heard.tokens += hint.Tokens
 		l.heardTokens[entry] = heard
-		l.hearRead(now, entry, hint.ReadMS)
+		l.hearRead(now, entry, hint.PrefillMS)
 	}
 }
 
@@ -199,5 +199,5 @@
 	return 1 - (1-lastShare)*float64(rank)/float64(of-1)
 }
 
-// ReadingTime of a prompt of which nothing is cached.
-func ReadingTime(tokens int) time.Duration { return durationOf(float64(tokens) / tokensPerMS) }
+// PrefillTime of a prompt of which nothing is cached.
+func PrefillTime(tokens int) time.Duration { return durationOf(float64(tokens) / tokensPerMS) }
--- a/internal/routing/direct_offer.go
+++ b/internal/routing/direct_offer.go
@@ -9,17 +9,17 @@
 	FetchFrom, SaveTo string
 	Source            PrefixSource
 	// Expected wait for other work and for memory, and reading time.
-	QueueMS, MemoryMS, ReadMS float64
+	QueueMS, MemoryMS, PrefillMS float64
 }
 
-// Adopt counts a request at the server that it was offered, and says what to
+// AcceptOffer counts a request at the server that it was offered, and says what to
 // tell that server.
-func (d *Direct) Adopt(now time.Time, req *DirectRequest, offer *Offer) DirectChoice {
+func (d *Direct) AcceptOffer(now time.Time, req *DirectRequest, offer *Offer) DirectChoice {
 	servers := []DirectServer{offer.Server}
 	p := d.plan(now, req, servers, []int32{0})
 	choice := DirectChoice{
-		Server: offer.Server, ExpectedMS: offer.QueueMS + offer.MemoryMS + offer.ReadMS, Candidates: 1,
-		Terms: DirectTerms{QueueMS: offer.QueueMS, MemoryMS: offer.MemoryMS, ReadMS: offer.ReadMS},
+		Server: offer.Server, ExpectedMS: offer.QueueMS + offer.MemoryMS + offer.PrefillMS, Candidates: 1,
+		Terms: DirectTerms{QueueMS: offer.QueueMS, MemoryMS: offer.MemoryMS, PrefillMS: offer.PrefillMS},
 	}
 	if p != nil {
 		v := p.byVer(offer.Server.Version)
@@ -30,27 +30,27 @@
 	return choice
 }
 
-// Holding tells that a server holds a prefix, or will in a while, under the salt
+// PrefixHolder tells that a server holds a prefix, or will in a while, under the salt
 // of a version of the weights.
-type Holding struct {
+type PrefixHolder struct {
 	Server, Address string
 	Version         uint64
 	ReadyIn         time.Duration
 }
 
-// HearHolder takes in that a server, which another router places onto perhaps,
+// ReceiveHolder takes in that a server, which another router places onto perhaps,
 // holds the shared prefix of a request.
-func (d *Direct) HearHolder(now time.Time, req *DirectRequest, held Holding) {
+func (d *Direct) ReceiveHolder(now time.Time, req *DirectRequest, held PrefixHolder) {
 	v := d.versionPlan(now, req, held.Version)
 	for i := range v.levels {
 		d.prefixes.coming(now, v.levels[i].key, held.Server, held.Address, now.Add(held.ReadyIn))
 	}
 }
 
-// WentElsewhere takes back a request that this router chose a server for: it was
+// PlacedElsewhere takes back a request that this router chose a server for: it was
 // sent to another router's server, which holds its prefix from then on. Without
 // that word the next request with the prefix would be read here once more.
-func (d *Direct) WentElsewhere(now time.Time, request string, held Holding) {
+func (d *Direct) PlacedElsewhere(now time.Time, request string, held PrefixHolder) {
 	run := d.pending[request]
 	if run == nil {
 		return
@@ -63,14 +63,14 @@
 
 // Holder is who holds the prefix of an offered request: the offered server, or
 // the one that it would fetch from. False: nobody is known to.
-func (o *Offer) Holder() (holding Holding, ok bool) {
+func (o *Offer) Holder() (holding PrefixHolder, ok bool) {
 	switch o.Source {
 	case SourceHeld:
-		return Holding{Server: o.Server.ID, Address: o.Server.Address, Version: o.Server.Version}, true
+		return PrefixHolder{Server: o.Server.ID, Address: o.Server.Address, Version: o.Server.Version}, true
 	case SourceHolder:
-		return Holding{Address: o.FetchFrom, Version: o.Server.Version}, true
+		return PrefixHolder{Address: o.FetchFrom, Version: o.Server.Version}, true
 	}
-	return Holding{}, false
+	return PrefixHolder{}, false
 }
 
 // goodWaitMS of an offer, above which another one is worth a second question,
@@ -83,24 +83,24 @@
 // for memory need not ask another owner.
 func GoodOffer(queueMS, memoryMS float64) bool { return queueMS+memoryMS <= goodWaitMS }
 
-// HomeKey is the key by which servers are ranked for a request's prefix under a
+// RendezvousKey is the key by which servers are ranked for a request's prefix under a
 // version of the weights: the owner of the first of them is asked, and an entry
 // that can't ask any sends the request to the same server. Requests without a
 // prefix are told apart by their ids.
-func (r *DirectRequest) HomeKey(version uint64) uint64 {
+func (r *DirectRequest) RendezvousKey(version uint64) uint64 {
 	if len(r.Prefix) == 0 {
 		return hashOf(r.ID)
 	}
-	chain := hashOf(Salt(version, r.Wall))
+	chain := hashOf(Salt(version, r.IsolatedWorkspace))
 	for _, part := range r.Prefix {
 		chain = Rendezvous(chain, hashOf(part.ID))
 	}
 	return uint64(levelKey(chain))
 }
 
-// SourceOfCode returns the source of a number that another entry told; those
+// SourceFromCode returns the source of a number that another entry told; those
 // that are not known are none.
-func SourceOfCode(code uint32) PrefixSource {
+func SourceFromCode(code uint32) PrefixSource {
 	if code >= uint32(len(sourceNames)) {
 		return SourceNone
 	}
--- a/internal/routing/direct_prefix.go
+++ b/internal/routing/direct_prefix.go
@@ -16,12 +16,12 @@
 	SourceHeld
 	// SourceHolder: another server that holds it.
 	SourceHolder
-	// SourceComing: another server reads it just now.
-	SourceComing
+	// SourcePending: another server reads it just now.
+	SourcePending
 	// SourceStore: a store of kept cache.
 	SourceStore
-	// SourceHome: the server is first in the prefix's order.
-	SourceHome
+	// SourcePreferred: the server is first in the prefix's order.
+	SourcePreferred
 )
 
 var sourceNames = [...]string{"none", "held", "holder", "coming", "store", "home"}
@@ -77,7 +77,7 @@
 	// last server that held the whole prefix; it may have dropped it.
 	last holding
 	// store of the prefix, nil without; stored tokens of the prefix it should have.
-	store        *KeptStore
+	store        *KVCacheStore
 	stored       int
 	homeWeight   uint64
 	secondWeight uint64
@@ -177,7 +177,7 @@
 }
 
 func (d *Direct) versionPlan(now time.Time, req *DirectRequest, version uint64) versionPlan {
-	v := versionPlan{version: version, salt: Salt(version, req.Wall)}
+	v := versionPlan{version: version, salt: Salt(version, req.IsolatedWorkspace)}
 	salt := hashOf(v.salt)
 	tokens, chain := 0, salt
 	for _, part := range req.Prefix {
@@ -197,7 +197,7 @@
 func levelKey(chain uint64) uint32 { return uint32(chain) | 1 } //nolint:gosec // the low half of a hash
 
 // planStore finds out what the prefix's store should have of it.
-func (d *Direct) planStore(now time.Time, stores []KeptStore, salt uint64, v *versionPlan) {
+func (d *Direct) planStore(now time.Time, stores []KVCacheStore, salt uint64, v *versionPlan) {
 	if v.store = storeOf(stores, v.deepest()); v.store == nil {
 		return
 	}
@@ -223,22 +223,22 @@
 
 // scorePrefix weighs what the server must read, fetch or copy of the prompt.
 func (d *Direct) scorePrefix(now time.Time, req *DirectRequest, s *DirectServer, p *prefixPlan, t *DirectTerms) {
-	t.ReadMS = float64(max(0, req.Tokens-p.tokens)) / tokensPerMS
+	t.PrefillMS = float64(max(0, req.Tokens-p.tokens)) / tokensPerMS
 	if p.tokens == 0 {
 		return
 	}
 	from := p.source(now, p.byVer(s.Version), s)
 	if from.kind == SourceStore {
-		t.ReadMS += p.byVer(s.Version).store.fetchMS(from.fetched, s.DataCentre)
+		t.PrefillMS += p.byVer(s.Version).store.fetchMS(from.fetched, s.DataCentre)
 	} else {
-		t.ReadMS += float64(from.fetched) * fetchMSPerToken
+		t.PrefillMS += float64(from.fetched) * fetchMSPerToken
 	}
-	t.ReadMS += float64(from.missing) / tokensPerMS
-	t.RereadMS = float64(from.fetched) * copyMSPerToken
+	t.PrefillMS += float64(from.missing) / tokensPerMS
+	t.RecomputeMS = float64(from.fetched) * copyMSPerToken
 	if from.kind == SourceNone {
 		from.twice = from.missing
 	}
-	t.RereadMS += float64(from.twice) * rereadMSPerToken
+	t.RecomputeMS += float64(from.twice) * rereadMSPerToken
 }
 
 // source finds out where the server gets the prefix from.
@@ -257,9 +257,9 @@
 		return from
 	case from.twice == from.missing:
 		// It is being read elsewhere just now: nothing can be fetched yet.
-		from.kind = SourceComing
+		from.kind = SourcePending
 	case s == v.home:
-		from.kind = SourceHome
+		from.kind = SourcePreferred
 		if from.address == "" && v.second != nil {
 			from.address = v.second.Address
 		}
--- a/internal/routing/direct_test.go
+++ b/internal/routing/direct_test.go
@@ -54,7 +54,7 @@
 	second := choose(t, d, time.Second, prompt("r2", "contract"), servers)
 	assert.Equal(t, first.Server.ID, second.Server.ID)
 	assert.Equal(t, routing.SourceHeld, second.Source)
-	assert.Less(t, second.Terms.ReadMS, first.Terms.ReadMS)
+	assert.Less(t, second.Terms.PrefillMS, first.Terms.PrefillMS)
 }
 
 // A hot contract is read again at every server it spreads to. A server that
@@ -85,15 +85,15 @@
 func TestAnotherEntrysHintCountsAsOurOwnRequest(t *testing.T) {
 	one, two, servers := newDirect(), newDirect(), directServers(8)
 	busy := choose(t, one, 0, prompt("r0", "contract"), servers[:1]) // not the home of every prefix
-	hints := one.News()
+	hints := one.TakePrefixHints()
 	require.Len(t, hints, 2, "one for each level of the prefix")
 	for i := range hints {
 		hints[i].Address = busy.Server.Address
 	}
-	two.Hear(directStart, hints)
+	two.ReceivePrefixHints(directStart, hints)
 	choice := choose(t, two, 2*time.Second, prompt("r1", "contract"), servers)
 	assert.Contains(t, []routing.PrefixSource{routing.SourceHeld, routing.SourceHolder}, choice.Source)
-	assert.Empty(t, one.News(), "a hint is told once")
+	assert.Empty(t, one.TakePrefixHints(), "a hint is told once")
 }
 
 // New servers drown in prompts. Only few have the new weights, every entry
@@ -103,8 +103,8 @@
 	d.SetEntries(4)
 	first := choose(t, d, 0, prompt("r1", "one"), servers[:1])
 	alone := choose(t, d, time.Millisecond, prompt("r2", "two"), servers[:1])
-	assert.Greater(t, alone.Terms.QueueMS, 2*first.Terms.ReadMS, "one of ours stands for more of theirs")
-	d.HearLoads(directStart, 7, []routing.LoadHint{{Server: "s1", ReadMS: 5000}})
+	assert.Greater(t, alone.Terms.QueueMS, 2*first.Terms.PrefillMS, "one of ours stands for more of theirs")
+	d.ReceiveLoadHints(directStart, 7, []routing.LoadHint{{Server: "s1", PrefillMS: 5000}})
 	choice := choose(t, d, 2*time.Millisecond, prompt("r3", "three"), servers)
 	assert.Equal(t, "s0", choice.Server.ID)
 }
@@ -137,7 +137,7 @@
 	servers[0].VersionAge = 2 * time.Second
 	servers[1].Version = 2
 	assert.Equal(t, "s1", choose(t, d, 0, prompt("r1", "contract"), servers).Server.ID)
-	d.HearLoads(directStart, 7, []routing.LoadHint{{Server: "s1", ReadMS: 3000}})
+	d.ReceiveLoadHints(directStart, 7, []routing.LoadHint{{Server: "s1", PrefillMS: 3000}})
 	assert.Equal(t, "s0", choose(t, d, time.Millisecond, prompt("r2", "other"), servers).Server.ID)
 }
 
@@ -173,7 +173,7 @@
 		}
 		d.Finished(directStart, id, i%3 == 0)
 	}
-	assert.Empty(t, d.Loads())
+	assert.Empty(t, d.LoadHints())
 	for _, s := range servers {
 		assert.Zero(t, d.Running(s.ID))
 	}
--- a/internal/routing/direct_types.go
+++ b/internal/routing/direct_types.go
@@ -36,8 +36,8 @@
 // DirectRequest is what a decision needs to know of a request.
 type DirectRequest struct {
 	ID string
-	// Wall keeps the cached parts of an isolated workspace apart; empty: shared by all.
-	Wall string
+	// IsolatedWorkspace keeps the cached parts of an isolated workspace apart; empty: shared by all.
+	IsolatedWorkspace string
 	// Prefix holds the parts that other requests may share, outermost first.
 	Prefix []call.Part
 	// Tokens of the whole prompt, and at most of the answer.
@@ -46,19 +46,19 @@
 	// MemoryShare of a server's memory that is planned with for it; 0: all.
 	MemoryShare float64
 	// Stores of kept cache; read only.
-	Stores []KeptStore
+	Stores []KVCacheStore
 	// MayWait: Choose returns ErrNoRoom rather than a server at which the request
 	// would wait for memory.
 	MayWait bool
-	// Apart, where it is not 0, sends the request to the first server in this key's
+	// SuspectKey, where it is not 0, sends the request to the first server in this key's
 	// order, whatever holds its prefix: requests under which servers crashed are
 	// kept from each other so, and the next crash tells them apart.
-	Apart uint64
+	SuspectKey uint64
 	// DataCentre that the request is sent from; empty: the router's own.
 	DataCentre string
-	// Until is when the request counts no more, should its end never be told;
+	// ExpiresAt is when the request counts no more, should its end never be told;
 	// zero: it is always told.
-	Until time.Time
+	ExpiresAt time.Time
 }
 
 // DirectChoice is where to send a request and what to tell the server.
@@ -83,16 +83,16 @@
 
 // DirectTerms are the parts of a score, in milliseconds.
 type DirectTerms struct {
-	QueueMS    float64
-	ReadMS     float64
-	RereadMS   float64
-	VersionMS  float64
-	DistanceMS float64
-	PenaltyMS  float64
-	MemoryMS   float64
+	QueueMS     float64
+	PrefillMS   float64
+	RecomputeMS float64
+	VersionMS   float64
+	DistanceMS  float64
+	PenaltyMS   float64
+	MemoryMS    float64
 }
 
 // Total is the score: the server with the least is chosen.
 func (t DirectTerms) Total() float64 {
-	return t.QueueMS + t.ReadMS + t.RereadMS + t.VersionMS + t.DistanceMS + t.PenaltyMS + t.MemoryMS
+	return t.QueueMS + t.PrefillMS + t.RecomputeMS + t.VersionMS + t.DistanceMS + t.PenaltyMS + t.MemoryMS
 }
--- a/internal/routing/filter.go
+++ b/internal/routing/filter.go
@@ -41,7 +41,7 @@
 // reported returns why the server's own last report keeps it out.
 func reported(signals *Signals, req *Request) string {
 	switch {
-	case signals.Leaving:
+	case signals.Draining:
 		return filteredLeaving
 	case !signals.Ready:
 		return filteredNotReady
@@ -58,7 +58,7 @@
 }
 
 // refused tells whether the server refused the request for another reason than cost.
-func refused(tried []Tried, server string) bool {
+func refused(tried []RefusedOffer, server string) bool {
 	for i := range tried {
 		if tried[i].Server == server && tried[i].Refusal != jayv1.Refusal_REFUSAL_COST {
 			return true
--- a/internal/routing/fleetmodel_test.go
+++ b/internal/routing/fleetmodel_test.go
@@ -98,7 +98,7 @@
 	returns []*modelRequest
 	// stores of kept cache by address, keptStores as the entries see them.
 	stores     map[string]*modelStore
-	keptStores []routing.KeptStore
+	keptStores []routing.KVCacheStore
 	// crashes empty the first of the engines, by virtual time.
 	crashes []float64
 	// used is when a part was last used anywhere.
@@ -160,7 +160,7 @@
 	d := f.routerOf(run.request)
 	d.FirstToken(modelTime(now), run.request.id)
 	if f.owners == nil {
-		d.Told(modelTime(now), run.request.server, load)
+		d.UpdateLoad(modelTime(now), run.request.server, load)
 	}
 	if store := f.stores[run.save]; store != nil {
 		store.take(run, now)
@@ -207,7 +207,7 @@
 	}
 	class := r.class
 	_, ok := f.rooms[r.entry].Enter(modelTime(now), waitroom.Request{
-		ID: r.id, Urgency: class.urgency, Arrived: modelTime(now), Reading: routing.ReadingTime(r.tokens()),
+		ID: r.id, Urgency: class.urgency, Arrived: modelTime(now), Reading: routing.PrefillTime(r.tokens()),
 		InTimeUntil: modelTime(now + class.aimMS), Deadline: modelTime(r.firstBy),
 	})
 	if !ok {
@@ -222,7 +222,7 @@
 		MemoryShare: routing.MemoryShare(r.class.urgency, len(f.classes)), MayWait: f.mayWait && !anyway, Stores: f.keptStores,
 	}
 	choice, err := f.choose(r, request, now)
-	if errors.Is(err, routing.ErrNoRoom) {
+	if errors.Is(err, routing.ErrNoFreeMemory) {
 		return false
 	}
 	r.server = choice.Server.ID
@@ -237,11 +237,11 @@
 	}
 	var best routing.DirectChoice
 	r.owner = nil
-	err := routing.ErrNoRoom
-	for _, entry := range f.division.Asked(request.HomeKey(1)) {
+	err := routing.ErrNoFreeMemory
+	for _, entry := range f.division.Asked(request.RendezvousKey(1)) {
 		owner := f.owners[entry.Name]
 		if r.owner != nil && best.Source == routing.SourceHeld {
-			owner.HearHolder(modelTime(now), request, routing.Holding{Server: best.Server.ID, Address: best.Server.Address, Version: best.Server.Version})
+			owner.ReceiveHolder(modelTime(now), request, routing.PrefixHolder{Server: best.Server.ID, Address: best.Server.Address, Version: best.Server.Version})
 		}
 		choice, refused := owner.Choose(modelTime(now), request, f.shardOf(entry.Name), nil)
 		switch {
@@ -250,10 +250,10 @@
 		case r.owner == nil:
 			best, r.owner, err = choice, owner, nil
 		case choice.Terms.Total() < best.Terms.Total():
-			r.owner.WentElsewhere(modelTime(now), r.id, holdingOf(&choice))
+			r.owner.PlacedElsewhere(modelTime(now), r.id, holdingOf(&choice))
 			best, r.owner = choice, owner
 		default:
-			owner.WentElsewhere(modelTime(now), r.id, holdingOf(&best))
+			owner.PlacedElsewhere(modelTime(now), r.id, holdingOf(&best))
 		}
 		if routing.GoodOffer(best.Terms.QueueMS, best.Terms.MemoryMS) {
 			break
@@ -262,8 +262,8 @@
 	return best, err
 }
 
-func holdingOf(choice *routing.DirectChoice) routing.Holding {
-	return routing.Holding{
+func holdingOf(choice *routing.DirectChoice) routing.PrefixHolder {
+	return routing.PrefixHolder{
 		Server: choice.Server.ID, Address: choice.Server.Address, Version: choice.Server.Version,
 		ReadyIn: time.Duration(choice.ExpectedMS * float64(time.Millisecond)),
 	}
@@ -288,7 +288,7 @@
 	for i := range entries {
 		name := fmt.Sprint("entry", i)
 		all = append(all, shard.Entry{Name: name, Cores: 1})
-		f.owners[name] = routing.NewDirect(routing.DirectOptions{DataCentre: "a", Sole: true})
+		f.owners[name] = routing.NewDirect(routing.DirectOptions{DataCentre: "a", ExclusiveServers: true})
 	}
 	m.SetEntries(all)
 	f.division = m.Division(directStart, "models", 1, func() []uint64 {
@@ -330,7 +330,7 @@
 // hint lets each entry tell the others what it knows.
 func (f *modelFleet) hint(now float64, tick int) {
 	for i, from := range f.entries[f.mute:] {
-		news, placed, saved := from.News(), from.Placed(), from.Saved()
+		news, placed, saved := from.TakePrefixHints(), from.TakePlacedHints(), from.TakeSavedParts()
 		for k := range news {
 			news[k].Address = news[k].Server
 		}
@@ -338,14 +338,14 @@
 			if k == i {
 				continue
 			}
-			to.Hear(modelTime(now), news)
-			to.HearSaved(modelTime(now), saved)
-			to.HearPlaced(modelTime(now), uint32(i), placed) //nolint:gosec // few
+			to.ReceivePrefixHints(modelTime(now), news)
+			to.ReceiveSavedParts(modelTime(now), saved)
+			to.ReceivePlacedHints(modelTime(now), uint32(i), placed) //nolint:gosec // few
 			if tick%modelLoadTicks == 0 {
-				to.HearLoads(modelTime(now), uint32(i), from.Loads()) //nolint:gosec // few
+				to.ReceiveLoadHints(modelTime(now), uint32(i), from.LoadHints()) //nolint:gosec // few
 			}
 			if tick%modelMemoryTicks == 0 {
-				to.HearMemory(modelTime(now), uint32(i), from.Memory()) //nolint:gosec // few
+				to.ReceiveMemoryHints(modelTime(now), uint32(i), from.MemoryHints()) //nolint:gosec // few
 			}
 		}
 	}
--- a/internal/routing/kept.go
+++ b/internal/routing/kept.go
@@ -19,9 +19,9 @@
 // saved 0.750; only prompts that are half shared or more 0.760; with the stores'
 // own words 0.776; saved again whenever a store may have dropped it 0.723.
 
-// KeptStore is a store that engines send parts to and fetch them from. It holds
+// KVCacheStore is a store that engines send parts to and fetch them from. It holds
 // a part as it was first made, under the salt that the request bore.
-type KeptStore struct {
+type KVCacheStore struct {
 	Address    string
 	DataCentre string
 	// Hash of the address, for the rendezvous order.
@@ -30,13 +30,13 @@
 	TokensPerSecond float64
 }
 
-// NewKeptStore describes a store whose link carries so many tokens a second.
-func NewKeptStore(address, dataCentre string, tokensPerSecond float64) KeptStore {
-	return KeptStore{Address: address, DataCentre: dataCentre, Hash: hashOf(address), TokensPerSecond: tokensPerSecond}
+// NewKVCacheStore describes a store whose link carries so many tokens a second.
+func NewKVCacheStore(address, dataCentre string, tokensPerSecond float64) KVCacheStore {
+	return KVCacheStore{Address: address, DataCentre: dataCentre, Hash: hashOf(address), TokensPerSecond: tokensPerSecond}
 }
 
 // fetchMS is how long so many tokens take from the store to a server.
-func (k *KeptStore) fetchMS(tokens int, dataCentre string) float64 {
+func (k *KVCacheStore) fetchMS(tokens int, dataCentre string) float64 {
 	if k.TokensPerSecond <= 0 {
 		return float64(tokens) * fetchMSPerToken
 	}
@@ -115,8 +115,8 @@
 }
 
 // storeOf picks the store of a prefix, alike at every entry; nil without stores.
-func storeOf(stores []KeptStore, prefix uint32) *KeptStore {
-	var best *KeptStore
+func storeOf(stores []KVCacheStore, prefix uint32) *KVCacheStore {
+	var best *KVCacheStore
 	var most uint64
 	for i := range stores {
 		if w := Rendezvous(uint64(prefix), stores[i].Hash); best == nil || w > most {
@@ -128,7 +128,7 @@
 
 // keptKey names a part under its salt at a store. Two parts may share a key:
 // that costs a prompt read again, as the salt keeps them apart.
-func keptKey(store *KeptStore, salt, part uint64) uint32 {
+func keptKey(store *KVCacheStore, salt, part uint64) uint32 {
 	return uint32(Rendezvous(Rendezvous(salt, part), store.Hash)) //nolint:gosec // the low half of a hash
 }
 
@@ -165,7 +165,7 @@
 
 // allow takes the tokens of one save from our share of a store's link. shared is
 // the share of the prompt that other requests may use.
-func (k *kept) allow(now time.Time, store *KeptStore, tokens int, shared float64, savers int) bool {
+func (k *kept) allow(now time.Time, store *KVCacheStore, tokens int, shared float64, savers int) bool {
 	rate := store.TokensPerSecond * saveLinkShare / float64(max(savers, 1))
 	most := rate * saveBurst.Seconds()
 	b := k.budgets[store.Address]
@@ -210,24 +210,24 @@
 // notSaved takes back a save whose prompt was not read.
 func (k *kept) notSaved(key uint32) { k.parts.Remove(key) }
 
-// Saved returns the parts that we sent to their stores since the last call, for
+// TakeSavedParts returns the parts that we sent to their stores since the last call, for
 // the other entries.
-func (d *Direct) Saved() []uint32 {
+func (d *Direct) TakeSavedParts() []uint32 {
 	news := d.kept.news
 	d.kept.news = nil
 	return news
 }
 
-// HearSaved takes in which parts another entry sends to their stores.
-func (d *Direct) HearSaved(now time.Time, keys []uint32) {
+// ReceiveSavedParts takes in which parts another entry sends to their stores.
+func (d *Direct) ReceiveSavedParts(now time.Time, keys []uint32) {
 	for _, key := range keys {
 		d.kept.parts.Add(key, keptPart{savedAt: now})
 	}
 }
 
-// StoreChanged takes in a store's word on a part. held is false for a part that
+// UpdateStoredPart takes in a store's word on a part. held is false for a part that
 // it dropped, if only in part.
-func (d *Direct) StoreChanged(now time.Time, store *KeptStore, salt, part string, held bool) {
+func (d *Direct) UpdateStoredPart(now time.Time, store *KVCacheStore, salt, part string, held bool) {
 	key := keptKey(store, hashOf(salt), hashOf(part))
 	one, known := d.kept.parts.Peek(key)
 	if known && !held {
@@ -237,7 +237,7 @@
 	d.kept.parts.Add(key, one)
 }
 
-// StoresEmptied tells that a store lost all that it kept, or can't be reached.
+// ForgetStoredParts tells that a store lost all that it kept, or can't be reached.
 // Which parts were its own is not kept, so all are forgotten: the other stores'
 // are sent once more, which is rare and bounded.
-func (d *Direct) StoresEmptied() { d.kept.parts.Purge() }
+func (d *Direct) ForgetStoredParts() { d.kept.parts.Purge() }
--- a/internal/routing/kept_test.go
+++ b/internal/routing/kept_test.go
@@ -11,7 +11,7 @@
 	"github.com/jayproxy/jayproxy/internal/routing"
 )
 
-var oneStore = []routing.KeptStore{routing.NewKeptStore("store:1", "a", 290000)}
+var oneStore = []routing.KVCacheStore{routing.NewKVCacheStore("store:1", "a", 290000)}
 
 func keptPrompt(id, document string) *routing.DirectRequest {
 	req := prompt(id, document)
@@ -21,7 +21,7 @@
 
 // word is what the store says of the deepest part of a prompt.
 func word(d *routing.Direct, document string, held bool) {
-	d.StoreChanged(directStart, &oneStore[0], routing.Salt(1, ""), document, held)
+	d.UpdateStoredPart(directStart, &oneStore[0], routing.Salt(1, ""), document, held)
 }
 
 // An engine crashed, and all prefixes that it had read were read once more.
@@ -30,21 +30,21 @@
 	first := choose(t, d, 0, keptPrompt("r1", "contract"), servers)
 	assert.Equal(t, "store:1", first.SaveTo, "a first read is saved")
 	served(d, 300*time.Millisecond, "r1")
-	d.Emptied(first.Server.ID)
+	d.ForgetCache(first.Server.ID)
 	next := choose(t, d, 2*time.Second, keptPrompt("r2", "contract"), servers)
 	assert.Equal(t, routing.SourceStore, next.Source)
 	assert.Equal(t, "store:1", next.FetchFrom)
 	assert.Empty(t, next.SaveTo, "it is there")
-	assert.Less(t, next.Terms.ReadMS, first.Terms.ReadMS)
+	assert.Less(t, next.Terms.PrefillMS, first.Terms.PrefillMS)
 }
 
 // Another entry saved the prefix; without its word each entry saved it again.
 func TestAPrefixIsSavedOnceByAllEntries(t *testing.T) {
 	one, two, servers := newDirect(), newDirect(), directServers(4)
 	choose(t, one, 0, keptPrompt("r1", "contract"), servers)
-	saved := one.Saved()
+	saved := one.TakeSavedParts()
 	require.Len(t, saved, 1)
-	two.HearSaved(directStart, saved)
+	two.ReceiveSavedParts(directStart, saved)
 	assert.Empty(t, choose(t, two, 100*time.Millisecond, keptPrompt("r2", "contract"), servers).SaveTo)
 	assert.Equal(t, "store:1", choose(t, two, 2*time.Second, keptPrompt("r3", "contract"), servers).FetchFrom)
 }
@@ -68,7 +68,7 @@
 	served(d, 300*time.Millisecond, "r1")
 	word(d, "contract", true)
 	word(d, "contract", false)
-	d.Emptied(first.Server.ID)
+	d.ForgetCache(first.Server.ID)
 	again := choose(t, d, 3*time.Second, keptPrompt("r2", "contract"), servers)
 	assert.NotEqual(t, routing.SourceStore, again.Source, "it dropped the part")
 	assert.Equal(t, "store:1", again.SaveTo, "which is read, so it is saved once more")
@@ -80,8 +80,8 @@
 	first := choose(t, d, 0, keptPrompt("r1", "contract"), servers)
 	served(d, 300*time.Millisecond, "r1")
 	word(d, "contract", true)
-	d.StoresEmptied()
-	d.Emptied(first.Server.ID)
+	d.ForgetStoredParts()
+	d.ForgetCache(first.Server.ID)
 	assert.NotEqual(t, "store:1", choose(t, d, 2*time.Second, keptPrompt("r2", "contract"), servers).FetchFrom)
 }
 
@@ -108,7 +108,7 @@
 	for i := range 40 {
 		document := fmt.Sprint("contract", i)
 		choose(t, d, time.Duration(i)*10*time.Millisecond, keptPrompt(fmt.Sprint("r", i), document), servers)
-		d.StoreChanged(directStart.Add(time.Second), &oneStore[0], routing.Salt(1, ""), document, false)
+		d.UpdateStoredPart(directStart.Add(time.Second), &oneStore[0], routing.Salt(1, ""), document, false)
 	}
 	assert.Empty(t, choose(t, d, 3*time.Second, own("s", "report"), servers).SaveTo, "it dropped parts after a second")
 	assert.NotEmpty(t, choose(t, d, 3*time.Second, keptPrompt("t", "other"), servers).SaveTo, "which is mostly shared")
@@ -120,7 +120,7 @@
 func TestSavesKeepToTheirShareOfTheLink(t *testing.T) {
 	for perSecond, atMost := range map[float64]int{290000: 290000 * 2, 29000: 29000 * 2, 0: 0} {
 		d, servers := newDirect(), directServers(8)
-		stores := []routing.KeptStore{routing.NewKeptStore("store:1", "a", perSecond)}
+		stores := []routing.KVCacheStore{routing.NewKVCacheStore("store:1", "a", perSecond)}
 		tokens := 0
 		for i := range 200 {
 			req := prompt(fmt.Sprint("r", i), fmt.Sprint("contract", i))
@@ -142,7 +142,7 @@
 	served(d, 300*time.Millisecond, "r1")
 	word(d, "contract", true)
 	walled := keptPrompt("r2", "contract")
-	walled.Wall = "w"
+	walled.IsolatedWorkspace = "w"
 	assert.NotEqual(t, routing.SourceStore, choose(t, d, 2*time.Second, walled, servers).Source)
 	for i := range servers {
 		servers[i].Version = 2
@@ -152,8 +152,8 @@
 
 // Entries must look for a prefix at the store to which another sent it.
 func TestEntriesAgreeOnTheStoreOfAPrefix(t *testing.T) {
-	stores := []routing.KeptStore{routing.NewKeptStore("store:1", "a", 290000), routing.NewKeptStore("store:2", "b", 290000), routing.NewKeptStore("store:3", "c", 290000)}
-	turned := []routing.KeptStore{stores[2], stores[0], stores[1]}
+	stores := []routing.KVCacheStore{routing.NewKVCacheStore("store:1", "a", 290000), routing.NewKVCacheStore("store:2", "b", 290000), routing.NewKVCacheStore("store:3", "c", 290000)}
+	turned := []routing.KVCacheStore{stores[2], stores[0], stores[1]}
 	used := map[string]int{}
 	for i := range 30 {
 		servers := directServers(8)
@@ -172,7 +172,7 @@
 	var req *routing.DirectRequest
 	for i := range b.N {
 		req = prompt(fmt.Sprint(i), fmt.Sprint(i%100))
-		req.Stores = []routing.KeptStore{oneStore[0]}
+		req.Stores = []routing.KVCacheStore{oneStore[0]}
 		if _, err := d.Choose(directStart.Add(time.Duration(i)*time.Millisecond), req, servers, nil); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/routing/keptmodel_test.go
+++ b/internal/routing/keptmodel_test.go
@@ -86,7 +86,7 @@
 				continue
 			}
 			for _, entry := range f.entries {
-				entry.StoreChanged(modelTime(now), &f.keptStores[i], w.salt, w.part, w.held)
+				entry.UpdateStoredPart(modelTime(now), &f.keptStores[i], w.salt, w.part, w.held)
 			}
 		}
 		store.words = later
@@ -129,7 +129,7 @@
 	}
 	for i := range f.servers[:len(f.servers)/3] {
 		for _, entry := range f.entries {
-			entry.Emptied(f.servers[i].ID)
+			entry.ForgetCache(f.servers[i].ID)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 	f.stores = map[string]*modelStore{}
 	for _, address := range []string{"store1", "store2"}[:stores] {
 		f.stores[address] = newModelStore(1000000, 290000)
-		f.keptStores = append(f.keptStores, routing.NewKeptStore(address, "a", 290000))
+		f.keptStores = append(f.keptStores, routing.NewKVCacheStore(address, "a", 290000))
 	}
 	f.play(20000)
 	r := f.results()["all"]
--- a/internal/routing/overload_test.go
+++ b/internal/routing/overload_test.go
@@ -106,10 +106,10 @@
 			continue
 		}
 		for k, entry := range all[i-5 : i+1] {
-			placed := entry.Placed()
+			placed := entry.TakePlacedHints()
 			require.NotEmpty(t, placed)
 			for _, other := range all[i+1:] {
-				other.HearPlaced(now, uint32(i+k), placed) //nolint:gosec // few
+				other.ReceivePlacedHints(now, uint32(i+k), placed) //nolint:gosec // few
 			}
 		}
 	}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -66,7 +66,7 @@
 
 // Choose decides where to offer a request, given the offers of it that were
 // refused so far. ErrNoServer when no server may take it.
-func (r *Router) Choose(now time.Time, req *Request, pool *PoolPolicy, set *Set, tried []Tried) (Decision, error) {
+func (r *Router) Choose(now time.Time, req *Request, pool *PoolPolicy, set *Set, tried []RefusedOffer) (Decision, error) {
 	if r.strategy == nil {
 		return Decision{}, eris.Wrapf(ErrUnknownPolicy, "policy %q", r.options.Policy)
 	}
@@ -80,7 +80,7 @@
 		return r.conclude(c)
 	}
 	if r.strategy.askAll && req.Probes == nil {
-		return Decision{Ask: names(set), Policy: r.strategy.name}, nil
+		return Decision{ProbeServers: names(set), Policy: r.strategy.name}, nil
 	}
 	for _, find := range r.strategy.sources {
 		find(r, c)
@@ -89,7 +89,7 @@
 	c.pick()
 	if r.strategy.ask > 0 && req.Probes == nil && c.inDoubt(r.strategy.askAboveMS) {
 		if ask := c.cheapest(r.strategy.ask); len(ask) > 0 {
-			return Decision{Ask: ask, Candidates: c.explain(), Policy: r.strategy.name}, nil
+			return Decision{ProbeServers: ask, Candidates: c.explain(), Policy: r.strategy.name}, nil
 		}
 	}
 	if c.best < 0 {
@@ -102,7 +102,7 @@
 	return r.conclude(c)
 }
 
-func (r *Router) begin(now time.Time, req *Request, pool *PoolPolicy, set *Set, tried []Tried) *choice {
+func (r *Router) begin(now time.Time, req *Request, pool *PoolPolicy, set *Set, tried []RefusedOffer) *choice {
 	c := &r.scratch
 	c.now, c.req, c.policy, c.view, c.tried = now, req, pool, r.viewOf(set), tried
 	c.level, c.averageMS, c.common = nil, r.averageMS, r.common
@@ -193,8 +193,8 @@
 	return all
 }
 
-// Learn takes in the state that rode on an agent's answer.
-func (r *Router) Learn(now time.Time, server string, state *jayv1.AgentState) {
+// UpdateState takes in the state that rode on an agent's answer.
+func (r *Router) UpdateState(now time.Time, server string, state *jayv1.AgentState) {
 	if state == nil {
 		return
 	}
@@ -203,9 +203,9 @@
 	}
 }
 
-// Saw takes in an agent's exact answer about a prompt: which part of it is
+// ObserveCache takes in an agent's exact answer about a prompt: which part of it is
 // cached at the server, by the engine with the incarnation.
-func (r *Router) Saw(now time.Time, server string, req *Request, cachedBytes int, incarnation uint64) {
+func (r *Router) ObserveCache(now time.Time, server string, req *Request, cachedBytes int, incarnation uint64) {
 	b := r.backend(server)
 	for _, point := range req.Chain {
 		r.beliefs.put(point.GetHash(), holder{
@@ -215,10 +215,10 @@
 	}
 }
 
-// HandedOver takes in that a server accepted the request and promised its
+// HandedOff takes in that a server accepted the request and promised its
 // first token in expectedMS. The state that came with the acceptance, learned
 // before, counts the request; its prompt will be cached there.
-func (r *Router) HandedOver(now time.Time, server string, req *Request, expectedMS float64) {
+func (r *Router) HandedOff(now time.Time, server string, req *Request, expectedMS float64) {
 	b := r.backend(server)
 	b.inFlight++
 	r.pending[req.ID] = promise{backend: b, expectedMS: expectedMS}
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -68,7 +68,7 @@
 		options.Membership = out
 		r := routing.New(options)
 		set := routing.NewSet("p", list)
-		var tried []routing.Tried
+		var tried []routing.RefusedOffer
 		for _, server := range list {
 			switch rapid.IntRange(0, 6).Draw(t, "fault") {
 			case 0:
@@ -76,23 +76,23 @@
 			case 1:
 				leaving := state(1, 0)
 				leaving.Leaving = true
-				r.Learn(epoch, server.Name, leaving)
+				r.UpdateState(epoch, server.Name, leaving)
 				excluded[server.Name] = true
 			case 2:
-				tried = append(tried, routing.Tried{Server: server.Name, Refusal: jayv1.Refusal_REFUSAL_QUEUE_FULL})
+				tried = append(tried, routing.RefusedOffer{Server: server.Name, Refusal: jayv1.Refusal_REFUSAL_QUEUE_FULL})
 				excluded[server.Name] = true
 			case 3:
-				r.Learn(epoch, server.Name, &jayv1.AgentState{Incarnation: 1})
+				r.UpdateState(epoch, server.Name, &jayv1.AgentState{Incarnation: 1})
 				excluded[server.Name] = true
 			default:
-				r.Learn(epoch, server.Name, state(1, rapid.Float64Range(0, 500).Draw(t, "queue")))
-				r.Saw(epoch, server.Name, document(1, 1), 1<<20, 1)
+				r.UpdateState(epoch, server.Name, state(1, rapid.Float64Range(0, 500).Draw(t, "queue")))
+				r.ObserveCache(epoch, server.Name, document(1, 1), 1<<20, 1)
 			}
 		}
 		decision, err := r.Choose(epoch, document(1, 1), pool, set, tried)
-		if len(decision.Ask) > 0 {
+		if len(decision.ProbeServers) > 0 {
 			req := document(1, 1)
-			for _, server := range decision.Ask {
+			for _, server := range decision.ProbeServers {
 				req.Probes = append(req.Probes, routing.Probe{Server: server, CostMS: 1})
 			}
 			decision, err = r.Choose(epoch, req, pool, set, tried)
@@ -117,10 +117,10 @@
 		current := uint64(rapid.IntRange(1, 3).Draw(t, "current"))
 		late := uint64(rapid.IntRange(1, 3).Draw(t, "late"))
 		for _, server := range servers(set.Len()) {
-			r.Learn(epoch, server.Name, state(believed, 0))
-			r.Saw(epoch, server.Name, document(1, 1), 1<<20, believed)
-			r.Learn(epoch, server.Name, state(current, 0))
-			r.Learn(epoch, server.Name, state(late, 0))
+			r.UpdateState(epoch, server.Name, state(believed, 0))
+			r.ObserveCache(epoch, server.Name, document(1, 1), 1<<20, believed)
+			r.UpdateState(epoch, server.Name, state(current, 0))
+			r.UpdateState(epoch, server.Name, state(late, 0))
 		}
 		decision, err := r.Choose(epoch, document(1, 1), pool, set, nil)
 		require.NoError(t, err)
@@ -152,8 +152,8 @@
 		second, err := two.Choose(epoch, req, pool, routing.NewSet("p", list), nil)
 		require.NoError(t, err)
 		assert.Equal(t, first.Server, second.Server)
-		assert.ElementsMatch(t, first.Ask, second.Ask)
-		assert.Equal(t, len(list) == 1 || !strings.HasPrefix(policy, "ask"), len(first.Ask) == 0)
+		assert.ElementsMatch(t, first.ProbeServers, second.ProbeServers)
+		assert.Equal(t, len(list) == 1 || !strings.HasPrefix(policy, "ask"), len(first.ProbeServers) == 0)
 	})
 }
 
@@ -168,8 +168,8 @@
 			decision, err := r.Choose(now, req, pool, set, nil)
 			require.NoError(t, err)
 			assert.LessOrEqual(t, len(decision.Candidates), bound)
-			r.Learn(now, decision.Server, state(1, float64(i%50)))
-			r.HandedOver(now, decision.Server, req, decision.ExpectedMS)
+			r.UpdateState(now, decision.Server, state(1, float64(i%50)))
+			r.HandedOff(now, decision.Server, req, decision.ExpectedMS)
 			r.Finished(now, decision.Server, req, 10)
 		}
 	}
@@ -180,8 +180,8 @@
 func TestBeliefEndsWithTheCachesSurvivalTime(t *testing.T) {
 	r := routing.New(option(routing.PolicyBeliefs, 1))
 	set := routing.NewSet("p", servers(1))
-	r.Learn(epoch, "runner-0", state(1, 0))
-	r.Saw(epoch, "runner-0", document(1, 1), 1<<20, 1)
+	r.UpdateState(epoch, "runner-0", state(1, 0))
+	r.ObserveCache(epoch, "runner-0", document(1, 1), 1<<20, 1)
 	for after, want := range map[time.Duration]string{4 * time.Second: "seen", 6 * time.Second: "none"} {
 		decision, err := r.Choose(epoch.Add(after), document(1, 1), pool, set, nil)
 		require.NoError(t, err)
@@ -192,7 +192,7 @@
 func TestDeclinesKeepTheServerInTheChoiceAndEndInAFinalOffer(t *testing.T) {
 	r := routing.New(option(routing.PolicyOffers, 1))
 	set := routing.NewSet("p", servers(12))
-	var tried []routing.Tried
+	var tried []routing.RefusedOffer
 	for offers := 1; ; offers++ {
 		decision, err := r.Choose(epoch, document(1, 1), pool, set, tried)
 		require.NoError(t, err)
@@ -201,7 +201,7 @@
 			return
 		}
 		require.Greater(t, decision.NextBestMS, decision.ExpectedMS)
-		tried = append(tried, routing.Tried{
+		tried = append(tried, routing.RefusedOffer{
 			Server: decision.Server, Refusal: jayv1.Refusal_REFUSAL_COST, CostMS: 10000 + float64(offers),
 		})
 	}
@@ -217,8 +217,8 @@
 	before, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
 	for range 10 {
-		r.Learn(epoch, before.Server, state(1, 0))
-		r.HandedOver(epoch, before.Server, req, 50)
+		r.UpdateState(epoch, before.Server, state(1, 0))
+		r.HandedOff(epoch, before.Server, req, 50)
 		r.Finished(epoch, before.Server, req, 2000)
 	}
 	after, err := r.Choose(epoch, req, pool, set, nil)
@@ -234,24 +234,24 @@
 	req := document(1, 1)
 	cold, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
-	require.Len(t, cold.Ask, 4)
-	holder := cold.Ask[2]
-	r.Learn(epoch, holder, state(1, 0))
-	r.Saw(epoch, holder, req, req.PromptBytes, 1)
+	require.Len(t, cold.ProbeServers, 4)
+	holder := cold.ProbeServers[2]
+	r.UpdateState(epoch, holder, state(1, 0))
+	r.ObserveCache(epoch, holder, req, req.PromptBytes, 1)
 	seen, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
 	assert.Equal(t, holder, seen.Server)
 	assert.False(t, seen.Final, "the agent may still decline")
-	for _, neighbour := range cold.Ask {
+	for _, neighbour := range cold.ProbeServers {
 		if neighbour != holder {
-			r.Learn(epoch, neighbour, state(1, 0))
-			r.Saw(epoch, neighbour, req, 0, 1)
+			r.UpdateState(epoch, neighbour, state(1, 0))
+			r.ObserveCache(epoch, neighbour, req, 0, 1)
 		}
 	}
-	r.Learn(epoch, holder, state(1, 100))
+	r.UpdateState(epoch, holder, state(1, 100))
 	busy, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
-	assert.Len(t, busy.Ask, 4, "its queue is worth a question although it is the best known")
+	assert.Len(t, busy.ProbeServers, 4, "its queue is worth a question although it is the best known")
 }
 
 // An entry presumes that a prefix's own servers hold it, and one of them says
@@ -273,8 +273,8 @@
 		return ""
 	}
 	assert.Equal(t, "presumed", evidence())
-	r.Learn(epoch, first.Server, state(1, 0))
-	r.Saw(epoch, first.Server, req, 0, 1)
+	r.UpdateState(epoch, first.Server, state(1, 0))
+	r.ObserveCache(epoch, first.Server, req, 0, 1)
 	assert.Equal(t, "none", evidence())
 }
 
@@ -286,14 +286,14 @@
 	req := document(1, 1)
 	cold, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
-	for i, server := range cold.Ask {
-		r.Learn(epoch, server, state(1, 0))
+	for i, server := range cold.ProbeServers {
+		r.UpdateState(epoch, server, state(1, 0))
 		req.Probes = append(req.Probes, routing.Probe{Server: server, CostMS: 900 - 200*float64(i)})
 	}
 	req.Probes[0].CachedBytes = req.PromptBytes
 	decision, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
-	assert.Equal(t, cold.Ask[3], decision.Server)
+	assert.Equal(t, cold.ProbeServers[3], decision.Server)
 	assert.True(t, decision.Final)
 }
 
@@ -331,13 +331,13 @@
 func warm(n int, set *routing.Set) (*routing.Router, []*routing.Request) {
 	r := routing.New(option("", 1))
 	for _, server := range servers(n) {
-		r.Learn(epoch, server.Name, state(1, 5))
+		r.UpdateState(epoch, server.Name, state(1, 5))
 	}
 	requests := make([]*routing.Request, 256)
 	for i := range requests {
 		requests[i] = document(i%16, i)
 		decision, _ := r.Choose(epoch, requests[i], pool, set, nil)
-		r.Saw(epoch, decision.Server, requests[i], requests[i].PromptBytes, 1)
+		r.ObserveCache(epoch, decision.Server, requests[i], requests[i].PromptBytes, 1)
 	}
 	return r, requests
 }
@@ -361,7 +361,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range points / 20 {
-			r.Saw(epoch, "runner-0", fresh(i), 1<<20, 1)
+			r.ObserveCache(epoch, "runner-0", fresh(i), 1<<20, 1)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/routing/trial_test.go
+++ b/internal/routing/trial_test.go
@@ -168,7 +168,7 @@
 	now := epoch.Add(end.at)
 	s := t.servers[end.server]
 	s.inService--
-	t.entries[end.entry].Learn(now, t.names[end.server], s.state(end.at))
+	t.entries[end.entry].UpdateState(now, t.names[end.server], s.state(end.at))
 	t.entries[end.entry].Finished(now, t.names[end.server], end.req, end.ttft)
 }
 
@@ -177,21 +177,21 @@
 	blocks := load.BlockChain(call)
 	req := &routing.Request{ID: fmt.Sprint(call.Index), Chain: chain.Points, Levels: chain.Levels, PromptBytes: chain.Bytes}
 	router, now, hops := t.entries[e], epoch.Add(at), 1.0
-	var tried []routing.Tried
+	var tried []routing.RefusedOffer
 	t.calls++
 	for {
 		d, err := router.Choose(now, req, t.pool, t.set, tried)
 		if err != nil {
 			panic(err)
 		}
-		if len(d.Ask) > 0 {
-			t.asks += len(d.Ask)
+		if len(d.ProbeServers) > 0 {
+			t.asks += len(d.ProbeServers)
 			hops++
-			for _, name := range d.Ask {
+			for _, name := range d.ProbeServers {
 				s := t.servers[t.byName[name]]
 				cached := s.hits(blocks) * 64
-				router.Learn(now, name, s.state(at))
-				router.Saw(now, name, req, cached, 1)
+				router.UpdateState(now, name, s.state(at))
+				router.ObserveCache(now, name, req, cached, 1)
 				req.Probes = append(req.Probes, routing.Probe{Server: name, CostMS: s.cost(at, blocks, chain.Bytes), CachedBytes: cached})
 			}
 			continue
@@ -200,16 +200,16 @@
 		i := t.byName[d.Server]
 		s := t.servers[i]
 		cached, cost := s.hits(blocks)*64, s.cost(at, blocks, chain.Bytes)
-		router.Learn(now, d.Server, s.state(at))
-		router.Saw(now, d.Server, req, cached, 1)
+		router.UpdateState(now, d.Server, s.state(at))
+		router.ObserveCache(now, d.Server, req, cached, 1)
 		if !d.Final && d.NextBestMS > 0 && cost > d.NextBestMS {
 			hops++
-			tried = append(tried, routing.Tried{Server: d.Server, Refusal: jayv1.Refusal_REFUSAL_COST, CostMS: cost, CachedBytes: cached})
+			tried = append(tried, routing.RefusedOffer{Server: d.Server, Refusal: jayv1.Refusal_REFUSAL_COST, CostMS: cost, CachedBytes: cached})
 			continue
 		}
 		t.accept(at, e, i, call, req, blocks, cost+hops*trialHopMS)
-		router.Learn(now, d.Server, s.state(at))
-		router.HandedOver(now, d.Server, req, cost)
+		router.UpdateState(now, d.Server, s.state(at))
+		router.HandedOff(now, d.Server, req, cost)
 		return
 	}
 }
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -32,8 +32,8 @@
 	Queued                 int
 	Slots                  int
 	PrefillTokensPerSecond float64
-	CacheSurvival          time.Duration
-	Leaving                bool
+	CacheRetention         time.Duration
+	Draining               bool
 	Ready                  bool
 }
 
@@ -72,9 +72,9 @@
 	CachedBytes int
 }
 
-// Tried is an offer of the same request that an agent refused. A refusal for
+// RefusedOffer is an offer of the same request that an agent refused. A refusal for
 // cost leaves the server in the choice, with its true cost; any other takes it out.
-type Tried struct {
+type RefusedOffer struct {
 	Server      string
 	Refusal     jayv1.Refusal
 	CostMS      float64
@@ -93,9 +93,9 @@
 	Incarnation uint64
 	// Final: the offer must not be declined for cost.
 	Final bool
-	// Ask names the servers to probe before Choose is called again with
+	// ProbeServers names the servers to probe before Choose is called again with
 	// Request.Probes; Server is empty then. Only asking policies set it.
-	Ask []string
+	ProbeServers []string
 	// Candidates with their terms, in the order in which they were found.
 	Candidates []*jayv1.CandidateTerms
 	Policy     string
--- a/tools/slopes/gossip.go
+++ b/tools/slopes/gossip.go
@@ -109,7 +109,7 @@
 			fault = err
 		}
 		now = now.Add(time.Millisecond)
-		router.Learn(now, decoded.GetBackendServer(), decoded)
+		router.UpdateState(now, decoded.GetBackendServer(), decoded)
 	})
 	return cost, fault
 }
--- a/tools/slopes/routing.go
+++ b/tools/slopes/routing.go
@@ -108,11 +108,11 @@
 		return nil, err
 	}
 	for i := range n {
-		r.Learn(now, fmt.Sprintf("runner-%05d", i), agentState(1))
+		r.UpdateState(now, fmt.Sprintf("runner-%05d", i), agentState(1))
 	}
 	for i := 0; points > 0; i++ {
 		req := document(i, i)
-		r.Saw(now, fmt.Sprintf("runner-%05d", i%n), req, req.PromptBytes, 1)
+		r.ObserveCache(now, fmt.Sprintf("runner-%05d", i%n), req, req.PromptBytes, 1)
 		points -= len(req.Chain)
 	}
 	return r, nil
