--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -47,33 +47,33 @@
 	totalMS     float64
 }
 
-// view is a set together with what is known of its servers.
-type view struct {
+// boundSet is a set together with what is known of its servers.
+type boundSet struct {
 	set      *Set
 	backends []*backend
 }
 
 // choice is the scratch space of one decision.
 type choice struct {
-	now    time.Time
-	req    *Request
-	policy *PoolPolicy
-	view   *view
-	tried  []RefusedOffer
+	now      time.Time
+	req      *Request
+	policy   *PoolPolicy
+	bound    *boundSet
+	refusals []RefusedOffer
 
-	level      *level // main shared level; nil without one
-	levelPoint int
-	averageMS  float64
-	common     tardiness
-	candidates [maxCandidates]candidate
-	n          int
-	best, next int // indexes into candidates, -1: none
-	declined   int // refusals for cost so far
+	shared         *sharedPrefix // main shared level; nil without one
+	sharedPoint    int
+	averageQueueMS float64
+	commonLateness lateness
+	candidates     [maxCandidates]candidate
+	n              int
+	best, next     int // indexes into candidates, -1: none
+	declined       int // refusals for cost so far
 }
 
 // add makes the server a candidate, once.
 func (c *choice) add(index int32, source string) *candidate {
-	backend := c.view.backends[index]
+	backend := c.bound.backends[index]
 	if found := c.find(backend); found != nil {
 		return found
 	}
@@ -101,7 +101,7 @@
 	for i := range c.candidates[:c.n] {
 		from, to := &c.candidates[i], &terms[i]
 		to.BackendServer = from.backend.name
-		to.DataCentre = c.view.set.servers[from.index].DataCentre
+		to.DataCentre = c.bound.set.servers[from.index].DataCentre
 		to.Source = from.source
 		to.Evidence = from.evidence
 		to.CachedBytes = uint32(from.cachedBytes)
--- a/internal/routing/direct_hints.go
+++ b/internal/routing/direct_hints.go
@@ -23,37 +23,37 @@
 	PrefillMS float64
 }
 
-// maxNewsHints bounds the hints that wait to be sent; the newest are dropped.
-const maxNewsHints = 256
+// maxPendingHints bounds the hints that wait to be sent; the newest are dropped.
+const maxPendingHints = 256
 
-// loadHintLife is how long another entry's word on its unread prompts counts,
+// loadHintLifetime is how long another entry's word on its unread prompts counts,
 // fading: engines read them in some hundred milliseconds.
-const loadHintLife = 400 * time.Millisecond
+const loadHintLifetime = 400 * time.Millisecond
 
-// heardLoad is what one other entry said of one server.
-type heardLoad struct {
-	readMS float64
-	at     time.Time
+// receivedLoad is what one other entry said of one server.
+type receivedLoad struct {
+	prefillMS float64
+	at        time.Time
 }
 
-// note keeps a hint for the other entries.
-func (d *Direct) note(prefix uint32, server string, readyIn time.Duration) {
-	if len(d.news) < maxNewsHints {
-		d.news = append(d.news, PrefixHint{Prefix: prefix, Server: server, ReadyIn: readyIn})
+// recordHint keeps a hint for the other entries.
+func (d *Direct) recordHint(prefix uint32, server string, readyIn time.Duration) {
+	if len(d.prefixHints) < maxPendingHints {
+		d.prefixHints = append(d.prefixHints, PrefixHint{Prefix: prefix, Server: server, ReadyIn: readyIn})
 	}
 }
 
 // TakePrefixHints returns what others should hear since the last call.
 func (d *Direct) TakePrefixHints() []PrefixHint {
-	news := d.news
-	d.news = nil
-	return news
+	hints := d.prefixHints
+	d.prefixHints = nil
+	return hints
 }
 
 // ReceivePrefixHints takes in hints of another entry.
 func (d *Direct) ReceivePrefixHints(now time.Time, hints []PrefixHint) {
 	for _, h := range hints {
-		d.prefixes.coming(now, h.Prefix, h.Server, h.Address, now.Add(h.ReadyIn))
+		d.prefixes.add(now, h.Prefix, h.Server, h.Address, now.Add(h.ReadyIn))
 	}
 }
 
@@ -61,8 +61,8 @@
 func (d *Direct) LoadHints() []LoadHint {
 	var loads []LoadHint
 	for server, l := range d.loads {
-		if l.readMS >= 1 {
-			loads = append(loads, LoadHint{Server: server, PrefillMS: l.readMS})
+		if l.prefillMS >= 1 {
+			loads = append(loads, LoadHint{Server: server, PrefillMS: l.prefillMS})
 		}
 	}
 	return loads
@@ -72,23 +72,23 @@
 // name have none of them.
 func (d *Direct) ReceiveLoadHints(now time.Time, entry uint32, loads []LoadHint) {
 	for _, l := range d.loads {
-		delete(l.heard, entry)
+		delete(l.receivedLoads, entry)
 	}
 	for _, hint := range loads {
-		d.load(hint.Server).heard[entry] = heardLoad{readMS: hint.PrefillMS, at: now}
+		d.load(hint.Server).receivedLoads[entry] = receivedLoad{prefillMS: hint.PrefillMS, at: now}
 	}
 }
 
-// othersMS is what the other entries' unread prompts at a server take.
-func (l *directLoad) othersMS(now time.Time) float64 {
+// hintedPrefillMS is what the other entries' unread prompts at a server take.
+func (l *directLoad) hintedPrefillMS(now time.Time) float64 {
 	sum := 0.0
-	for _, h := range l.heard {
-		sum += h.faded(now)
+	for _, h := range l.receivedLoads {
+		sum += h.remaining(now)
 	}
 	return sum
 }
 
-// faded is what is left of a word by now.
-func (h heardLoad) faded(now time.Time) float64 {
-	return h.readMS * max(0, 1-float64(now.Sub(h.at))/float64(loadHintLife))
+// remaining is what is left of a word by now.
+func (h receivedLoad) remaining(now time.Time) float64 {
+	return h.prefillMS * max(0, 1-float64(now.Sub(h.at))/float64(loadHintLifetime))
 }
--- a/internal/routing/direct_load.go
+++ b/internal/routing/direct_load.go
@@ -10,48 +10,48 @@
 type directLoad struct {
 	// running counts our own requests there; readMS is the prompt work of those
 	// without a first token yet.
-	running int
-	readMS  float64
-	// others counts requests of other entries, as of othersAt.
-	others   float64
-	othersAt time.Time
-	// heard is what other entries said of their unread prompts here.
-	heard map[uint32]heardLoad
+	running   int
+	prefillMS float64
+	// otherRequests counts requests of other entries, as of othersAt.
+	otherRequests   float64
+	otherRequestsAt time.Time
+	// receivedLoads is what other entries said of their unread prompts here.
+	receivedLoads map[uint32]receivedLoad
 	// tokens of our own requests in its memory, heardTokens those of others.
-	tokens      int
-	heardTokens map[uint32]heardTokens
+	tokens         int
+	receivedMemory map[uint32]receivedTokens
 	// serviceMS is the mean time of an answer of a plain service.
 	serviceMS float64
 }
 
 type pendingRun struct {
-	server string
-	readMS float64
-	tokens int
+	server    string
+	prefillMS float64
+	tokens    int
 	// keys of the prefix's levels, outermost first.
-	keys  []uint32
-	at    time.Time
-	first bool
-	// until is when it counts no more though its end was not told; zero: never.
-	until time.Time
-	// saves names the part that is sent to a store when it was read; 0: none.
-	saves uint32
+	keys          []uint32
+	at            time.Time
+	hasFirstToken bool
+	// expiresAt is when it counts no more though its end was not told; zero: never.
+	expiresAt time.Time
+	// savedPart names the part that is sent to a store when it was read; 0: none.
+	savedPart uint32
 }
 
 func (d *Direct) load(server string) *directLoad {
 	l, ok := d.loads[server]
 	if !ok {
-		l = &directLoad{serviceMS: plainMS, heard: map[uint32]heardLoad{}, heardTokens: map[uint32]heardTokens{}}
+		l = &directLoad{serviceMS: defaultServiceMS, receivedLoads: map[uint32]receivedLoad{}, receivedMemory: map[uint32]receivedTokens{}}
 		d.loads[server] = l
 	}
 	return l
 }
 
-func (d *Direct) queueMS(now time.Time, s *DirectServer, plain bool) float64 {
+func (d *Direct) queueMS(now time.Time, s *DirectServer, withoutPrompt bool) float64 {
 	l := d.load(s.ID)
-	others := l.others * max(0, 1-float64(now.Sub(l.othersAt))/float64(reportLife))
-	if !plain {
-		return l.readMS + d.otherReadMS(now, l) + runMS*float64(l.running) + otherMS*others
+	others := l.otherRequests * max(0, 1-float64(now.Sub(l.otherRequestsAt))/float64(reportLifetime))
+	if !withoutPrompt {
+		return l.prefillMS + d.othersPrefillMS(now, l) + runningRequestMS*float64(l.running) + otherEntryRequestMS*others
 	}
 	// Work beyond the slots waits for one of them.
 	slots := float64(max(s.Slots, 1))
@@ -60,26 +60,26 @@
 	return wait + l.serviceMS*(1+ahead/slots/2)
 }
 
-// otherReadMS is what the unread prompts of other entries at a server take: as
+// othersPrefillMS is what the unread prompts of other entries at a server take: as
 // they tell, or guessed from our own where they have told nothing of late.
-func (d *Direct) otherReadMS(now time.Time, l *directLoad) float64 {
-	guess := l.readMS * float64(min(max(d.entries, 1), maxEntryFactor)-1)
-	told := l.othersMS(now)
-	return guessShare*guess + told
+func (d *Direct) othersPrefillMS(now time.Time, l *directLoad) float64 {
+	estimate := l.prefillMS * float64(min(max(d.entries, 1), maxEntryFactor)-1)
+	hinted := l.hintedPrefillMS(now)
+	return estimateShare*estimate + hinted
 }
 
 // FirstToken tells that the prompt of a request was read: its prefix is cached there.
 func (d *Direct) FirstToken(now time.Time, request string) {
 	run := d.pending[request]
-	if run == nil || run.first {
+	if run == nil || run.hasFirstToken {
 		return
 	}
-	run.first = true
+	run.hasFirstToken = true
 	if l := d.loads[run.server]; l != nil {
-		l.readMS = max(0, l.readMS-run.readMS)
+		l.prefillMS = max(0, l.prefillMS-run.prefillMS)
 	}
 	for _, key := range run.keys {
-		d.prefixes.held(now, key, run.server)
+		d.prefixes.markReady(now, key, run.server)
 	}
 }
 
@@ -87,7 +87,7 @@
 // lost, or the entry that sent it is gone.
 func (d *Direct) Expire(now time.Time) {
 	for request, run := range d.pending {
-		if !run.until.IsZero() && now.After(run.until) {
+		if !run.expiresAt.IsZero() && now.After(run.expiresAt) {
 			d.Finished(now, request, false)
 		}
 	}
@@ -102,16 +102,16 @@
 	}
 	delete(d.pending, request)
 	d.tokens -= run.tokens
-	if !run.first {
+	if !run.hasFirstToken {
 		for _, key := range run.keys {
-			d.prefixes.lost(now, key, run.server)
+			d.prefixes.removePending(now, key, run.server)
 		}
-		if run.saves != 0 {
-			d.kept.notSaved(run.saves)
+		if run.savedPart != 0 {
+			d.stores.cancelSave(run.savedPart)
 		}
 	}
 	if ran && run.tokens > 0 {
-		d.stayed(run, now)
+		d.observeResidence(run, now)
 	}
 	if l := d.loads[run.server]; l != nil {
 		l.finished(now, run, ran)
@@ -123,12 +123,12 @@
 func (l *directLoad) finished(now time.Time, run *pendingRun, ran bool) {
 	l.running = max(0, l.running-1)
 	l.tokens = max(0, l.tokens-run.tokens)
-	if !run.first {
-		l.readMS = max(0, l.readMS-run.readMS)
+	if !run.hasFirstToken {
+		l.prefillMS = max(0, l.prefillMS-run.prefillMS)
 	}
 	if ran {
-		took := float64(now.Sub(run.at)) / float64(time.Millisecond)
-		l.serviceMS += meanGain * (took - l.serviceMS)
+		tookMS := float64(now.Sub(run.at)) / float64(time.Millisecond)
+		l.serviceMS += meanGain * (tookMS - l.serviceMS)
 	}
 }
 
@@ -136,19 +136,19 @@
 // requests there are in it.
 func (d *Direct) UpdateLoad(now time.Time, server string, load call.Load) {
 	l := d.load(server)
-	l.others = float64(max(0, load.Running+load.Waiting-l.running))
-	l.othersAt = now
+	l.otherRequests = float64(max(0, load.Running+load.Waiting-l.running))
+	l.otherRequestsAt = now
 }
 
 // RemoveServer forgets a server that is gone.
 func (d *Direct) RemoveServer(server string) {
 	delete(d.loads, server)
-	d.prefixes.forget(server)
+	d.prefixes.removeServer(server)
 }
 
 // ForgetCache tells that a server holds nothing any more: it took new weights, or
 // its lifetime is over.
-func (d *Direct) ForgetCache(server string) { d.prefixes.forget(server) }
+func (d *Direct) ForgetCache(server string) { d.prefixes.removeServer(server) }
 
 // ServerOf returns the server that a request under way was counted at; empty
 // when it is not known.
--- a/internal/routing/direct_offer.go
+++ b/internal/routing/direct_offer.go
@@ -22,8 +22,8 @@
 		Terms: DirectTerms{QueueMS: offer.QueueMS, MemoryMS: offer.MemoryMS, PrefillMS: offer.PrefillMS},
 	}
 	if p != nil {
-		v := p.byVer(offer.Server.Version)
-		choice.Salt, choice.Prefix = v.salt, v.deepest()
+		v := p.forVersion(offer.Server.Version)
+		choice.Salt, choice.Prefix = v.salt, v.deepestKey()
 		choice.Source, choice.FetchFrom, choice.SaveTo = offer.Source, offer.FetchFrom, offer.SaveTo
 	}
 	d.commit(now, req, &choice, p)
@@ -40,30 +40,30 @@
 
 // ReceiveHolder takes in that a server, which another router places onto perhaps,
 // holds the shared prefix of a request.
-func (d *Direct) ReceiveHolder(now time.Time, req *DirectRequest, held PrefixHolder) {
-	v := d.versionPlan(now, req, held.Version)
+func (d *Direct) ReceiveHolder(now time.Time, req *DirectRequest, holder PrefixHolder) {
+	v := d.versionPlan(now, req, holder.Version)
 	for i := range v.levels {
-		d.prefixes.coming(now, v.levels[i].key, held.Server, held.Address, now.Add(held.ReadyIn))
+		d.prefixes.add(now, v.levels[i].key, holder.Server, holder.Address, now.Add(holder.ReadyIn))
 	}
 }
 
 // PlacedElsewhere takes back a request that this router chose a server for: it was
 // sent to another router's server, which holds its prefix from then on. Without
 // that word the next request with the prefix would be read here once more.
-func (d *Direct) PlacedElsewhere(now time.Time, request string, held PrefixHolder) {
+func (d *Direct) PlacedElsewhere(now time.Time, request string, holder PrefixHolder) {
 	run := d.pending[request]
 	if run == nil {
 		return
 	}
 	d.Finished(now, request, false)
 	for _, key := range run.keys {
-		d.prefixes.coming(now, key, held.Server, held.Address, now.Add(held.ReadyIn))
+		d.prefixes.add(now, key, holder.Server, holder.Address, now.Add(holder.ReadyIn))
 	}
 }
 
 // Holder is who holds the prefix of an offered request: the offered server, or
 // the one that it would fetch from. False: nobody is known to.
-func (o *Offer) Holder() (holding PrefixHolder, ok bool) {
+func (o *Offer) Holder() (holder PrefixHolder, ok bool) {
 	switch o.Source {
 	case SourceHeld:
 		return PrefixHolder{Server: o.Server.ID, Address: o.Server.Address, Version: o.Server.Version}, true
@@ -73,15 +73,15 @@
 	return PrefixHolder{}, false
 }
 
-// goodWaitMS of an offer, above which another one is worth a second question,
+// maxGoodWaitMS of an offer, above which another one is worth a second question,
 // which takes a few milliseconds and may end in one more copy of the prefix. In
 // the model of TestShardsKnowWhatALargeFleetDoes the net share was 0.897 with
 // 60 ms, 0.906 with 120 and 0.911 with 250; callers wait for about a second.
-const goodWaitMS = 150
+const maxGoodWaitMS = 150
 
 // GoodOffer tells whether a request that would wait so long for other work and
 // for memory need not ask another owner.
-func GoodOffer(queueMS, memoryMS float64) bool { return queueMS+memoryMS <= goodWaitMS }
+func GoodOffer(queueMS, memoryMS float64) bool { return queueMS+memoryMS <= maxGoodWaitMS }
 
 // RendezvousKey is the key by which servers are ranked for a request's prefix under a
 // version of the weights: the owner of the first of them is asked, and an entry
--- a/internal/routing/filter.go
+++ b/internal/routing/filter.go
@@ -10,7 +10,7 @@
 const (
 	filteredRefused    = "refused this request"
 	filteredMembership = "not usable"
-	filteredLeaving    = "leaving"
+	filteredDraining   = "leaving"
 	filteredNotReady   = "not ready"
 	filteredVersion    = "version not loaded"
 	filteredAdapter    = "adapter not loaded"
@@ -24,15 +24,15 @@
 
 // reason returns why the server may not serve the request, "" when it may.
 func (f filter) reason(c *choice, index int32) string {
-	server, b := &c.view.set.servers[index], c.view.backends[index]
+	server, b := &c.bound.set.servers[index], c.bound.backends[index]
 	switch {
 	case len(c.req.DataCentres) > 0 && !slices.Contains(c.req.DataCentres, server.DataCentre):
 		return filteredDataCentre
-	case refused(c.tried, b.name):
+	case refused(c.refusals, b.name):
 		return filteredRefused
 	case f.membership != nil && !f.membership.Usable(b.name):
 		return filteredMembership
-	case b.heard() && c.now.Sub(b.signals.At) <= verdictExpires:
+	case b.hasState() && c.now.Sub(b.signals.At) <= exclusionTimeout:
 		return reported(&b.signals, c.req)
 	}
 	return ""
@@ -42,7 +42,7 @@
 func reported(signals *Signals, req *Request) string {
 	switch {
 	case signals.Draining:
-		return filteredLeaving
+		return filteredDraining
 	case !signals.Ready:
 		return filteredNotReady
 	case missing(signals.VersionDigests, req.VersionDigest):
@@ -58,9 +58,9 @@
 }
 
 // refused tells whether the server refused the request for another reason than cost.
-func refused(tried []RefusedOffer, server string) bool {
-	for i := range tried {
-		if tried[i].Server == server && tried[i].Refusal != jayv1.Refusal_REFUSAL_COST {
+func refused(refusals []RefusedOffer, server string) bool {
+	for i := range refusals {
+		if refusals[i].Server == server && refusals[i].Refusal != jayv1.Refusal_REFUSAL_COST {
 			return true
 		}
 	}
--- a/internal/routing/holders.go
+++ b/internal/routing/holders.go
@@ -7,88 +7,88 @@
 )
 
 const (
-	// rememberedPrefixes bounds the prefixes whose holders are known.
-	rememberedPrefixes = 1 << 13
+	// maxPrefixes bounds the prefixes whose holders are known.
+	maxPrefixes = 1 << 13
 	// maxHolders kept of one prefix; the oldest word goes first.
 	maxHolders = 6
-	// heldAtMost and heldAtLeast bound how long a holder is believed without
+	// maxRetention and heldAtLeast bound how long a holder is believed without
 	// being used; between them the engines' memory and the traffic decide.
-	heldAtMost  = 20 * time.Second
-	heldAtLeast = 1500 * time.Millisecond
-	// comingFor bounds how long a prefix may take to be read.
-	comingFor = 5 * time.Second
+	maxRetention = 20 * time.Second
+	minRetention = 1500 * time.Millisecond
+	// pendingTimeout bounds how long a prefix may take to be read.
+	pendingTimeout = 5 * time.Second
 )
 
-// holding is the belief that a server holds a prefix, from our own requests.
-type holding struct {
+// holderRecord is the belief that a server holds a prefix, from our own requests.
+type holderRecord struct {
 	server  string
 	address string
-	// at of the last use.
-	at time.Time
+	// usedAt of the last use.
+	usedAt time.Time
 	// readyAt is when the prefix has been read there, so that it can be fetched:
 	// with the first token of our own request, or as another entry expects.
 	readyAt time.Time
 }
 
-func (h *holding) ready(now time.Time) bool { return !h.readyAt.After(now) }
+func (h *holderRecord) ready(now time.Time) bool { return !h.readyAt.After(now) }
 
 // never is the readyAt of a prefix whose reading has not shown its end.
 var never = time.Unix(1<<40, 0)
 
-// holders remembers where prefixes were sent.
-type holders struct {
-	of *simplelru.LRU[uint32, []holding]
-	// survival is how long engines keep what is not used, about.
-	survival time.Duration
+// prefixHolders remembers where prefixes were sent.
+type prefixHolders struct {
+	records *simplelru.LRU[uint32, []holderRecord]
+	// retention is how long engines keep what is not used, about.
+	retention time.Duration
 }
 
-func newHolders() *holders {
-	return &holders{of: newLRU[uint32, []holding](rememberedPrefixes), survival: heldAtMost}
+func newPrefixHolders() *prefixHolders {
+	return &prefixHolders{records: newLRU[uint32, []holderRecord](maxPrefixes), retention: maxRetention}
 }
 
-// live returns who is believed to hold or read the prefix, and who held it
+// lookup returns who is believed to hold or read the prefix, and who held it
 // last but may have dropped it since.
-func (h *holders) live(now time.Time, key uint32) (live []holding, last holding) {
-	all, _ := h.of.Get(key)
+func (h *prefixHolders) lookup(now time.Time, key uint32) (live []holderRecord, last holderRecord) {
+	all, _ := h.records.Get(key)
 	for _, one := range all {
-		if one.at.After(last.at) && one.ready(now) {
+		if one.usedAt.After(last.usedAt) && one.ready(now) {
 			last = one
 		}
-		age := now.Sub(one.at)
-		if one.ready(now) && age < h.survival || !one.ready(now) && age < comingFor {
+		age := now.Sub(one.usedAt)
+		if one.ready(now) && age < h.retention || !one.ready(now) && age < pendingTimeout {
 			live = append(live, one)
 		}
 	}
 	return live, last
 }
 
-// coming notes that a request that reads the prefix was sent to a server. It
+// add notes that a request that reads the prefix was sent to a server. It
 // tells whether that is new.
-func (h *holders) coming(now time.Time, key uint32, server, address string, readyAt time.Time) bool {
-	all, _ := h.live(now, key)
+func (h *prefixHolders) add(now time.Time, key uint32, server, address string, readyAt time.Time) bool {
+	all, _ := h.lookup(now, key)
 	for i := range all {
 		if all[i].server == server {
-			all[i].at = now
+			all[i].usedAt = now
 			if readyAt.Before(all[i].readyAt) {
 				all[i].readyAt = readyAt
 			}
-			h.of.Add(key, all)
+			h.records.Add(key, all)
 			return false
 		}
 	}
 	if len(all) >= maxHolders {
 		all = all[1:]
 	}
-	h.of.Add(key, append(all, holding{server: server, address: address, at: now, readyAt: readyAt}))
+	h.records.Add(key, append(all, holderRecord{server: server, address: address, usedAt: now, readyAt: readyAt}))
 	return true
 }
 
-// held notes that a server has read the prefix.
-func (h *holders) held(now time.Time, key uint32, server string) {
-	all, _ := h.of.Get(key)
+// markReady notes that a server has read the prefix.
+func (h *prefixHolders) markReady(now time.Time, key uint32, server string) {
+	all, _ := h.records.Get(key)
 	for i := range all {
 		if all[i].server == server {
-			all[i].at = now
+			all[i].usedAt = now
 			if !all[i].ready(now) {
 				all[i].readyAt = now
 			}
@@ -96,31 +96,31 @@
 	}
 }
 
-// lost notes that a request ended before its prompt was read.
-func (h *holders) lost(now time.Time, key uint32, server string) {
-	all, ok := h.of.Get(key)
+// removePending notes that a request ended before its prompt was read.
+func (h *prefixHolders) removePending(now time.Time, key uint32, server string) {
+	all, ok := h.records.Get(key)
 	if !ok {
 		return
 	}
-	var kept []holding
+	var kept []holderRecord
 	for _, one := range all {
 		if one.server != server || one.ready(now) {
 			kept = append(kept, one)
 		}
 	}
-	h.of.Add(key, kept)
+	h.records.Add(key, kept)
 }
 
-// forget drops a server from all prefixes.
-func (h *holders) forget(server string) {
-	for _, key := range h.of.Keys() {
-		all, _ := h.of.Peek(key)
-		var kept []holding
+// removeServer drops a server from all prefixes.
+func (h *prefixHolders) removeServer(server string) {
+	for _, key := range h.records.Keys() {
+		all, _ := h.records.Peek(key)
+		var kept []holderRecord
 		for _, one := range all {
 			if one.server != server {
 				kept = append(kept, one)
 			}
 		}
-		h.of.Add(key, kept)
+		h.records.Add(key, kept)
 	}
 }
--- a/internal/routing/kept.go
+++ b/internal/routing/kept.go
@@ -42,20 +42,20 @@
 	}
 	ms := float64(tokens) / k.TokensPerSecond * float64(time.Second/time.Millisecond)
 	if dataCentre != k.DataCentre {
-		ms *= farTransfer
+		ms *= remoteTransferFactor
 	}
 	return ms
 }
 
 const (
-	// savedAfter a request was placed that saves its prefix, others can fetch it:
+	// saveDelay a request was placed that saves its prefix, others can fetch it:
 	// it is read first, and transfers queue. Measured 0.3 to 1.5 s.
-	savedAfter = 1200 * time.Millisecond
-	// savedFor is how long a store is taken to hold a prefix that is fetched now
+	saveDelay = 1200 * time.Millisecond
+	// storeRetention is how long a store is taken to hold a prefix that is fetched now
 	// and then; a miss costs a millisecond. Saved again after 3 s instead, the
 	// store turned over before anything was fetched.
-	savedFor = 15 * time.Second
-	// keptLong is how long a store should keep a part: a prefix that is in use comes
+	storeRetention = 15 * time.Second
+	// minStoreRetention is how long a store should keep a part: a prefix that is in use comes
 	// back within some seconds. Each part that it drops sooner raises the share of a
 	// prompt that must be shared by shareStep, up to shareMost; that falls again by
 	// shareRelief a second. What belongs to one request alone takes the room of
@@ -63,40 +63,40 @@
 	// again, with one store and with two: 269 k and 140 k with a share of 0.5 for
 	// good, 489 k and 54 k with none, 298 k and 48 k so; twice or half of each figure
 	// changes that by less than a quarter.
-	keptLong    = 8 * time.Second
-	shareStep   = 0.02
-	shareRelief = 0.02
-	shareMost   = 0.6
+	minStoreRetention = 8 * time.Second
+	neededShareStep   = 0.02
+	neededShareDecay  = 0.02
+	maxNeededShare    = 0.6
 	// saveLinkShare of a store's link that all savers together may take; the rest
 	// is for fetches, and transfers between data centres take twice as long.
 	saveLinkShare = 0.8
-	// farTransfer is how much longer a transfer takes between data centres.
-	farTransfer = 2
+	// remoteTransferFactor is how much longer a transfer takes between data centres.
+	remoteTransferFactor = 2
 	// saveBurst is for how long unused link is saved up: new weights make all
 	// prefixes first ones within a second or two.
 	saveBurst = 2 * time.Second
-	// sureFor is how long after its last use another server is trusted to hold a
+	// holderTrustPeriod is how long after its last use another server is trusted to hold a
 	// prefix before the store; worth at 2 s 0.758, 0.7 s 0.760, 0.3 s 0.762.
-	sureFor = 300 * time.Millisecond
+	holderTrustPeriod = 300 * time.Millisecond
 )
 
-// kept is what is known of the stores: what was sent there, by us or another
+// storeIndex is what is known of the stores: what was sent there, by us or another
 // entry, and what the stores' own words add to that, some 100 ms to a second
 // old; a few of their words never arrive.
-type kept struct {
+type storeIndex struct {
 	// parts by keptKey.
-	parts *simplelru.LRU[uint32, keptPart]
+	parts *simplelru.LRU[uint32, storedPart]
 	// budgets in tokens, by the stores' addresses.
 	budgets map[string]*saveBudget
 	// needed share of a prompt that must be shared, as of neededAt.
 	needed   float64
 	neededAt time.Time
-	// news are the parts that we save, for the other entries.
-	news []uint32
+	// unsent are the parts that we save, for the other entries.
+	unsent []uint32
 }
 
-// keptPart is one part at its store.
-type keptPart struct {
+// storedPart is one part at its store.
+type storedPart struct {
 	// savedAt is when it was last sent there; zero: not that we know.
 	savedAt time.Time
 	// listed: the store said that it has the part. dropped: that it has not, or
@@ -110,12 +110,12 @@
 	filledAt time.Time
 }
 
-func newKept() *kept {
-	return &kept{parts: newLRU[uint32, keptPart](rememberedPrefixes), budgets: map[string]*saveBudget{}}
+func newStoreIndex() *storeIndex {
+	return &storeIndex{parts: newLRU[uint32, storedPart](maxPrefixes), budgets: map[string]*saveBudget{}}
 }
 
-// storeOf picks the store of a prefix, alike at every entry; nil without stores.
-func storeOf(stores []KVCacheStore, prefix uint32) *KVCacheStore {
+// storeFor picks the store of a prefix, alike at every entry; nil without stores.
+func storeFor(stores []KVCacheStore, prefix uint32) *KVCacheStore {
 	var best *KVCacheStore
 	var most uint64
 	for i := range stores {
@@ -126,54 +126,54 @@
 	return best
 }
 
-// keptKey names a part under its salt at a store. Two parts may share a key:
+// storedPartKey names a part under its salt at a store. Two parts may share a key:
 // that costs a prompt read again, as the salt keeps them apart.
-func keptKey(store *KVCacheStore, salt, part uint64) uint32 {
+func storedPartKey(store *KVCacheStore, salt, part uint64) uint32 {
 	return uint32(Rendezvous(Rendezvous(salt, part), store.Hash)) //nolint:gosec // the low half of a hash
 }
 
 // holds tells whether the store should have the part by now.
-func (k *kept) holds(now time.Time, key uint32) bool {
+func (k *storeIndex) holds(now time.Time, key uint32) bool {
 	part, ok := k.parts.Get(key)
 	if !ok || part.dropped {
 		return false
 	}
 	age := now.Sub(part.savedAt)
-	return part.listed || age >= savedAfter && age < savedFor
+	return part.listed || age >= saveDelay && age < storeRetention
 }
 
-// known tells whether the part is at the store or on its way there.
-func (k *kept) known(now time.Time, key uint32) bool {
+// savedOrPending tells whether the part is at the store or on its way there.
+func (k *storeIndex) savedOrPending(now time.Time, key uint32) bool {
 	part, ok := k.parts.Peek(key)
 	age := now.Sub(part.savedAt)
-	return ok && (part.listed || age < savedAfter || !part.dropped && age < savedFor)
+	return ok && (part.listed || age < saveDelay || !part.dropped && age < storeRetention)
 }
 
 // neededShare of a prompt that must be shared for it to be saved now.
-func (k *kept) neededShare(now time.Time) float64 {
-	return max(0, k.needed-shareRelief*now.Sub(k.neededAt).Seconds())
+func (k *storeIndex) neededShare(now time.Time) float64 {
+	return max(0, k.needed-neededShareDecay*now.Sub(k.neededAt).Seconds())
 }
 
-// noteDrop takes in that a store dropped a part. One that was not kept for long
+// recordDrop takes in that a store dropped a part. One that was not kept for long
 // shows that more is sent there than it has room for.
-func (k *kept) noteDrop(now time.Time, part keptPart) {
-	if part.savedAt.IsZero() || part.dropped || now.Sub(part.savedAt) >= keptLong {
+func (k *storeIndex) recordDrop(now time.Time, part storedPart) {
+	if part.savedAt.IsZero() || part.dropped || now.Sub(part.savedAt) >= minStoreRetention {
 		return
 	}
-	k.needed, k.neededAt = min(k.neededShare(now)+shareStep, shareMost), now
+	k.needed, k.neededAt = min(k.neededShare(now)+neededShareStep, maxNeededShare), now
 }
 
-// allow takes the tokens of one save from our share of a store's link. shared is
+// allowSave takes the tokens of one save from our share of a store's link. shared is
 // the share of the prompt that other requests may use.
-func (k *kept) allow(now time.Time, store *KVCacheStore, tokens int, shared float64, savers int) bool {
+func (k *storeIndex) allowSave(now time.Time, store *KVCacheStore, tokens int, shared float64, savers int) bool {
 	rate := store.TokensPerSecond * saveLinkShare / float64(max(savers, 1))
-	most := rate * saveBurst.Seconds()
+	burstTokens := rate * saveBurst.Seconds()
 	b := k.budgets[store.Address]
 	if b == nil {
-		b = &saveBudget{tokens: most, filledAt: now}
+		b = &saveBudget{tokens: burstTokens, filledAt: now}
 		k.budgets[store.Address] = b
 	}
-	b.tokens = min(most, b.tokens+rate*max(0, now.Sub(b.filledAt).Seconds()))
+	b.tokens = min(burstTokens, b.tokens+rate*max(0, now.Sub(b.filledAt).Seconds()))
 	b.filledAt = now
 	// The last save may overdraw: one prompt can be larger than a small share.
 	if b.tokens <= 0 || shared < k.neededShare(now) {
@@ -183,61 +183,61 @@
 	return true
 }
 
-// begin notes that we send a part to its store.
-func (k *kept) begin(now time.Time, key uint32) {
-	k.parts.Add(key, keptPart{savedAt: now})
-	if len(k.news) < maxNewsHints {
-		k.news = append(k.news, key)
+// beginSave notes that we send a part to its store.
+func (k *storeIndex) beginSave(now time.Time, key uint32) {
+	k.parts.Add(key, storedPart{savedAt: now})
+	if len(k.unsent) < maxPendingHints {
+		k.unsent = append(k.unsent, key)
 	}
 }
 
-// save decides whether the prompt is sent to the prefix's store once it is read.
-func (d *Direct) save(now time.Time, req *DirectRequest, v *versionPlan, from sourceOf, choice *DirectChoice) {
+// planSave decides whether the prompt is sent to the prefix's store once it is read.
+func (d *Direct) planSave(now time.Time, req *DirectRequest, v *versionPlan, from sourcePlan, choice *DirectChoice) {
 	if v.store == nil || len(v.levels) == 0 || from.missing == 0 {
 		return
 	}
 	deepest := &v.levels[len(v.levels)-1]
-	if d.kept.known(now, deepest.kept) {
+	if d.stores.savedOrPending(now, deepest.storeKey) {
 		return
 	}
 	shared := float64(deepest.tokens) / float64(max(req.Tokens, 1))
-	if d.kept.allow(now, v.store, req.Tokens, shared, d.savers) {
+	if d.stores.allowSave(now, v.store, req.Tokens, shared, d.savers) {
 		choice.SaveTo = v.store.Address
-		d.kept.begin(now, deepest.kept)
+		d.stores.beginSave(now, deepest.storeKey)
 	}
 }
 
-// notSaved takes back a save whose prompt was not read.
-func (k *kept) notSaved(key uint32) { k.parts.Remove(key) }
+// cancelSave takes back a save whose prompt was not read.
+func (k *storeIndex) cancelSave(key uint32) { k.parts.Remove(key) }
 
 // TakeSavedParts returns the parts that we sent to their stores since the last call, for
 // the other entries.
 func (d *Direct) TakeSavedParts() []uint32 {
-	news := d.kept.news
-	d.kept.news = nil
-	return news
+	parts := d.stores.unsent
+	d.stores.unsent = nil
+	return parts
 }
 
 // ReceiveSavedParts takes in which parts another entry sends to their stores.
 func (d *Direct) ReceiveSavedParts(now time.Time, keys []uint32) {
 	for _, key := range keys {
-		d.kept.parts.Add(key, keptPart{savedAt: now})
+		d.stores.parts.Add(key, storedPart{savedAt: now})
 	}
 }
 
 // UpdateStoredPart takes in a store's word on a part. held is false for a part that
 // it dropped, if only in part.
 func (d *Direct) UpdateStoredPart(now time.Time, store *KVCacheStore, salt, part string, held bool) {
-	key := keptKey(store, hashOf(salt), hashOf(part))
-	one, known := d.kept.parts.Peek(key)
+	key := storedPartKey(store, hashOf(salt), hashOf(part))
+	one, known := d.stores.parts.Peek(key)
 	if known && !held {
-		d.kept.noteDrop(now, one)
+		d.stores.recordDrop(now, one)
 	}
 	one.listed, one.dropped = held, !held
-	d.kept.parts.Add(key, one)
+	d.stores.parts.Add(key, one)
 }
 
 // ForgetStoredParts tells that a store lost all that it kept, or can't be reached.
 // Which parts were its own is not kept, so all are forgotten: the other stores'
 // are sent once more, which is rare and bounded.
-func (d *Direct) ForgetStoredParts() { d.kept.parts.Purge() }
+func (d *Direct) ForgetStoredParts() { d.stores.parts.Purge() }
--- a/internal/routing/levels.go
+++ b/internal/routing/levels.go
@@ -9,88 +9,88 @@
 )
 
 const (
-	// levelEntries bounds the shared prefixes whose order and width are kept.
-	levelEntries = 1 << 13
+	// maxSharedPrefixes bounds the shared prefixes whose order and width are kept.
+	maxSharedPrefixes = 1 << 13
 	// defaultSharedLevel is the message boundary used when none is declared.
 	defaultSharedLevel = 2
-	// spillGain weighs one request in the share of requests that left the set.
-	spillGain = 0.05
+	// outsideShareGain weighs one request in the share of requests that left the set.
+	outsideShareGain = 0.05
 	// widenAbove and narrowBelow are shares of requests that were better
 	// served outside the prefix's own set.
 	widenAbove  = 0.25
 	narrowBelow = 0.05
-	// widthHolds is the least time between two changes of width.
-	widthHolds = time.Second
+	// widthChangeInterval is the least time between two changes of width.
+	widthChangeInterval = time.Second
 	// maxWidth leaves room in the order for the servers behind the set.
-	maxWidth = orderLength - 4
+	maxWidth = maxRanked - 4
 )
 
 // The fixed offsets in bytes that stand for levels in prompts of one message.
-var offsetLevels = [...]uint32{4096, 16384}
+var sharedOffsets = [...]uint32{4096, 16384}
 
-// level is a shared prefix: its rendezvous order in the set and how many
+// sharedPrefix is a shared prefix: its rendezvous order in the set and how many
 // servers of the order hold it at its present rate.
-type level struct {
-	set       *Set
-	order     order
-	width     int
-	least     int
-	spill     float64
-	changedAt time.Time
+type sharedPrefix struct {
+	set          *Set
+	ranking      ranking
+	width        int
+	minWidth     int
+	outsideShare float64
+	changedAt    time.Time
 }
 
-// levels keeps the shared prefixes that are in use.
-type levels struct {
-	entries *simplelru.LRU[uint64, *level]
-	// neighbours is the width of a prefix that is not hot.
-	neighbours int
+// sharedPrefixes keeps the shared prefixes that are in use.
+type sharedPrefixes struct {
+	entries *simplelru.LRU[uint64, *sharedPrefix]
+	// minWidth is the width of a prefix that is not hot.
+	minWidth int
 }
 
-func newLevels(capacity, neighbours int) levels {
-	return levels{entries: newLRU[uint64, *level](capacity), neighbours: neighbours}
+func newSharedPrefixes(capacity, minWidth int) sharedPrefixes {
+	return sharedPrefixes{entries: newLRU[uint64, *sharedPrefix](capacity), minWidth: minWidth}
 }
 
 // of returns the level of a prefix point. The order is computed once a set,
 // so that hot prefixes cost no pass over the fleet.
-func (l levels) of(point uint64, set *Set) *level {
+func (l sharedPrefixes) of(point uint64, set *Set) *sharedPrefix {
 	entry, ok := l.entries.Get(point)
 	if !ok {
-		entry = &level{width: l.neighbours, least: l.neighbours}
+		entry = &sharedPrefix{width: l.minWidth, minWidth: l.minWidth}
 		l.entries.Add(point, entry)
 	}
 	if entry.set != set {
 		entry.set = set
-		set.rank(point, &entry.order)
+		set.rank(point, &entry.ranking)
 	}
 	return entry
 }
 
 // observe learns from a choice whether the set is wide enough. A prefix whose
 // requests keep being served better outside its set is too hot for it.
-func (l *level) observe(now time.Time, inside bool) {
-	left := 0.0
+func (l *sharedPrefix) observe(now time.Time, inside bool) {
+	outside := 0.0
 	if !inside {
-		left = 1
+		outside = 1
 	}
-	l.spill += spillGain * (left - l.spill)
-	if now.Sub(l.changedAt) < widthHolds {
+	l.outsideShare += outsideShareGain * (outside - l.outsideShare)
+	if now.Sub(l.changedAt) < widthChangeInterval {
 		return
 	}
 	switch {
-	case l.spill > widenAbove && l.width < min(maxWidth, l.order.length):
+	case l.outsideShare > widenAbove && l.width < min(maxWidth, l.ranking.length):
 		l.width++
-	case l.spill < narrowBelow && l.width > l.least && now.Sub(l.changedAt) > 10*widthHolds:
+	case l.outsideShare < narrowBelow && l.width > l.minWidth && now.Sub(l.changedAt) > 10*widthChangeInterval:
 		l.width--
 	default:
 		return
 	}
 	l.changedAt = now
-	l.spill = (widenAbove + narrowBelow) / 2
+	l.outsideShare = (widenAbove + narrowBelow) / 2
 }
 
-// holds tells whether the server is in the prefix's own set.
-func (l *level) holds(server int32) bool {
-	for _, member := range l.order.servers[:min(l.width, l.order.length)] {
+// includes tells whether the server is in the prefix's own set.
+func (l *sharedPrefix) includes(server int32) bool {
+	for _, member := range l.ranking.servers[:min(l.width, l.ranking.length)] {
 		if member == server {
 			return true
 		}
@@ -114,7 +114,7 @@
 		points[0] = req.Levels[at-1]
 		return points, 1
 	}
-	for _, offset := range offsetLevels {
+	for _, offset := range sharedOffsets {
 		if at, ok := pointAt(req.Chain, offset); ok {
 			points[n] = at
 			n++
--- a/internal/routing/levels_test.go
+++ b/internal/routing/levels_test.go
@@ -13,7 +13,7 @@
 // so that it does not keep their caches when the rush is over.
 func TestHotPrefixWidensAndNarrows(t *testing.T) {
 	now := time.Unix(0, 0)
-	l := &level{width: 1, least: 1, order: order{length: 12}}
+	l := &sharedPrefix{width: 1, minWidth: 1, ranking: ranking{length: 12}}
 	feed := func(requests int, inside bool) {
 		for range requests {
 			now = now.Add(50 * time.Millisecond)
@@ -37,7 +37,7 @@
 	c := &choice{policy: &PoolPolicy{}}
 	cand := &candidate{backend: &backend{byteMS: 0.025}, prefillMS: 400}
 	idle := c.recomputeMS(cand)
-	c.averageMS = 2000
+	c.averageQueueMS = 2000
 	assert.Zero(t, idle)
 	assert.Greater(t, c.recomputeMS(cand), 2000.0)
 }
--- a/internal/routing/picker.go
+++ b/internal/routing/picker.go
@@ -40,10 +40,10 @@
 	return chosen
 }
 
-// inDoubt tells whether asking agents may pay: nobody was seen to hold the
+// shouldProbe tells whether asking agents may pay: nobody was seen to hold the
 // shared level, or the wait at the best candidate and what it would compute
 // anew of the shared level come to more than the bound.
-func (c *choice) inDoubt(aboveMS float64) bool {
+func (c *choice) shouldProbe(aboveMS float64) bool {
 	if c.best < 0 || c.next < 0 {
 		return false // Nobody to ask, or nothing to choose between.
 	}
@@ -51,5 +51,5 @@
 	if aboveMS < 0 || best.evidence != evidenceSeen {
 		return true
 	}
-	return best.queueMS+c.missedLevelMS(best) > aboveMS
+	return best.queueMS+c.missedSharedMS(best) > aboveMS
 }
--- a/internal/routing/placement.go
+++ b/internal/routing/placement.go
@@ -16,23 +16,23 @@
 
 // recomputeMS is the weight of the prefill beyond its own time.
 func (c *choice) recomputeMS(cand *candidate) float64 {
-	pressure := min(c.averageMS/(pressureBytes*cand.backend.byteMS), maxPressure)
+	pressure := min(c.averageQueueMS/(pressureBytes*cand.backend.byteMS), maxPressure)
 	return (c.policy.RecomputeWeight+pressure)*cand.prefillMS + c.placementMS(cand)
 }
 
 func (c *choice) placementMS(cand *candidate) float64 {
-	if c.level == nil || c.level.holds(cand.index) {
+	if c.shared == nil || c.shared.includes(cand.index) {
 		return 0
 	}
-	return placementShare * c.missedLevelMS(cand)
+	return placementShare * c.missedSharedMS(cand)
 }
 
-// missedLevelMS is the prefill of the part of the shared level that the
+// missedSharedMS is the prefill of the part of the shared level that the
 // candidate does not hold.
-func (c *choice) missedLevelMS(cand *candidate) float64 {
-	if c.level == nil {
+func (c *choice) missedSharedMS(cand *candidate) float64 {
+	if c.shared == nil {
 		return 0
 	}
-	levelBytes := int(c.req.Chain[c.levelPoint].GetBytes())
-	return float64(max(0, levelBytes-cand.cachedBytes)) * cand.backend.byteMS
+	sharedBytes := int(c.req.Chain[c.sharedPoint].GetBytes())
+	return float64(max(0, sharedBytes-cand.cachedBytes)) * cand.backend.byteMS
 }
--- a/internal/routing/policies.go
+++ b/internal/routing/policies.go
@@ -40,37 +40,37 @@
 	decide func(r *Router, c *choice)
 	// mayDecline lets agents refuse for cost.
 	mayDecline bool
-	// ask is the number of servers to probe first; askAll probes every one.
-	ask    int
-	askAll bool
-	// askAboveMS: no agent is asked when less than this can be saved. Negative:
+	// probes is the number of servers to probe first; askAll probes every one.
+	probes   int
+	probeAll bool
+	// probeAboveMS: no agent is asked when less than this can be saved. Negative:
 	// always ask.
-	askAboveMS float64
-	// neighbours is how many servers of a prefix's order hold it while it is
+	probeAboveMS float64
+	// minWidth is how many servers of a prefix's order hold it while it is
 	// not hot; 0 counts as 1.
-	neighbours int
+	minWidth int
 }
 
-// askAbove in milliseconds: a wait and a recomputation of a shared level that
+// defaultProbeAboveMS in milliseconds: a wait and a recomputation of a shared level that
 // are expected to stay below it are not worth the messages of four questions.
-const askAbove = 25
+const defaultProbeAboveMS = 25
 
-// neighbours of the asking policies. Copies of a prefix that is not
+// probedServers of the asking policies. Copies of a prefix that is not
 // hot lie on these first servers of its order only, so that asking them finds
 // any copy, whichever process placed it; the choice among four keeps queues even.
-const neighbours = 4
+const probedServers = 4
 
 var strategies = []strategy{
 	{name: PolicyRandom, decide: decideRandom},
 	{name: PolicyLeastLoad, decide: decideLeastLoad},
 	{name: PolicyHashFirst, decide: decideHashFirst},
 	{name: PolicyHashLevel, decide: decideHashLevel},
-	{name: PolicyBeliefs, sources: []source{fromRandom, fromBeliefs}},
-	{name: PolicyPresumption, sources: []source{fromRendezvous, fromRandom, fromBeliefs, presume}},
-	{name: PolicyOffers, sources: []source{fromRefusals, fromRendezvous, fromRandom, fromBeliefs, presume}, mayDecline: true},
-	{name: PolicyAskFour, sources: []source{fromProbes, fromRendezvous, fromRandom, fromBeliefs, presume}, ask: neighbours, askAboveMS: -1, neighbours: neighbours},
-	{name: PolicyAskInDoubt, sources: []source{fromRefusals, fromProbes, fromRendezvous, fromRandom, fromBeliefs, presume}, mayDecline: true, ask: neighbours, askAboveMS: askAbove, neighbours: neighbours},
-	{name: PolicyAskAll, sources: []source{fromProbes}, askAll: true},
+	{name: PolicyBeliefs, sources: []source{fromRandom, fromObservations}},
+	{name: PolicyPresumption, sources: []source{fromRendezvous, fromRandom, fromObservations, presume}},
+	{name: PolicyOffers, sources: []source{fromRefusals, fromRendezvous, fromRandom, fromObservations, presume}, mayDecline: true},
+	{name: PolicyAskFour, sources: []source{fromProbes, fromRendezvous, fromRandom, fromObservations, presume}, probes: probedServers, probeAboveMS: -1, minWidth: probedServers},
+	{name: PolicyAskInDoubt, sources: []source{fromRefusals, fromProbes, fromRendezvous, fromRandom, fromObservations, presume}, mayDecline: true, probes: probedServers, probeAboveMS: defaultProbeAboveMS, minWidth: probedServers},
+	{name: PolicyAskAll, sources: []source{fromProbes}, probeAll: true},
 }
 
 // Policies lists the names of all policies.
@@ -93,8 +93,8 @@
 	return &strategies[at], true
 }
 
-// take makes the server the choice.
-func (c *choice) take(index int32, source string) {
+// choose makes the server the choice.
+func (c *choice) choose(index int32, source string) {
 	c.add(index, source)
 	c.best = c.n - 1
 }
@@ -106,18 +106,18 @@
 // decideLeastLoad looks at every server: a baseline, not meant for large sets.
 func decideLeastLoad(r *Router, c *choice) {
 	best, bestLoad := int32(-1), 0
-	offset := r.random.IntN(c.view.set.Len())
-	for i := range c.view.set.Len() {
-		index := int32((i + offset) % c.view.set.Len())
+	offset := r.random.IntN(c.bound.set.Len())
+	for i := range c.bound.set.Len() {
+		index := int32((i + offset) % c.bound.set.Len())
 		if r.filter.reason(c, index) != "" {
 			continue
 		}
-		if load := c.view.backends[index].load(); best < 0 || load < bestLoad {
+		if load := c.bound.backends[index].load(); best < 0 || load < bestLoad {
 			best, bestLoad = index, load
 		}
 	}
 	if best >= 0 {
-		c.take(best, sourceLoad)
+		c.choose(best, sourceLoad)
 	}
 }
 
@@ -132,10 +132,10 @@
 
 func (r *Router) decideHash(c *choice, point int) {
 	if point < len(c.req.Chain) {
-		level := r.levels.of(c.req.Chain[point].GetHash(), c.view.set)
-		for _, index := range level.order.servers[:level.order.length] {
+		shared := r.shared.of(c.req.Chain[point].GetHash(), c.bound.set)
+		for _, index := range shared.ranking.servers[:shared.ranking.length] {
 			if r.filter.reason(c, index) == "" {
-				c.take(index, sourceRendezvous)
+				c.choose(index, sourceRendezvous)
 				return
 			}
 		}
@@ -145,19 +145,19 @@
 
 // fallback takes the first usable server after a random one.
 func (r *Router) fallback(c *choice, source string) {
-	offset := r.random.IntN(c.view.set.Len())
-	for i := range c.view.set.Len() {
-		index := int32((i + offset) % c.view.set.Len())
+	offset := r.random.IntN(c.bound.set.Len())
+	for i := range c.bound.set.Len() {
+		index := int32((i + offset) % c.bound.set.Len())
 		if r.filter.reason(c, index) == "" {
-			c.take(index, source)
+			c.choose(index, source)
 			return
 		}
 	}
 }
 
-func neighboursOf(s *strategy) int {
+func minWidthOf(s *strategy) int {
 	if s == nil {
 		return 1
 	}
-	return max(1, s.neighbours)
+	return max(1, s.minWidth)
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// averageGain weighs one report in the average queue of all servers.
-	averageGain = 0.05
-	// askMarginMS is added to the next best cost in an offer: a decline costs a
+	// averageQueueGain weighs one report in the average queue of all servers.
+	averageQueueGain = 0.05
+	// declineMarginMS is added to the next best cost in an offer: a decline costs a
 	// round trip, so a difference below it is not worth one.
-	askMarginMS = 3
-	// askMarginShare is the same as a share of the next best cost.
-	askMarginShare = 0.05
+	declineMarginMS = 3
+	// declineMarginShare is the same as a share of the next best cost.
+	declineMarginShare = 0.05
 )
 
 // Router chooses backend servers and remembers what their answers taught. Not
 // safe for concurrent use: the shell locks.
 type Router struct {
-	options  Options
-	strategy *strategy
-	filter   filter
-	scorer   scorer
-	random   *rand.Rand
-	backends map[string]*backend
-	views    map[string]*view
-	levels   levels
-	beliefs  beliefs
-	pending  map[string]promise
-	// averageMS is the queue that servers report of late.
-	averageMS float64
-	// common is how late first tokens are over all servers.
-	common  tardiness
-	scratch choice
+	options   Options
+	strategy  *strategy
+	filter    filter
+	scorer    scorer
+	random    *rand.Rand
+	backends  map[string]*backend
+	boundSets map[string]*boundSet
+	shared    sharedPrefixes
+	cacheView cacheView
+	handoffs  map[string]handoff
+	// averageQueueMS is the queue that servers report of late.
+	averageQueueMS float64
+	// commonLateness is how late first tokens are over all servers.
+	commonLateness lateness
+	scratch        choice
 }
 
-// promise is what a server was chosen for, until its first token shows.
-type promise struct {
+// handoff is what a server was chosen for, until its first token shows.
+type handoff struct {
 	backend    *backend
 	expectedMS float64
 }
@@ -50,36 +50,36 @@
 func New(options Options) *Router {
 	s, _ := strategyOf(options.Policy)
 	return &Router{
-		options:  options,
-		strategy: s,
-		filter:   filter{membership: options.Membership},
-		scorer:   scorer{dataCentre: options.DataCentre, region: options.Region, membership: options.Membership},
-		random:   rand.New(rand.NewPCG(options.Seed, xxh3.HashString(options.DataCentre))),
-		backends: map[string]*backend{},
-		views:    map[string]*view{},
-		levels:   newLevels(levelEntries, neighboursOf(s)),
-		beliefs:  newBeliefs(beliefPrefixes),
-		pending:  map[string]promise{},
-		common:   tardiness{ratio: 1},
+		options:        options,
+		strategy:       s,
+		filter:         filter{membership: options.Membership},
+		scorer:         scorer{dataCentre: options.DataCentre, region: options.Region, membership: options.Membership},
+		random:         rand.New(rand.NewPCG(options.Seed, xxh3.HashString(options.DataCentre))),
+		backends:       map[string]*backend{},
+		boundSets:      map[string]*boundSet{},
+		shared:         newSharedPrefixes(maxSharedPrefixes, minWidthOf(s)),
+		cacheView:      newCacheView(maxObservedPoints),
+		handoffs:       map[string]handoff{},
+		commonLateness: lateness{ratio: 1},
 	}
 }
 
 // Choose decides where to offer a request, given the offers of it that were
 // refused so far. ErrNoServer when no server may take it.
-func (r *Router) Choose(now time.Time, req *Request, pool *PoolPolicy, set *Set, tried []RefusedOffer) (Decision, error) {
+func (r *Router) Choose(now time.Time, req *Request, pool *PoolPolicy, set *Set, refusals []RefusedOffer) (Decision, error) {
 	if r.strategy == nil {
 		return Decision{}, eris.Wrapf(ErrUnknownPolicy, "policy %q", r.options.Policy)
 	}
 	if set.Len() == 0 {
 		return Decision{}, ErrNoServer
 	}
-	c := r.begin(now, req, pool, set, tried)
+	c := r.begin(now, req, pool, set, refusals)
 	if r.strategy.decide != nil {
 		r.strategy.decide(r, c)
 		r.scoreAll(c)
 		return r.conclude(c)
 	}
-	if r.strategy.askAll && req.Probes == nil {
+	if r.strategy.probeAll && req.Probes == nil {
 		return Decision{ProbeServers: names(set), Policy: r.strategy.name}, nil
 	}
 	for _, find := range r.strategy.sources {
@@ -87,8 +87,8 @@
 	}
 	r.scoreAll(c)
 	c.pick()
-	if r.strategy.ask > 0 && req.Probes == nil && c.inDoubt(r.strategy.askAboveMS) {
-		if ask := c.cheapest(r.strategy.ask); len(ask) > 0 {
+	if r.strategy.probes > 0 && req.Probes == nil && c.shouldProbe(r.strategy.probeAboveMS) {
+		if ask := c.cheapest(r.strategy.probes); len(ask) > 0 {
 			return Decision{ProbeServers: ask, Candidates: c.explain(), Policy: r.strategy.name}, nil
 		}
 	}
@@ -96,19 +96,19 @@
 		r.fallback(c, sourceFallback)
 		r.scoreAll(c)
 	}
-	if c.level != nil && c.best >= 0 {
-		c.level.observe(now, c.level.holds(c.candidates[c.best].index))
+	if c.shared != nil && c.best >= 0 {
+		c.shared.observe(now, c.shared.includes(c.candidates[c.best].index))
 	}
 	return r.conclude(c)
 }
 
-func (r *Router) begin(now time.Time, req *Request, pool *PoolPolicy, set *Set, tried []RefusedOffer) *choice {
+func (r *Router) begin(now time.Time, req *Request, pool *PoolPolicy, set *Set, refusals []RefusedOffer) *choice {
 	c := &r.scratch
-	c.now, c.req, c.policy, c.view, c.tried = now, req, pool, r.viewOf(set), tried
-	c.level, c.averageMS, c.common = nil, r.averageMS, r.common
+	c.now, c.req, c.policy, c.bound, c.refusals = now, req, pool, r.bind(set), refusals
+	c.shared, c.averageQueueMS, c.commonLateness = nil, r.averageQueueMS, r.commonLateness
 	c.n, c.best, c.next, c.declined = 0, -1, -1, 0
-	for i := range tried {
-		if tried[i].Refusal == jayv1.Refusal_REFUSAL_COST {
+	for i := range refusals {
+		if refusals[i].Refusal == jayv1.Refusal_REFUSAL_COST {
 			c.declined++
 		}
 	}
@@ -141,23 +141,23 @@
 		// What the agent may compare with its own cost: the next best total
 		// less the terms that stand on our side for the chosen one.
 		ownTerms := best.totalMS - decision.ExpectedMS
-		decision.NextBestMS = max(decision.ExpectedMS, next.totalMS-ownTerms)*(1+askMarginShare) + askMarginMS
+		decision.NextBestMS = max(decision.ExpectedMS, next.totalMS-ownTerms)*(1+declineMarginShare) + declineMarginMS
 	}
 	return decision, nil
 }
 
-// viewOf binds a set to what is known of its servers.
-func (r *Router) viewOf(set *Set) *view {
-	v := r.views[set.pool]
+// bind binds a set to what is known of its servers.
+func (r *Router) bind(set *Set) *boundSet {
+	v := r.boundSets[set.pool]
 	if v != nil && v.set == set {
 		return v
 	}
-	v = &view{set: set, backends: make([]*backend, set.Len())}
+	v = &boundSet{set: set, backends: make([]*backend, set.Len())}
 	for i := range set.servers {
 		v.backends[i] = r.backend(set.servers[i].Name)
 	}
-	r.views[set.pool] = v
-	r.forget()
+	r.boundSets[set.pool] = v
+	r.removeUnused()
 	return v
 }
 
@@ -170,10 +170,10 @@
 	return b
 }
 
-// forget drops what is known of servers that are in no set any more.
-func (r *Router) forget() {
+// removeUnused drops what is known of servers that are in no set any more.
+func (r *Router) removeUnused() {
 	inUse := make(map[string]bool, len(r.backends))
-	for _, v := range r.views {
+	for _, v := range r.boundSets {
 		for _, b := range v.backends {
 			inUse[b.name] = true
 		}
@@ -198,8 +198,8 @@
 	if state == nil {
 		return
 	}
-	if r.backend(server).learn(now, state) {
-		r.averageMS += averageGain * (state.GetQueueMs() - r.averageMS)
+	if r.backend(server).update(now, state) {
+		r.averageQueueMS += averageQueueGain * (state.GetQueueMs() - r.averageQueueMS)
 	}
 }
 
@@ -208,8 +208,8 @@
 func (r *Router) ObserveCache(now time.Time, server string, req *Request, cachedBytes int, incarnation uint64) {
 	b := r.backend(server)
 	for _, point := range req.Chain {
-		r.beliefs.put(point.GetHash(), holder{
-			server: b, seen: now.UnixNano(), incarnation: incarnation,
+		r.cacheView.put(point.GetHash(), observation{
+			server: b, seenAt: now.UnixNano(), incarnation: incarnation,
 			absent: int(point.GetBytes()) > cachedBytes,
 		})
 	}
@@ -221,9 +221,9 @@
 func (r *Router) HandedOff(now time.Time, server string, req *Request, expectedMS float64) {
 	b := r.backend(server)
 	b.inFlight++
-	r.pending[req.ID] = promise{backend: b, expectedMS: expectedMS}
+	r.handoffs[req.ID] = handoff{backend: b, expectedMS: expectedMS}
 	for _, point := range req.Chain {
-		r.beliefs.put(point.GetHash(), holder{server: b, seen: now.UnixNano(), incarnation: b.signals.Incarnation})
+		r.cacheView.put(point.GetHash(), observation{server: b, seenAt: now.UnixNano(), incarnation: b.signals.Incarnation})
 	}
 }
 
@@ -232,11 +232,11 @@
 func (r *Router) Finished(now time.Time, server string, req *Request, firstTokenMS float64) {
 	b := r.backend(server)
 	b.inFlight = max(0, b.inFlight-1)
-	made, ok := r.pending[req.ID]
-	delete(r.pending, req.ID)
-	if ok && made.backend == b && firstTokenMS > 0 {
-		seen := tardinessOf(made.expectedMS, firstTokenMS)
-		r.common = r.common.toward(seen, commonGain)
-		b.observe(now, seen)
+	expected, ok := r.handoffs[req.ID]
+	delete(r.handoffs, req.ID)
+	if ok && expected.backend == b && firstTokenMS > 0 {
+		seen := latenessOf(expected.expectedMS, firstTokenMS)
+		r.commonLateness = r.commonLateness.toward(seen, commonLatenessGain)
+		b.observeFirstToken(now, seen)
 	}
 }
--- a/internal/routing/scorer.go
+++ b/internal/routing/scorer.go
@@ -7,8 +7,8 @@
 	otherRegionMS     = 120
 )
 
-// leastWeight bounds what membership's evidence can add.
-const leastWeight = 0.01
+// minWeight bounds what membership's evidence can add.
+const minWeight = 0.01
 
 // defaultBytesPerToken is used when the pool declares none.
 const defaultBytesPerToken = 4
@@ -25,13 +25,13 @@
 	missed := max(0, c.req.PromptBytes-cand.cachedBytes)
 	b.byteMS = byteMS(b, c.policy)
 	cand.prefillMS = float64(missed) * b.byteMS
-	cand.queueMS = b.queueMS(c.now, c.averageMS)
+	cand.queueMS = b.queueMS(c.now, c.averageQueueMS)
 	if cand.exactMS >= 0 {
 		// The agent's word replaces our own estimate of the queue.
 		cand.queueMS = max(0, cand.exactMS-cand.prefillMS)
 	}
 	cand.recomputeMS = c.recomputeMS(cand)
-	cand.distanceMS = s.distance(&c.view.set.servers[cand.index])
+	cand.distanceMS = s.distance(&c.bound.set.servers[cand.index])
 	cand.penaltyMS = s.penalty(c, cand)
 	cand.totalMS = cand.queueMS + cand.prefillMS + cand.recomputeMS + cand.distanceMS + cand.penaltyMS
 }
@@ -60,11 +60,11 @@
 // waits and by their lateness for short ones, and membership has evidence of
 // failures.
 func (s scorer) penalty(c *choice, cand *candidate) float64 {
-	saidMS := cand.queueMS + cand.prefillMS
-	penaltyMS := cand.backend.excessMS(c.now, c.common, saidMS)
+	expectedMS := cand.queueMS + cand.prefillMS
+	penaltyMS := cand.backend.excessMS(c.now, c.commonLateness, expectedMS)
 	if s.membership != nil {
-		weight := max(s.membership.Weight(cand.backend.name), leastWeight)
-		penaltyMS += (saidMS + slownessFloor) * (1/weight - 1)
+		weight := max(s.membership.Weight(cand.backend.name), minWeight)
+		penaltyMS += (expectedMS + slownessFloorMS) * (1/weight - 1)
 	}
 	return penaltyMS
 }
--- a/internal/routing/set.go
+++ b/internal/routing/set.go
@@ -39,27 +39,27 @@
 	return hi ^ lo
 }
 
-// orderLength is how much of a rendezvous order is kept: the widest that a hot
+// maxRanked is how much of a rendezvous order is kept: the widest that a hot
 // prefix may spread, and the servers behind it that stand in for lost ones.
-const orderLength = 16
+const maxRanked = 16
 
-// order is the head of the rendezvous order for a key, best first.
-type order struct {
+// ranking is the head of the rendezvous ranking for a key, best first.
+type ranking struct {
 	length  int
-	servers [orderLength]int32
+	servers [maxRanked]int32
 }
 
 // rank fills the order for a key. Every process with the same set of names
 // gets the same order, and a lost server moves only its own keys.
-func (s *Set) rank(key uint64, into *order) {
-	var weights [orderLength]uint64
+func (s *Set) rank(key uint64, into *ranking) {
+	var weights [maxRanked]uint64
 	n := 0
 	for i, hash := range s.hashes {
 		weight := Rendezvous(key, hash)
-		if n == orderLength && weight <= weights[n-1] {
+		if n == maxRanked && weight <= weights[n-1] {
 			continue
 		}
-		if n < orderLength {
+		if n < maxRanked {
 			n++
 		}
 		at := n - 1
--- a/internal/routing/sources.go
+++ b/internal/routing/sources.go
@@ -10,7 +10,7 @@
 // How many candidates each source gives.
 const (
 	rendezvousCandidates = 4
-	beliefCandidates     = 3
+	observedCandidates   = 3
 	randomCandidates     = 2
 	probeCandidates      = maxCandidates - 4
 )
@@ -24,30 +24,30 @@
 func fromRendezvous(r *Router, c *choice) {
 	points, n := sharedPoints(c.req, c.policy)
 	for i := range n {
-		level := r.levels.of(c.req.Chain[points[i]].GetHash(), c.view.set)
+		shared := r.shared.of(c.req.Chain[points[i]].GetHash(), c.bound.set)
 		if i == 0 {
-			c.level, c.levelPoint = level, points[0]
-			level.candidates(c, r.filter, rendezvousCandidates)
+			c.shared, c.sharedPoint = shared, points[0]
+			shared.candidates(c, r.filter, rendezvousCandidates)
 			continue
 		}
-		level.candidates(c, r.filter, 1)
+		shared.candidates(c, r.filter, 1)
 	}
 }
 
 // candidates adds the servers of the prefix's set that the rest of the prompt
 // prefers, then those behind the set, where it would widen to.
-func (l *level) candidates(c *choice, f filter, count int) {
+func (l *sharedPrefix) candidates(c *choice, f filter, count int) {
 	added := 0
-	width := min(l.width, l.order.length)
-	key := c.req.Chain[min(c.levelPoint+1, len(c.req.Chain)-1)].GetHash()
-	var taken [orderLength]bool
-	for range min(width, max(l.least, count-1)) {
+	width := min(l.width, l.ranking.length)
+	key := c.req.Chain[min(c.sharedPoint+1, len(c.req.Chain)-1)].GetHash()
+	var taken [maxRanked]bool
+	for range min(width, max(l.minWidth, count-1)) {
 		best := -1
-		for i, index := range l.order.servers[:width] {
+		for i, index := range l.ranking.servers[:width] {
 			if taken[i] || f.reason(c, index) != "" {
 				continue
 			}
-			if best < 0 || Rendezvous(key, c.view.set.hashes[index]) > Rendezvous(key, c.view.set.hashes[l.order.servers[best]]) {
+			if best < 0 || Rendezvous(key, c.bound.set.hashes[index]) > Rendezvous(key, c.bound.set.hashes[l.ranking.servers[best]]) {
 				best = i
 			}
 		}
@@ -55,10 +55,10 @@
 			break
 		}
 		taken[best] = true
-		c.add(l.order.servers[best], sourceRendezvous)
+		c.add(l.ranking.servers[best], sourceRendezvous)
 		added++
 	}
-	for _, index := range l.order.servers[width:l.order.length] {
+	for _, index := range l.ranking.servers[width:l.ranking.length] {
 		if added >= count {
 			return
 		}
@@ -73,15 +73,15 @@
 // and an idle one is found.
 func fromRandom(r *Router, c *choice) {
 	for range randomCandidates {
-		c.add(int32(r.random.IntN(c.view.set.Len())), sourceRandom)
+		c.add(int32(r.random.IntN(c.bound.set.Len())), sourceRandom)
 	}
 }
 
 // fromRefusals keeps servers that declined for cost in the choice.
 func fromRefusals(_ *Router, c *choice) {
-	for i := range c.tried {
-		if c.tried[i].Refusal == jayv1.Refusal_REFUSAL_COST {
-			c.asked(c.tried[i].Server, c.tried[i].CostMS, c.tried[i].CachedBytes)
+	for i := range c.refusals {
+		if c.refusals[i].Refusal == jayv1.Refusal_REFUSAL_COST {
+			c.addProbed(c.refusals[i].Server, c.refusals[i].CostMS, c.refusals[i].CachedBytes)
 		}
 	}
 }
@@ -95,12 +95,12 @@
 		probes = probes[:probeCandidates]
 	}
 	for i := range probes {
-		c.asked(probes[i].Server, probes[i].CostMS, probes[i].CachedBytes)
+		c.addProbed(probes[i].Server, probes[i].CostMS, probes[i].CachedBytes)
 	}
 }
 
-func (c *choice) asked(server string, costMS float64, cachedBytes int) {
-	index, ok := c.view.set.byName[server]
+func (c *choice) addProbed(server string, costMS float64, cachedBytes int) {
+	index, ok := c.bound.set.byName[server]
 	if !ok {
 		return
 	}
@@ -109,23 +109,23 @@
 	}
 }
 
-// fromBeliefs walks the chain from its deepest point, adds the servers that
+// fromObservations walks the chain from its deepest point, adds the servers that
 // were seen to hold it and tells all candidates what they are believed to hold.
-func fromBeliefs(r *Router, c *choice) {
-	believers := 0
+func fromObservations(r *Router, c *choice) {
+	added := 0
 	for i := len(c.req.Chain) - 1; i >= 0; i-- {
 		point := c.req.Chain[i]
-		for _, h := range r.beliefs.holders(point.GetHash()) {
-			if h.absent || !h.valid(c.now) {
+		for _, h := range r.cacheView.observations(point.GetHash()) {
+			if h.absent || !h.current(c.now) {
 				continue
 			}
-			index, ok := c.view.set.byName[h.server.name]
-			if !ok || c.view.backends[index] != h.server {
+			index, ok := c.bound.set.byName[h.server.name]
+			if !ok || c.bound.backends[index] != h.server {
 				continue
 			}
 			cand := c.find(h.server)
-			if cand == nil && believers < beliefCandidates && r.filter.reason(c, index) == "" {
-				believers++
+			if cand == nil && added < observedCandidates && r.filter.reason(c, index) == "" {
+				added++
 				cand = c.add(index, sourceBelief)
 			}
 			if cand != nil && cand.evidence == evidenceNone {
@@ -138,27 +138,27 @@
 // presume gives the servers of a prefix's own set the shared level until an
 // answer says otherwise: other processes sent it there as well.
 func presume(r *Router, c *choice) {
-	if c.level == nil {
+	if c.shared == nil {
 		return
 	}
-	point := c.req.Chain[c.levelPoint]
+	point := c.req.Chain[c.sharedPoint]
 	for i := range c.candidates[:c.n] {
 		cand := &c.candidates[i]
 		shallower := cand.evidence == evidenceSeen && cand.cachedBytes < int(point.GetBytes())
 		if cand.evidence != evidenceNone && !shallower {
 			continue
 		}
-		if !c.level.holds(cand.index) || r.saidAbsent(c, cand.backend, point.GetHash()) {
+		if !c.shared.includes(cand.index) || r.observedAbsent(c, cand.backend, point.GetHash()) {
 			continue
 		}
 		cand.evidence, cand.cachedBytes = evidencePresumed, int(point.GetBytes())
 	}
 }
 
-// saidAbsent tells whether the server lately answered that it lacks the point.
-func (r *Router) saidAbsent(c *choice, b *backend, point uint64) bool {
-	for _, h := range r.beliefs.holders(point) {
-		if h.server == b && h.absent && h.valid(c.now) {
+// observedAbsent tells whether the server lately answered that it lacks the point.
+func (r *Router) observedAbsent(c *choice, b *backend, point uint64) bool {
+	for _, h := range r.cacheView.observations(point) {
+		if h.server == b && h.absent && h.current(c.now) {
 			return true
 		}
 	}
