--- a/internal/routing/backend.go
+++ b/internal/routing/backend.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// reportHalfLife is the age at which half of a reported queue is replaced by
-	// the average of all: an old report says little of a queue that turns over
-	// in less.
+	// reportHalfLife is the age at which a reported queue counts half and the
+	// average of all servers the other half: queues change within seconds.
 	reportHalfLife = 3 * time.Second
-	// exclusionTimeout is how long a report keeps a server out by itself. A
-	// server without work sends no new report, so that a verdict that stayed
-	// would never be taken back; the agent still refuses by itself.
+	// exclusionTimeout is how long a report excludes a server. An idle server
+	// sends no new report, so that an exclusion without timeout would be
+	// permanent; the agent can still refuse an offer.
 	exclusionTimeout = 2 * time.Second
-	// defaultPrefillRate in tokens a second, until one is declared or heard.
+	// defaultPrefillRate in tokens per second, until one is declared or
+	// reported.
 	defaultPrefillRate = 10000
-	// defaultRetention of a cached block until an agent has told its own.
+	// defaultRetention of an unused cached block, until an agent reported one.
 	defaultRetention = 10 * time.Second
-	// slownessHalfLife halves what was learned of a server's slowness.
+	// slownessHalfLife of a server's observed lateness.
 	slownessHalfLife = 10 * time.Second
 	slownessGain     = 0.1
 	maxSlowness      = 16
-	// commonLatenessGain is slower, so that one slow server hardly moves what counts
-	// as common to all.
+	// commonLatenessGain is much smaller than slownessGain, so that one slow
+	// server hardly changes the mean of all.
 	commonLatenessGain = 0.005
-	// slownessNoiseRatio is the ratio, and lateNoise in milliseconds the lateness
-	// beyond what is common to all, that first tokens have without any fault:
-	// requests of a higher class overtake, blocks are evicted in the queue.
+	// slownessNoiseRatio and lateNoiseMS are the relative and absolute
+	// lateness, beyond the common one, that healthy servers have: requests of a
+	// higher class overtake, blocks are evicted while the request is queued.
 	slownessNoiseRatio = 1.5
 	lateNoiseMS        = 50
-	// slownessFloorMS in milliseconds: below it a ratio of times says nothing.
+	// slownessFloorMS is added to times before their ratio is taken: ratios of
+	// very short times say nothing.
 	slownessFloorMS = 20
 )
 
@@ -40,16 +41,16 @@
 type backend struct {
 	name       string
 	signals    Signals
-	byteMS     float64 // milliseconds a prompt byte takes to prefill, as last scored
-	offeredMS  float64 // own prefill work offered since signals.At
-	inFlight   int     // own requests handed over and not finished
+	byteMS     float64 // prefill time of one prompt byte, as last scored
+	offeredMS  float64 // prefill work of this process offered since signals.At
+	inFlight   int     // requests of this process handed off and not finished
 	lateness   lateness
 	latenessAt time.Time
 }
 
 func (b *backend) update(now time.Time, state *jayv1.AgentState) bool {
 	if b.hasState() && state.GetIncarnation() < b.signals.Incarnation {
-		// An answer that was delayed past a restart of the engine.
+		// The answer was delayed past a restart of the engine.
 		return false
 	}
 	b.signals = Signals{
@@ -72,9 +73,9 @@
 
 func (b *backend) hasState() bool { return !b.signals.At.IsZero() }
 
-// queueMS is the prefill work expected to stand before a new request: what was
-// reported less what has drained since, fading into the average of all servers
-// as the report ages, and the own work that the report could not know of.
+// queueMS is the prefill work expected ahead of a new request: the reported
+// queue less what was processed since, replaced by the average of all servers
+// as the report ages, plus the work that this process offered since the report.
 func (b *backend) queueMS(now time.Time, average float64) float64 {
 	if !b.hasState() {
 		return average + b.offeredMS
@@ -86,10 +87,10 @@
 	return reported*weight + average*(1-weight) + own
 }
 
-// rate is the tokens that the server prefills a second. A declared rate goes
-// first: a server that never got work reports a guess, and a guess that is too
-// low would keep it without work. A server slower than declared shows in its
-// first tokens.
+// rate returns the server's prefill rate in tokens per second. A declared rate
+// takes precedence: a server without work reports only an initial estimate, and
+// one that is too low would keep it without work. If the server is slower than
+// declared, its late first tokens raise its penalty.
 func (b *backend) rate(policy *PoolPolicy) float64 {
 	switch {
 	case policy.PrefillTokensPerSecond > 0:
@@ -100,7 +101,7 @@
 	return defaultPrefillRate
 }
 
-// retention is how long an untouched block stays cached there.
+// retention returns how long an unused block stays cached at the server.
 func (b *backend) retention() time.Duration {
 	if b.signals.CacheRetention > 0 {
 		return b.signals.CacheRetention
@@ -108,10 +109,10 @@
 	return defaultRetention
 }
 
-// lateness is how first tokens compare with what was promised.
+// lateness compares first tokens with the expected times.
 type lateness struct {
-	ratio  float64 // observed over promised, 1 when as promised
-	lateMS float64 // observed less promised
+	ratio  float64 // observed over expected time; 1: on time
+	lateMS float64 // observed less expected time
 }
 
 func (t lateness) toward(seen lateness, gain float64) lateness {
@@ -126,14 +127,14 @@
 	return lateness{ratio: min(ratio, maxSlowness), lateMS: max(0, observedMS-expectedMS)}
 }
 
-// observeFirstToken takes in a first token of the server.
+// observeFirstToken records the lateness of one of the server's first tokens.
 func (b *backend) observeFirstToken(now time.Time, seen lateness) {
 	b.lateness = b.latenessNow(now).toward(seen, slownessGain)
 	b.latenessAt = now
 }
 
-// latenessNow fades toward none, so that a server that was slow and therefore
-// gets no work is tried again.
+// latenessNow decays toward no lateness, so that a server that was slow and
+// therefore gets no work is tried again.
 func (b *backend) latenessNow(now time.Time) lateness {
 	if b.latenessAt.IsZero() {
 		return lateness{ratio: 1}
@@ -142,8 +143,8 @@
 	return lateness{ratio: 1 + (b.lateness.ratio-1)*share, lateMS: b.lateness.lateMS * share}
 }
 
-// excessMS is how much later than it says the server is expected to be, beyond
-// what is common to all and beyond noise.
+// excessMS is the expected lateness of the server beyond the common lateness
+// and the noise.
 func (b *backend) excessMS(now time.Time, common lateness, expectedMS float64) float64 {
 	own := b.latenessNow(now)
 	excess := max(0, own.lateMS-2*common.lateMS-lateNoiseMS)
@@ -153,8 +154,8 @@
 	return excess
 }
 
-// load is the requests at the server: as last reported, or as this process has
-// in flight there if that is more.
+// load returns the number of requests at the server: as last reported, or those
+// of this process if they are more.
 func (b *backend) load() int {
 	return max(b.signals.Running+b.signals.Queued, b.inFlight)
 }
--- a/internal/routing/beliefs.go
+++ b/internal/routing/beliefs.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// maxObservedPoints bounds the prefix points that are remembered.
+	// maxObservedPoints bounds the prefix points with observations.
 	maxObservedPoints = 1 << 16
-	// maxObservationsPerPoint bounds the servers remembered for one point.
+	// maxObservationsPerPoint bounds the servers recorded for one point.
 	maxObservationsPerPoint = 4
 )
 
-// observation is one server that was seen to hold, or not to hold, a prefix point.
+// observation records that a server's agent reported a prefix point as cached
+// or absent, or that a request with it was handed off there.
 type observation struct {
 	server      *backend
 	seenAt      int64 // Unix nanoseconds: a third of the memory of a time.Time
@@ -21,13 +22,13 @@
 	absent      bool
 }
 
-// pointObservations is what was seen of one prefix point.
+// pointObservations holds the observations of one prefix point.
 type pointObservations struct {
 	servers [maxObservationsPerPoint]observation
 }
 
-// cacheView maps prefix points to the servers that hold them, least recently
-// used points forgotten first.
+// cacheView maps prefix points to observations; the least recently used points
+// are evicted first.
 type cacheView struct {
 	points *simplelru.LRU[uint64, *pointObservations]
 }
@@ -36,8 +37,8 @@
 	return cacheView{points: newLRU[uint64, *pointObservations](capacity)}
 }
 
-// put remembers what a server's answer said of a point; the stalest holder
-// makes room.
+// put stores an observation of a point, in place of the server's earlier one or
+// of the oldest.
 func (t cacheView) put(point uint64, seen observation) {
 	entry, ok := t.points.Get(point)
 	if !ok {
@@ -57,7 +58,7 @@
 	entry.servers[at] = seen
 }
 
-// observations returns the observations of a point, nil when nothing is known.
+// observations returns the observations of a point; nil when there are none.
 func (t cacheView) observations(point uint64) []observation {
 	entry, ok := t.points.Peek(point)
 	if !ok {
@@ -66,9 +67,9 @@
 	return entry.servers[:]
 }
 
-// current tells whether a holder may still be relied on. A belief about an
-// earlier incarnation is about a cache that is gone: the engine came back
-// cold. One older than the cache's survival time has most likely been evicted.
+// current reports whether an observation still applies. A different incarnation
+// of the engine started with an empty cache, and a prefix that was not observed
+// for longer than the server's cache retention has most likely been evicted.
 func (h observation) current(now time.Time) bool {
 	if h.server == nil || h.incarnation != h.server.signals.Incarnation {
 		return false
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -6,10 +6,11 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// maxCandidates bounds the candidates of one choice, whatever the fleet's size.
+// maxCandidates bounds the candidates of one choice, whatever the number of
+// servers.
 const maxCandidates = 16
 
-// Sources of candidates, as told in explanations.
+// Sources of candidates, by their names in explanations.
 const (
 	sourceRendezvous = "rendezvous"
 	sourceBelief     = "belief"
@@ -19,7 +20,9 @@
 	sourceFallback   = "fallback"
 )
 
-// What the cached bytes of a candidate rest on.
+// Evidence for a candidate's cached bytes, by its name in explanations: none,
+// an earlier answer of the agent, the prefix's rendezvous set, or an answer
+// about this very request.
 const (
 	evidenceNone     = "none"
 	evidenceSeen     = "seen"
@@ -27,7 +30,7 @@
 	evidenceAsked    = "asked"
 )
 
-// candidate is a server under consideration with the terms of its expected
+// candidate is a server under consideration, with the terms of its expected
 // time to the first token.
 type candidate struct {
 	index    int32
@@ -37,7 +40,8 @@
 	filtered string
 
 	cachedBytes int
-	// exactMS is the agent's own word on queue and prefill; negative: none.
+	// exactMS is the queue and prefill time that the agent answered for this
+	// request; negative: no answer.
 	exactMS     float64
 	queueMS     float64
 	prefillMS   float64
@@ -47,13 +51,13 @@
 	totalMS     float64
 }
 
-// boundSet is a set together with what is known of its servers.
+// boundSet is a set with the backends of its servers.
 type boundSet struct {
 	set      *Set
 	backends []*backend
 }
 
-// choice is the scratch space of one decision.
+// choice is the working state of one decision.
 type choice struct {
 	now      time.Time
 	req      *Request
@@ -61,7 +65,7 @@
 	bound    *boundSet
 	refusals []RefusedOffer
 
-	shared         *sharedPrefix // main shared level; nil without one
+	shared         *sharedPrefix // main shared prefix; nil: none
 	sharedPoint    int
 	averageQueueMS float64
 	commonLateness lateness
@@ -71,7 +75,8 @@
 	declined       int // refusals for cost so far
 }
 
-// add makes the server a candidate, once.
+// add returns the candidate for a server, new or already present; nil when
+// there are maxCandidates already.
 func (c *choice) add(index int32, source string) *candidate {
 	backend := c.bound.backends[index]
 	if found := c.find(backend); found != nil {
@@ -94,7 +99,7 @@
 	return nil
 }
 
-// explain renders the candidates; their number is bounded, and so is the cost.
+// explain returns the candidates and the terms of their scores.
 func (c *choice) explain() []*jayv1.CandidateTerms {
 	terms := make([]jayv1.CandidateTerms, c.n)
 	list := make([]*jayv1.CandidateTerms, c.n)
--- a/internal/routing/direct.go
+++ b/internal/routing/direct.go
@@ -7,67 +7,75 @@
 	"github.com/zeebo/xxh3"
 )
 
-// DirectOptions tune the choice. Zero values take the defaults.
+// DirectOptions configure a Direct.
 type DirectOptions struct {
 	DataCentre string
-	// MaxVersionAge beyond which a server with older weights gets nothing.
+	// MaxVersionAge is the age of a version, counted from the announcement of a
+	// newer one, beyond which its servers get no requests; 0: no bound.
 	MaxVersionAge time.Duration
-	// ExclusiveServers: no other router sends requests to the servers that this one chooses
-	// from, so that nothing is guessed of others and each server is looked at.
+	// ExclusiveServers: no other router sends requests to the servers that this
+	// one chooses from. Nothing is estimated for other routers then, and every
+	// server is scored.
 	ExclusiveServers bool
 }
 
 const (
-	// prefillTokensPerMS that an engine is taken to read. First tokens came after 0.75
-	// of the time that this gives on average, at 12 engines and four entries.
+	// prefillTokensPerMS is the prefill rate assumed of an engine.
 	prefillTokensPerMS = 50
-	// recomputeMSPerToken weighs reading again what another server or the store
-	// holds: the operator pays for it, and it delays all that wait behind it.
+	// recomputeMSPerToken is the cost of prefilling again what another server
+	// or a store holds, beyond its own time: it delays all requests queued
+	// behind it.
 	recomputeMSPerToken = 0.2
-	// copyMSPerToken weighs one more copy of a prefix, which pushes out others.
+	// copyMSPerToken is the cost of one more copy of a prefix, which evicts
+	// others.
 	copyMSPerToken = 0.025
-	// fetchMSPerToken is how long a prefix takes over the link between engines.
+	// fetchMSPerToken is the transfer time of a prefix between engines.
 	fetchMSPerToken = 0.003
-	// oldVersionPenaltyMS weighs a run on weights that were replaced.
+	// oldVersionPenaltyMS is the cost of a run on weights that were superseded.
 	oldVersionPenaltyMS = 250
-	// versionGrace is how long after a new version was named older weights are
-	// as good, and versionStep is over what time the weight then rises.
+	// versionGrace is how long after the announcement of a new version older
+	// weights cost nothing; over versionRamp the cost then rises to
+	// oldVersionPenaltyMS.
 	versionGrace = 900 * time.Millisecond
 	versionRamp  = 600 * time.Millisecond
-	// runningRequestMS is what each request under way adds to the time of a new one, by
-	// sharing the engine's steps.
+	// runningRequestMS is the delay that each running request of this router
+	// adds to a new one by sharing the engine's steps.
 	runningRequestMS = 1.5
-	// otherEntryRequestMS is what a request of another entry adds: its prompt is not known.
+	// otherEntryRequestMS is the delay that a request of another entry adds;
+	// its prompt is not known here.
 	otherEntryRequestMS = 12
-	// maxScored servers are all looked at closely in one decision; of more,
-	// only those near to the prefix and sampled others that the request's id
-	// picks. Entries that all look at the same servers with news of the same age
-	// would all choose the same one: with 31 entries, credit on an overloaded day
-	// was 0.47 with all 56 servers looked at, 0.52 with 3 others, 0.56 with one.
+	// maxScored is the number of servers up to which all are scored in one
+	// decision. Of more, only those are scored that rank first for the prefix
+	// or hold it, and sampledServers others that the request's id selects.
+	// Entries that score the same servers with information of the same age
+	// would all choose the same one.
 	maxScored      = 16
 	sampledServers = 1
-	// inflowWindow is the time over which the inflow of prompts is averaged.
+	// inflowWindow is the averaging time of the inflow of prompts.
 	inflowWindow = 5 * time.Second
-	// cacheShare of an engine's memory that is not taken by requests under way.
+	// cacheShare is the share of an engine's memory that is assumed to hold
+	// cached prefixes.
 	cacheShare = 1.0
-	// maxEntryFactor bounds by how much our own unread prompts at a server are
-	// multiplied to stand for those of all entries: what the others sent just
-	// now is in no report yet, and they choose alike. Counting it lowered late
-	// answers while weights change: credit before prices 0.899 -> 0.934.
+	// maxEntryFactor bounds the number of entries, this one included, that are
+	// assumed to have as much pending prefill at a server as this one: requests
+	// that other entries sent just now are in no report yet.
 	maxEntryFactor = 6
-	// estimateShare of that is added to what the others tell: 0 earned 0.732 of a day
-	// with new weights, 0.5 0.736, 1 0.715.
+	// estimateShare is the share of that estimate that is added to the pending
+	// prefill reported by the other entries.
 	estimateShare = 0.5
-	// reportLifetime is how long a server's word on its load counts, fading.
+	// reportLifetime is how long a load reported by a server counts, with
+	// linearly falling weight.
 	reportLifetime = 2 * time.Second
-	// defaultServiceMS is the guess of a plain call's service time until one was seen.
+	// defaultServiceMS is the service time of a request without a prompt until
+	// one was observed.
 	defaultServiceMS = 40
-	// meanGain weighs one result in the running means.
+	// meanGain is the weight of one result in the running means.
 	meanGain = 0.1
 )
 
-// Direct chooses backend servers that are called directly, and remembers what
-// it sent to them and what their answers taught. Not safe for concurrent use.
+// Direct chooses among backend servers that are called without an agent, from
+// the requests that it placed, the servers' answers and the hints of other
+// entries. It is not safe for concurrent use.
 type Direct struct {
 	options  DirectOptions
 	loads    map[string]*directLoad
@@ -76,30 +84,34 @@
 	stores   *storeIndex
 	// entries that send to the same servers, this one included.
 	entries int
-	// savers that share the links of the stores of kept cache.
+	// savers is the number of routers that save to the same KV cache stores.
 	savers int
-	// inflow of prompt tokens a second that we send, over all engines.
+	// inflow of prompt and answer tokens per second from this router, over all
+	// engines, as of inflowAt.
 	inflow   float64
 	inflowAt time.Time
-	// residenceMS is how long requests stay in an engine's memory, on average.
+	// residenceMS is the mean time that requests occupy an engine's memory.
 	residenceMS float64
-	// capacity in tokens of the engines that were last chosen from, and how many.
+	// capacity is the total memory, in tokens, of the engines in the last
+	// choice; engines is their number.
 	capacity, engines int
-	// tokens that our own requests take everywhere.
+	// tokens that the requests of this router occupy, over all servers.
 	tokens int
-	// unreportedTokens tokens at each server, of entries that tell nothing; for one decision.
+	// unreportedTokens is the estimate, for the current decision, of the tokens
+	// that entries without a recent memory hint occupy at each server.
 	unreportedTokens int
-	// placedHints requests that the other entries should hear of.
+	// placedHints for the other entries.
 	placedHints []PlacedHint
-	// memoryHintAt is when each other entry last told what it takes.
+	// memoryHintAt is the time of the last memory hints from each other entry.
 	memoryHintAt map[uint32]time.Time
 	// prefixHints for the other entries.
 	prefixHints []PrefixHint
-	// eligible, lastResort and sample are scratch of one decision.
+	// Scratch lists of one decision: servers that may serve, those taken only
+	// when there are no such servers, and those to score.
 	eligible, lastResort, sample []int32
 }
 
-// NewDirect makes a router that knows nothing.
+// NewDirect returns a router without any load or holders recorded.
 func NewDirect(options DirectOptions) *Direct {
 	return &Direct{
 		options: options, loads: map[string]*directLoad{}, pending: map[string]*pendingRun{},
@@ -108,17 +120,18 @@
 	}
 }
 
-// SetEntries tells how many entries send to the same servers, and save to the
-// same stores.
+// SetEntries sets the number of entries that send to the same servers and save
+// to the same KV cache stores.
 func (d *Direct) SetEntries(n int) { d.entries, d.savers = n, n }
 
-// SetSavers tells how many routers save to the same stores, of one that is the
-// sole router of its servers.
+// SetSavers sets the number of routers that save to the same KV cache stores,
+// for a router with ExclusiveServers.
 func (d *Direct) SetSavers(n int) { d.savers = n }
 
-// Choose decides where to send a request, and counts it there until Finished.
-// tried servers are left out. ErrNoServer when none may take it, ErrNoRoom when
-// it should wait. The servers are read only, and not kept.
+// Choose decides where to send a request, and counts it at that server until
+// Finished. Servers in tried are excluded. It returns ErrNoServer when no
+// server may take the request and ErrNoFreeMemory when the request should wait.
+// The servers are neither changed nor retained.
 func (d *Direct) Choose(now time.Time, req *DirectRequest, servers []DirectServer, tried []string) (DirectChoice, error) {
 	usable := d.filter(servers, tried)
 	if len(usable) == 0 {
@@ -153,9 +166,9 @@
 	return choice, nil
 }
 
-// updateRetention estimates how long engines keep a prefix that is not used: their
-// memory over what all entries send. A belief that is older points to nothing,
-// and a fetch from there reads the prefix again.
+// updateRetention estimates how long engines keep an unused prefix: their
+// memory divided by the inflow from all entries. A holder record that is older
+// is likely wrong, and a fetch from that server would end in another prefill.
 func (d *Direct) updateRetention(now time.Time, tokens int, servers []DirectServer) {
 	if age := now.Sub(d.inflowAt).Seconds(); age > 0 && !d.inflowAt.IsZero() {
 		d.inflow *= math.Exp(-age / inflowWindow.Seconds())
@@ -174,11 +187,11 @@
 	d.prefixes.retention = min(max(time.Duration(cacheTokens*float64(time.Second)), minRetention), maxRetention)
 }
 
-// Retention is how long engines are thought to keep an unused prefix.
+// Retention returns the estimate of how long engines keep an unused prefix.
 func (d *Direct) Retention() time.Duration { return d.prefixes.retention }
 
-// filter leaves the indexes of the servers that may serve. Servers that change
-// weights, or that failed of late, are taken when there is nothing else.
+// filter returns the indexes of the servers that may serve. Servers that load
+// weights or are not usable are returned only when there are no others.
 func (d *Direct) filter(servers []DirectServer, tried []string) []int32 {
 	d.eligible, d.lastResort = d.eligible[:0], d.lastResort[:0]
 	for i := range servers {
@@ -198,7 +211,8 @@
 	return d.lastResort
 }
 
-// firstRanked leaves the server that is first in a key's order, alike at every entry.
+// firstRanked returns the server that ranks first for a key; it is the same at
+// every entry.
 func firstRanked(key uint64, servers []DirectServer, usable []int32) []int32 {
 	first := 0
 	for i := range usable {
@@ -209,7 +223,8 @@
 	return usable[first : first+1]
 }
 
-// sampleServers bounds the servers that are scored in a large pool.
+// sampleServers returns the servers to score: all of a small pool, some of a
+// large one.
 func (d *Direct) sampleServers(req *DirectRequest, servers []DirectServer, usable []int32, p *prefixPlan) []int32 {
 	if p == nil || d.options.ExclusiveServers || len(usable) <= maxScored {
 		return usable
@@ -278,7 +293,7 @@
 	return t
 }
 
-// conclude makes the choice of the best server.
+// conclude builds the choice for the best server.
 func (d *Direct) conclude(now time.Time, req *DirectRequest, s *DirectServer, p *prefixPlan, terms DirectTerms) DirectChoice {
 	choice := DirectChoice{Server: *s, Terms: terms, ExpectedMS: terms.QueueMS + terms.PrefillMS + terms.MemoryMS}
 	if p == nil {
@@ -299,14 +314,13 @@
 	return d.options.DataCentre
 }
 
-// lateFactor of the expected time to the first token after which a request may
-// begin: behind a queue that is longer than believed it began on weights that
-// had to be gone by then.
+// lateFactor times the expected time to the first token is the delay allowed
+// for in the check against MaxVersionAge: a queue may be longer than estimated,
+// and the request must not begin on weights that are too old by then.
 const lateFactor = 2
 
-// versionMS rises from nothing to its weight around the moment from which a
-// run on older weights is worth less. It is infinite where the request may begin
-// only when older weights must not be used any more.
+// versionMS returns the cost of superseded weights. It is infinite where the
+// weights may exceed MaxVersionAge before the request begins.
 func (d *Direct) versionMS(age time.Duration, expectedMS float64) float64 {
 	if age <= versionGrace {
 		return 0
@@ -317,16 +331,17 @@
 	return oldVersionPenaltyMS * min(1, float64(age-versionGrace)/float64(versionRamp))
 }
 
-// durationOf milliseconds.
+// durationOf converts milliseconds.
 func durationOf(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// ServerHash is the rendezvous hash of a server's name, alike at every entry.
+// ServerHash returns the rendezvous hash of a server's id; it is the same at
+// every entry.
 func ServerHash(id string) uint64 { return hashOf(id) }
 
 func hashOf(texts ...string) uint64 {
 	var h xxh3.Hasher
 	for _, text := range texts {
-		_, _ = h.WriteString(text) // A hash takes all.
+		_, _ = h.WriteString(text) // Never fails.
 		_, _ = h.WriteString("\x00")
 	}
 	return h.Sum64()
--- a/internal/routing/direct_hints.go
+++ b/internal/routing/direct_hints.go
@@ -4,60 +4,64 @@
 	"time"
 )
 
-// PrefixHint tells that a server reads a prefix. It comes from another entry,
-// is some milliseconds old and may be wrong by now.
+// PrefixHint says that a server was sent a request with a prefix. It comes from
+// another entry, is some milliseconds old and may be outdated.
 type PrefixHint struct {
-	// Prefix is the key of one level of a prefix under its salt. Two prefixes may
-	// share a key: that costs a prompt read again, as the salt keeps them apart.
+	// Prefix is the key of one level of a prefix under its salt. If two
+	// prefixes share a key, a prompt may be prefilled again; the salt prevents
+	// that a wrong cache entry is used.
 	Prefix uint32
 	Server string
-	// Address of the server; empty in hints that are sent.
+	// Address of the server; empty in hints to be sent.
 	Address string
-	// ReadyIn is the expected time until others can fetch the prefix there.
+	// ReadyIn is the expected time until the prefix can be fetched from there.
 	ReadyIn time.Duration
 }
 
-// LoadHint tells of another entry's unread prompts at a server.
+// LoadHint is the pending prefill of another entry's requests at a server.
 type LoadHint struct {
 	Server    string
 	PrefillMS float64
 }
 
-// maxPendingHints bounds the hints that wait to be sent; the newest are dropped.
+// maxPendingHints bounds the hints that wait to be sent; further ones are
+// dropped.
 const maxPendingHints = 256
 
-// loadHintLifetime is how long another entry's word on its unread prompts counts,
-// fading: engines read them in some hundred milliseconds.
+// loadHintLifetime is how long a load hint counts, with linearly falling
+// weight: engines prefill a prompt within some hundred milliseconds.
 const loadHintLifetime = 400 * time.Millisecond
 
-// receivedLoad is what one other entry said of one server.
+// receivedLoad is the pending prefill that one other entry reported for one
+// server.
 type receivedLoad struct {
 	prefillMS float64
 	at        time.Time
 }
 
-// recordHint keeps a hint for the other entries.
+// recordHint queues a prefix hint for the other entries.
 func (d *Direct) recordHint(prefix uint32, server string, readyIn time.Duration) {
 	if len(d.prefixHints) < maxPendingHints {
 		d.prefixHints = append(d.prefixHints, PrefixHint{Prefix: prefix, Server: server, ReadyIn: readyIn})
 	}
 }
 
-// TakePrefixHints returns what others should hear since the last call.
+// TakePrefixHints returns the prefix hints recorded since the last call.
 func (d *Direct) TakePrefixHints() []PrefixHint {
 	hints := d.prefixHints
 	d.prefixHints = nil
 	return hints
 }
 
-// ReceivePrefixHints takes in hints of another entry.
+// ReceivePrefixHints records prefix hints of another entry.
 func (d *Direct) ReceivePrefixHints(now time.Time, hints []PrefixHint) {
 	for _, h := range hints {
 		d.prefixes.add(now, h.Prefix, h.Server, h.Address, now.Add(h.ReadyIn))
 	}
 }
 
-// LoadHints returns our own unread prompts at each server that has any.
+// LoadHints returns the pending prefill of this router's requests at each
+// server.
 func (d *Direct) LoadHints() []LoadHint {
 	var loads []LoadHint
 	for server, l := range d.loads {
@@ -68,8 +72,8 @@
 	return loads
 }
 
-// ReceiveLoadHints takes in another entry's unread prompts. Servers that it does not
-// name have none of them.
+// ReceiveLoadHints records the pending prefill of another entry's requests. At
+// servers that are not in loads it has none.
 func (d *Direct) ReceiveLoadHints(now time.Time, entry uint32, loads []LoadHint) {
 	for _, l := range d.loads {
 		delete(l.receivedLoads, entry)
@@ -79,7 +83,8 @@
 	}
 }
 
-// hintedPrefillMS is what the other entries' unread prompts at a server take.
+// hintedPrefillMS is the pending prefill that other entries reported for the
+// server.
 func (l *directLoad) hintedPrefillMS(now time.Time) float64 {
 	sum := 0.0
 	for _, h := range l.receivedLoads {
@@ -88,7 +93,7 @@
 	return sum
 }
 
-// remaining is what is left of a word by now.
+// remaining is the weighted prefill that counts at the given time.
 func (h receivedLoad) remaining(now time.Time) float64 {
 	return h.prefillMS * max(0, 1-float64(now.Sub(h.at))/float64(loadHintLifetime))
 }
--- a/internal/routing/direct_load.go
+++ b/internal/routing/direct_load.go
@@ -6,21 +6,22 @@
 	"github.com/jayproxy/jayproxy/internal/call"
 )
 
-// directLoad is what is known of the work at one server.
+// directLoad is the known load of one server.
 type directLoad struct {
-	// running counts our own requests there; readMS is the prompt work of those
-	// without a first token yet.
+	// running counts this router's requests there; prefillMS is the prefill
+	// time of those without a first token.
 	running   int
 	prefillMS float64
-	// otherRequests counts requests of other entries, as of othersAt.
+	// otherRequests counts requests of other entries, as of otherRequestsAt.
 	otherRequests   float64
 	otherRequestsAt time.Time
-	// receivedLoads is what other entries said of their unread prompts here.
+	// receivedLoads is the pending prefill reported by other entries, by entry.
 	receivedLoads map[uint32]receivedLoad
-	// tokens of our own requests in its memory, heardTokens those of others.
+	// tokens that this router's requests occupy in its memory; receivedMemory
+	// holds those of other entries, by entry.
 	tokens         int
 	receivedMemory map[uint32]receivedTokens
-	// serviceMS is the mean time of an answer of a plain service.
+	// serviceMS is the mean time of an answer to a request without a prompt.
 	serviceMS float64
 }
 
@@ -32,9 +33,11 @@
 	keys          []uint32
 	at            time.Time
 	hasFirstToken bool
-	// expiresAt is when it counts no more though its end was not told; zero: never.
+	// expiresAt is when the run is dropped if Finished was not called; zero:
+	// never.
 	expiresAt time.Time
-	// savedPart names the part that is sent to a store when it was read; 0: none.
+	// savedPart is the key of the part that is saved to a store after prefill;
+	// 0: none.
 	savedPart uint32
 }
 
@@ -53,22 +56,24 @@
 	if !withoutPrompt {
 		return l.prefillMS + d.othersPrefillMS(now, l) + runningRequestMS*float64(l.running) + otherEntryRequestMS*others
 	}
-	// Work beyond the slots waits for one of them.
+	// Requests beyond the slots wait for a free one.
 	slots := float64(max(s.Slots, 1))
 	ahead := float64(l.running) + others
 	wait := max(0, ahead+1-slots) / slots * l.serviceMS
 	return wait + l.serviceMS*(1+ahead/slots/2)
 }
 
-// othersPrefillMS is what the unread prompts of other entries at a server take: as
-// they tell, or guessed from our own where they have told nothing of late.
+// othersPrefillMS is the pending prefill of other entries' requests at a
+// server: as reported, plus a share of an estimate from this router's own, for
+// requests that no hint covers yet.
 func (d *Direct) othersPrefillMS(now time.Time, l *directLoad) float64 {
 	estimate := l.prefillMS * float64(min(max(d.entries, 1), maxEntryFactor)-1)
 	hinted := l.hintedPrefillMS(now)
 	return estimateShare*estimate + hinted
 }
 
-// FirstToken tells that the prompt of a request was read: its prefix is cached there.
+// FirstToken records that the prompt of a request was prefilled, so that its
+// prefix is cached at the server.
 func (d *Direct) FirstToken(now time.Time, request string) {
 	run := d.pending[request]
 	if run == nil || run.hasFirstToken {
@@ -83,8 +88,8 @@
 	}
 }
 
-// Expire takes out requests whose end was not told in time: the word of it was
-// lost, or the entry that sent it is gone.
+// Expire removes requests whose ExpiresAt is over: the message about their end
+// was lost, or the entry that sent them is gone.
 func (d *Direct) Expire(now time.Time) {
 	for request, run := range d.pending {
 		if !run.expiresAt.IsZero() && now.After(run.expiresAt) {
@@ -93,8 +98,8 @@
 	}
 }
 
-// Finished tells that a request came to its end. ran is false when the server
-// proved that it did not run there, or it was never sent.
+// Finished records the end of a request. ran is false when the server proved
+// that it did not run the request, or when it was never sent.
 func (d *Direct) Finished(now time.Time, request string, ran bool) {
 	run := d.pending[request]
 	if run == nil {
@@ -113,13 +118,13 @@
 	if ran && run.tokens > 0 {
 		d.observeResidence(run, now)
 	}
+	// A load created here for a server that is gone would never be removed.
 	if l := d.loads[run.server]; l != nil {
 		l.finished(now, run, ran)
 	}
 }
 
-// finished takes a request out of its server's load. A server that is gone has
-// none: its load would be kept for ever.
+// finished removes a request from its server's load.
 func (l *directLoad) finished(now time.Time, run *pendingRun, ran bool) {
 	l.running = max(0, l.running-1)
 	l.tokens = max(0, l.tokens-run.tokens)
@@ -132,26 +137,26 @@
 	}
 }
 
-// UpdateLoad takes in the load that came with an answer of the server; our own
-// requests there are in it.
+// UpdateLoad records the load that a server reported with an answer; it
+// includes this router's own requests.
 func (d *Direct) UpdateLoad(now time.Time, server string, load call.Load) {
 	l := d.load(server)
 	l.otherRequests = float64(max(0, load.Running+load.Waiting-l.running))
 	l.otherRequestsAt = now
 }
 
-// RemoveServer forgets a server that is gone.
+// RemoveServer drops everything recorded of a server that is gone.
 func (d *Direct) RemoveServer(server string) {
 	delete(d.loads, server)
 	d.prefixes.removeServer(server)
 }
 
-// ForgetCache tells that a server holds nothing any more: it took new weights, or
-// its lifetime is over.
+// ForgetCache records that a server's cache is empty: it loaded new weights, or
+// its incarnation ended.
 func (d *Direct) ForgetCache(server string) { d.prefixes.removeServer(server) }
 
-// ServerOf returns the server that a request under way was counted at; empty
-// when it is not known.
+// ServerOf returns the ID of the server at which a running request is counted;
+// empty when it is not known.
 func (d *Direct) ServerOf(request string) string {
 	if run := d.pending[request]; run != nil {
 		return run.server
@@ -159,5 +164,5 @@
 	return ""
 }
 
-// Running counts our own requests at a server.
+// Running returns the number of this router's requests at a server.
 func (d *Direct) Running(server string) int { return d.load(server).running }
--- a/internal/routing/direct_memory.go
+++ b/internal/routing/direct_memory.go
@@ -5,57 +5,62 @@
 	"time"
 )
 
-// ErrNoFreeMemory tells that the memory of the servers that suit a request is taken.
+// ErrNoFreeMemory means that the request should wait: memory is taken at the
+// server that suits it best.
 var ErrNoFreeMemory = errors.New("no memory free at the servers that suit the request")
 
-// Requests under way take an engine's memory for as long as their answers
-// last. Past its end new ones wait for the end of others, the least urgent are
-// put back and read once more, and cached prefixes go: at the load at which
-// that begins, everything that is read again brings it nearer. What is taken
-// is known only to the entries that sent it, so they tell each other.
+// Running requests occupy an engine's memory until their answers end. When it
+// is full, new requests wait, low-priority ones are preempted and prefilled
+// again, and cached prefixes are evicted, which causes further prefill. Only
+// the entries that sent the requests know what they occupy, so they exchange it
+// as hints.
 
-// MemoryHint tells how much of a server's memory another entry's requests take.
+// MemoryHint is the part of a server's memory that another entry's requests
+// occupy.
 type MemoryHint struct {
 	Server string
-	// Tokens of prompts and answers under way.
+	// Tokens of running prompts and answers.
 	Tokens int
 }
 
 const (
-	// memoryHintLifetime is how long another entry's word counts. Answers last for
-	// seconds, and an entry that is gone sends no more.
+	// memoryHintLifetime is how long memory hints count: answers take seconds,
+	// and an entry that is gone sends no more hints.
 	memoryHintLifetime = 3 * time.Second
-	// maxMemoryWaitMS for memory, from which a request waits in the entry instead: there it
-	// keeps no memory, puts nobody back and goes where memory becomes free first.
-	// In the model of TestPromptsWaitOutsideFullEngines at 1.7 times the load at
-	// which memory fills, credit less prompts read again was 0.20 without, 0.60
-	// from 0 ms, 0.59 from 300 and 0.47 from 600; at 1.1 times 0.79, 0.80 and 0.81.
+	// maxMemoryWaitMS is the expected wait for memory above which a request
+	// waits in the entry instead of at the server. In the entry it occupies no
+	// memory, preempts no other request and goes to the server that has free
+	// memory first.
 	maxMemoryWaitMS = 300
-	// minReportedMemoryShare, a share of all engines' memory: below it nothing waits
-	// for memory, and entries tell nothing of it.
+	// minReportedMemoryShare is the used share of all engines' memory below
+	// which entries send no memory hints, as nothing waits for memory.
 	minReportedMemoryShare = 0.4
-	// meanAnswerShare of the most tokens of an answer that it has on average.
+	// meanAnswerShare is the mean length of an answer, as a share of its upper
+	// bound.
 	meanAnswerShare = 0.35
-	// minPlacedTokens of a request from which it is told at once.
+	// minPlacedTokens is the size in tokens of a request from which the other
+	// entries are notified at once.
 	minPlacedTokens = 4000
-	// defaultResidenceMS of a request in an engine's memory until one was seen.
+	// defaultResidenceMS is the time that a request occupies an engine's memory
+	// until one was observed.
 	defaultResidenceMS = 2000
 )
 
-// receivedTokens is what one other entry said of its requests at one server.
+// receivedTokens is the memory that one other entry's requests occupy at one
+// server.
 type receivedTokens struct {
 	tokens int
 	at     time.Time
 }
 
-// memoryOf a request that is under way.
+// memoryOf returns the expected memory of a running request, in tokens.
 func memoryOf(req *DirectRequest) int {
 	return req.Tokens + int(meanAnswerShare*float64(req.OutputTokens))
 }
 
-// MemoryHints returns what our own requests take at each server that has any; nothing
-// while the memory of all engines is far from full, taking it that all entries
-// send alike.
+// MemoryHints returns the memory that this router's requests occupy at each
+// server; nil while the memory of all engines is far from full, assuming that
+// all entries send as much.
 func (d *Direct) MemoryHints() []MemoryHint {
 	var hints []MemoryHint
 	sum := 0
@@ -71,8 +76,8 @@
 	return hints
 }
 
-// ReceiveMemoryHints takes in all that another entry's requests take. Servers that it
-// does not name have none of them.
+// ReceiveMemoryHints records the memory that another entry's requests occupy.
+// At servers that are not in hints they occupy none.
 func (d *Direct) ReceiveMemoryHints(now time.Time, entry uint32, hints []MemoryHint) {
 	d.memoryHintAt[entry] = now
 	for _, l := range d.loads {
@@ -83,31 +88,32 @@
 	}
 }
 
-// PlacedHint tells of a larger request that another entry sent just now.
+// PlacedHint says that another entry has just sent a large request.
 type PlacedHint struct {
 	Server string
-	// Tokens that it takes of the server's memory.
+	// Tokens that the request occupies in the server's memory.
 	Tokens int
-	// PrefillMS is how long its prompt takes to read there.
+	// PrefillMS is the prefill time of its prompt there.
 	PrefillMS float64
 }
 
-// TakePlacedHints returns the larger requests that were sent since the last call.
+// TakePlacedHints returns the large requests that were placed since the last
+// call.
 func (d *Direct) TakePlacedHints() []PlacedHint {
 	placed := d.placedHints
 	d.placedHints = nil
 	return placed
 }
 
-// recordPlaced keeps a larger request for the other entries.
+// recordPlaced queues a hint for the other entries if the request is large.
 func (d *Direct) recordPlaced(server string, tokens int, prefillMS float64) {
 	if tokens >= minPlacedTokens && len(d.placedHints) < maxPendingHints {
 		d.placedHints = append(d.placedHints, PlacedHint{Server: server, Tokens: tokens, PrefillMS: prefillMS})
 	}
 }
 
-// ReceivePlacedHints takes in what another entry sent just now. It counts until that
-// entry tells all that it takes.
+// ReceivePlacedHints records large requests that another entry has just sent.
+// They count until its next memory hints.
 func (d *Direct) ReceivePlacedHints(now time.Time, entry uint32, hints []PlacedHint) {
 	for _, hint := range hints {
 		l := d.load(hint.Server)
@@ -121,13 +127,14 @@
 	}
 }
 
-// addReceivedLoad adds to another entry's unread prompts.
+// addReceivedLoad adds to another entry's pending prefill.
 func (l *directLoad) addReceivedLoad(now time.Time, entry uint32, prefillMS float64) {
 	before := l.receivedLoads[entry]
 	l.receivedLoads[entry] = receivedLoad{prefillMS: before.remaining(now) + prefillMS, at: now}
 }
 
-// tokensInUse counts the tokens in a server's memory that cannot yield.
+// tokensInUse returns the tokens that running requests occupy in a server's
+// memory, as far as they are known.
 func (l *directLoad) tokensInUse(now time.Time) int {
 	sum := l.tokens
 	for _, h := range l.receivedMemory {
@@ -138,8 +145,8 @@
 	return sum
 }
 
-// memoryMS is how long a request is expected to wait for memory: what is taken
-// goes free over the time that requests stay.
+// memoryMS is the expected wait of a request for memory: memory in use becomes
+// free at an even rate over the mean residence time.
 func (d *Direct) memoryMS(now time.Time, s *DirectServer, req *DirectRequest) float64 {
 	if s.KVTokens <= 0 {
 		return 0
@@ -156,11 +163,10 @@
 	return excess / float64(inUse) * d.residenceMS
 }
 
-// estimateUnreported that the entries take at each server which tell nothing: as much
-// as we do, spread evenly. An entry that is cut off, or that others do not hear,
-// thought the engines empty otherwise and filled them: with three of nine cut off
-// the model's net share at 1.5 times the load was 0.53, and is
-// 0.70 so (six seeds).
+// estimateUnreported estimates the tokens that entries without recent memory
+// hints occupy at each server: as many as this router's requests, spread
+// evenly. Without it, an entry that is cut off from the others assumes that the
+// engines are empty, and overfills them.
 func (d *Direct) estimateUnreported(now time.Time) int {
 	reporting := 0
 	for entry, at := range d.memoryHintAt {
@@ -174,24 +180,26 @@
 	return silent * d.tokens / max(1, d.engines)
 }
 
-// observeResidence learns from a request that ended how long requests stay in memory,
-// each by its size, as large ones keep it from others.
+// observeResidence updates the mean residence time with a request that ended.
+// Large requests weigh more, as they occupy most of the memory.
 func (d *Direct) observeResidence(run *pendingRun, now time.Time) {
 	tookMS := float64(now.Sub(run.at)) / float64(time.Millisecond)
 	weight := min(1, float64(run.tokens)/fullWeightTokens) * meanGain
 	d.residenceMS += weight * (tookMS - d.residenceMS)
 }
 
-// fullWeightTokens of a request that weighs fully in the mean stay.
+// fullWeightTokens is the size of a request that has full weight in the mean
+// residence time.
 const fullWeightTokens = 8000
 
-// lowestPriorityShare of an engine's memory is planned with for requests of the route
-// that is the least urgent. What it leaves is for those before it: an engine
-// that is full puts long prompts back to admit them, and reads those again.
+// lowestPriorityShare is the share of an engine's memory for requests of the
+// route with the lowest priority. The rest is left to higher priorities: a full
+// engine preempts long prompts to admit them, and prefills those again later.
 const lowestPriorityShare = 0.8
 
-// MemoryShare of an engine's memory that is planned with for a route whose
-// urgency is the rank-th of so many, 0 the most urgent.
+// MemoryShare returns the share of an engine's memory that requests of a route
+// may use; rank is the route's rank by priority among that many routes, 0 the
+// highest.
 func MemoryShare(rank, of int) float64 {
 	if of < 2 {
 		return lowestPriorityShare
@@ -199,5 +207,5 @@
 	return 1 - (1-lowestPriorityShare)*float64(rank)/float64(of-1)
 }
 
-// PrefillTime of a prompt of which nothing is cached.
+// PrefillTime returns the prefill time of a prompt of which nothing is cached.
 func PrefillTime(tokens int) time.Duration { return durationOf(float64(tokens) / prefillTokensPerMS) }
--- a/internal/routing/direct_offer.go
+++ b/internal/routing/direct_offer.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// Offer is a server that another entry chose for a request of ours.
+// Offer is a server that another entry, the owner of its shard, chose for a
+// request of this entry.
 type Offer struct {
 	Server DirectServer
-	// FetchFrom, SaveTo and Source are as in DirectChoice, for the server's version.
+	// FetchFrom, SaveTo and Source are as in DirectChoice, for the server's
+	// version.
 	FetchFrom, SaveTo string
 	Source            PrefixSource
-	// Expected wait for other work and for memory, and reading time.
+	// Expected wait for other work and for memory, and prefill time.
 	QueueMS, MemoryMS, PrefillMS float64
 }
 
-// AcceptOffer counts a request at the server that it was offered, and says what to
-// tell that server.
+// AcceptOffer counts a request at the offered server and returns the choice for
+// it.
 func (d *Direct) AcceptOffer(now time.Time, req *DirectRequest, offer *Offer) DirectChoice {
 	servers := []DirectServer{offer.Server}
 	p := d.plan(now, req, servers, []int32{0})
@@ -30,16 +32,16 @@
 	return choice
 }
 
-// PrefixHolder tells that a server holds a prefix, or will in a while, under the salt
-// of a version of the weights.
+// PrefixHolder is a server that holds a prefix, or will after ReadyIn, under
+// the salt of a version of the weights.
 type PrefixHolder struct {
 	Server, Address string
 	Version         uint64
 	ReadyIn         time.Duration
 }
 
-// ReceiveHolder takes in that a server, which another router places onto perhaps,
-// holds the shared prefix of a request.
+// ReceiveHolder records that a server, possibly one of another router's, holds
+// the shared prefix of a request.
 func (d *Direct) ReceiveHolder(now time.Time, req *DirectRequest, holder PrefixHolder) {
 	v := d.versionPlan(now, req, holder.Version)
 	for i := range v.levels {
@@ -47,9 +49,10 @@
 	}
 }
 
-// PlacedElsewhere takes back a request that this router chose a server for: it was
-// sent to another router's server, which holds its prefix from then on. Without
-// that word the next request with the prefix would be read here once more.
+// PlacedElsewhere takes back a request that this router chose a server for: it
+// was sent to holder instead, another router's server, which holds its prefix
+// from then on. Without this record the next request with the prefix would be
+// prefilled here again.
 func (d *Direct) PlacedElsewhere(now time.Time, request string, holder PrefixHolder) {
 	run := d.pending[request]
 	if run == nil {
@@ -61,8 +64,9 @@
 	}
 }
 
-// Holder is who holds the prefix of an offered request: the offered server, or
-// the one that it would fetch from. False: nobody is known to.
+// Holder returns the holder of an offered request's prefix: the offered server,
+// or the one that it would fetch the prefix from. ok is false when none is
+// known.
 func (o *Offer) Holder() (holder PrefixHolder, ok bool) {
 	switch o.Source {
 	case SourceHeld:
@@ -73,20 +77,19 @@
 	return PrefixHolder{}, false
 }
 
-// maxGoodWaitMS of an offer, above which another one is worth a second question,
-// which takes a few milliseconds and may end in one more copy of the prefix. In
-// the model of TestShardsKnowWhatALargeFleetDoes the net share was 0.897 with
-// 60 ms, 0.906 with 120 and 0.911 with 250; callers wait for about a second.
+// maxGoodWaitMS is the wait at an offered server above which another owner is
+// asked. Asking takes a few milliseconds and may end in one more copy of the
+// prefix; callers wait for about a second.
 const maxGoodWaitMS = 150
 
-// GoodOffer tells whether a request that would wait so long for other work and
-// for memory need not ask another owner.
+// GoodOffer reports whether an offer with these expected waits for other work
+// and for memory is accepted without asking another owner.
 func GoodOffer(queueMS, memoryMS float64) bool { return queueMS+memoryMS <= maxGoodWaitMS }
 
-// RendezvousKey is the key by which servers are ranked for a request's prefix under a
-// version of the weights: the owner of the first of them is asked, and an entry
-// that can't ask any sends the request to the same server. Requests without a
-// prefix are told apart by their ids.
+// RendezvousKey returns the key by which servers are ranked for a request's
+// prefix under a version of the weights. The owner of the server that ranks
+// first is asked; an entry that can't reach any owner sends the request to that
+// server itself. Requests without a prefix are keyed by their ids.
 func (r *DirectRequest) RendezvousKey(version uint64) uint64 {
 	if len(r.Prefix) == 0 {
 		return hashOf(r.ID)
@@ -98,8 +101,8 @@
 	return uint64(levelKey(chain))
 }
 
-// SourceFromCode returns the source of a number that another entry told; those
-// that are not known are none.
+// SourceFromCode returns the source for a code received from another entry;
+// SourceNone for unknown codes.
 func SourceFromCode(code uint32) PrefixSource {
 	if code >= uint32(len(sourceNames)) {
 		return SourceNone
--- a/internal/routing/direct_prefix.go
+++ b/internal/routing/direct_prefix.go
@@ -5,38 +5,41 @@
 	"time"
 )
 
-// PrefixSource says where a server gets a prompt's shared prefix from.
+// PrefixSource says where a server gets a prompt's shared prefix from. The
+// numbers are sent to other entries.
 type PrefixSource int
 
 // The sources.
 const (
-	// SourceNone: it is in no place known to us, and not the server's to hold.
+	// SourceNone: no known server or store has it, and the server is not the
+	// preferred one for it.
 	SourceNone PrefixSource = iota
-	// SourceHeld: the server itself, by one of our requests.
+	// SourceHeld: the server itself holds it.
 	SourceHeld
 	// SourceHolder: another server that holds it.
 	SourceHolder
-	// SourcePending: another server reads it just now.
+	// SourcePending: another server is prefilling it.
 	SourcePending
-	// SourceStore: a store of kept cache.
+	// SourceStore: a KV cache store.
 	SourceStore
-	// SourcePreferred: the server is first in the prefix's order.
+	// SourcePreferred: no known server or store has it, but the server is the
+	// preferred one for it.
 	SourcePreferred
 )
 
 var sourceNames = [...]string{"none", "held", "holder", "coming", "store", "home"}
 
-// String is the word for logs.
+// String returns the source's name in logs.
 func (s PrefixSource) String() string { return sourceNames[s] }
 
 // prefixPlan is what one decision knows of the request's prefix, for each
-// version of the weights that a candidate has.
+// version of the weights among the candidates.
 type prefixPlan struct {
 	tokens   int
 	versions []versionPlan
 }
 
-// forVersion returns the plan of a version; there are few.
+// forVersion returns the plan of a version; nil when there is none.
 func (p *prefixPlan) forVersion(version uint64) *versionPlan {
 	for i := range p.versions {
 		if p.versions[i].version == version {
@@ -46,8 +49,8 @@
 	return nil
 }
 
-// near tells whether the server is one of the first in the prefix's order, or
-// holds part of it.
+// near reports whether the server is one of the two that rank first for the
+// prefix, or holds it.
 func (p *prefixPlan) near(s *DirectServer) bool {
 	v := p.forVersion(s.Version)
 	if v.preferred == s || v.second == s {
@@ -56,27 +59,31 @@
 	return len(v.levels) > 0 && holdsPrefix(v.levels[len(v.levels)-1].holders, s.ID)
 }
 
-// sourcePlan a prefix at one server.
+// sourcePlan says how one server gets the prefix.
 type sourcePlan struct {
 	kind    PrefixSource
 	address string
-	// fetched and missing tokens: from another server, and to be read; of these,
-	// duplicated are those that another server reads just now.
+	// fetched tokens come from another server or a store, missing ones must be
+	// prefilled. duplicated are the missing tokens that another server is
+	// prefilling.
 	fetched, missing, duplicated int
 }
 
-// versionPlan is the prefix under one salt.
+// versionPlan is the prefix under the salt of one version.
 type versionPlan struct {
 	version uint64
 	salt    string
-	// levels of the prefix, outermost first; each is held only with those before.
+	// levels of the prefix, outermost first; each includes those before it.
 	levels []levelPlan
-	// preferred is the first candidate of the rendezvous order of the deepest level,
-	// second the one behind it: every entry sends the first request there.
+	// preferred and second are the candidates that rank first for the deepest
+	// level. Every entry sends the first request with the prefix to the
+	// preferred one.
 	preferred, second *DirectServer
-	// last server that held the whole prefix; it may have dropped it.
+	// last is the server that used the deepest level last; it may have evicted
+	// it.
 	last holderRecord
-	// store of the prefix, nil without; stored tokens of the prefix it should have.
+	// store of the prefix, nil without one; storedTokens of the prefix should
+	// be there.
 	store           *KVCacheStore
 	storedTokens    int
 	preferredWeight uint64
@@ -88,14 +95,14 @@
 	key uint32
 	// part is the hash of the level's own part.
 	part uint64
-	// tokens of the prefix up to and with this level.
+	// tokens of the prefix up to and including this level.
 	tokens  int
 	holders []holderRecord
-	// storeKey names the level's own part at the prefix's store.
+	// storeKey is the key of the level's own part at the prefix's store.
 	storeKey uint32
 }
 
-// deepestKey returns the key of the whole prefix; 0 when there is none.
+// deepestKey returns the key of the complete prefix; 0 when there is none.
 func (v *versionPlan) deepestKey() uint32 {
 	if len(v.levels) == 0 {
 		return 0
@@ -103,7 +110,7 @@
 	return v.levels[len(v.levels)-1].key
 }
 
-// heldBy counts the tokens that the server is believed to hold.
+// heldBy returns the number of prefix tokens that the server should hold.
 func (v *versionPlan) heldBy(server string) int {
 	for i := len(v.levels) - 1; i >= 0; i-- {
 		if holdsPrefix(v.levels[i].holders, server) {
@@ -113,8 +120,9 @@
 	return 0
 }
 
-// readyHolder returns the last used holder of the deepest level that another server
-// holds ready, and how many tokens it has; 0 when none is known.
+// readyHolder returns the most recently used holder, other than server, from
+// which the deepest level can be fetched, and the number of tokens that it has;
+// 0 when none is known.
 func (v *versionPlan) readyHolder(now time.Time, server string) (holderRecord, int) {
 	for i := len(v.levels) - 1; i >= 0; i-- {
 		var found holderRecord
@@ -130,8 +138,8 @@
 	return holderRecord{}, 0
 }
 
-// pendingTokens counts the tokens of the prefix that another server reads just
-// now: they can't be fetched yet, and would be read twice here.
+// pendingTokens returns the number of prefix tokens that another server is
+// prefilling: they can't be fetched yet, and would be prefilled twice here.
 func (v *versionPlan) pendingTokens(now time.Time, server string) int {
 	for i := len(v.levels) - 1; i >= 0; i-- {
 		for _, one := range v.levels[i].holders {
@@ -143,7 +151,7 @@
 	return 0
 }
 
-// plan returns nil for a request without a prompt.
+// plan returns the prefix plan of a request; nil when it has no prompt.
 func (d *Direct) plan(now time.Time, req *DirectRequest, servers []DirectServer, usable []int32) *prefixPlan {
 	if req.Tokens == 0 {
 		return nil
@@ -164,7 +172,7 @@
 	return p
 }
 
-// rank places a candidate in the rendezvous order.
+// rank updates preferred and second with a candidate.
 func (v *versionPlan) rank(s *DirectServer) {
 	w := Rendezvous(uint64(v.deepestKey()), s.Hash)
 	switch {
@@ -193,10 +201,11 @@
 	return v
 }
 
-// levelKey of a chain of parts under their salt; 0 is kept for none.
+// levelKey returns the key of a chain of parts under their salt; never 0, which
+// means none.
 func levelKey(chain uint64) uint32 { return uint32(chain) | 1 } //nolint:gosec // the low half of a hash
 
-// planStore finds out what the prefix's store should have of it.
+// planStore sets the prefix's store and how much of the prefix it should have.
 func (d *Direct) planStore(now time.Time, stores []KVCacheStore, salt uint64, v *versionPlan) {
 	if v.store = storeFor(stores, v.deepestKey()); v.store == nil {
 		return
@@ -210,9 +219,10 @@
 	}
 }
 
-// Salt under which engines keep parts. Parts made under other weights, or by
-// an isolated workspace, stand under another salt: a fetch or a store that
-// checks neither can then hand out nothing wrong.
+// Salt returns the salt under which engines cache a prompt's parts. Parts
+// computed with other weights, or for an isolated workspace, have a different
+// salt, so that an engine or store that does not check either can't return a
+// wrong part.
 func Salt(version uint64, isolatedWorkspace string) string {
 	salt := "v" + strconv.FormatUint(version, 10)
 	if isolatedWorkspace != "" {
@@ -221,7 +231,8 @@
 	return salt
 }
 
-// scorePrefix weighs what the server must read, fetch or copy of the prompt.
+// scorePrefix sets the terms for what the server must prefill, fetch or copy of
+// the prompt.
 func (d *Direct) scorePrefix(now time.Time, req *DirectRequest, s *DirectServer, p *prefixPlan, t *DirectTerms) {
 	t.PrefillMS = float64(max(0, req.Tokens-p.tokens)) / prefillTokensPerMS
 	if p.tokens == 0 {
@@ -241,12 +252,12 @@
 	t.RecomputeMS += float64(from.duplicated) * recomputeMSPerToken
 }
 
-// source finds out where the server gets the prefix from.
+// source returns how the server gets the prefix.
 func (p *prefixPlan) source(now time.Time, v *versionPlan, s *DirectServer) sourcePlan {
 	held := v.heldBy(s.ID)
 	if held == p.tokens {
-		// It fetches nothing that it has: the store stands in for what it dropped.
-		// Without that worth fell by 0.008.
+		// The server fetches only what it lacks: the store is the fallback if
+		// it has evicted the prefix.
 		return sourcePlan{kind: SourceHeld, address: v.storeAddress(p.tokens)}
 	}
 	from := v.elsewhere(now, s.ID, held)
@@ -256,7 +267,7 @@
 	case from.missing == 0:
 		return from
 	case from.duplicated == from.missing:
-		// It is being read elsewhere just now: nothing can be fetched yet.
+		// Nothing can be fetched until that prefill ends.
 		from.kind = SourcePending
 	case s == v.preferred:
 		from.kind = SourcePreferred
@@ -264,19 +275,19 @@
 			from.address = v.second.Address
 		}
 	default:
-		// Another entry may have sent it to its home.
+		// Another entry may have sent the prefix to the preferred server.
 		from.kind, from.address = SourceNone, v.preferred.Address
 	}
 	if v.last.server != "" && v.last.server != s.ID {
-		// It may have dropped the prefix by now; asking costs a millisecond.
+		// It may have evicted the prefix; a failed fetch costs a millisecond.
 		from.address = v.last.address
 	}
 	return from
 }
 
-// elsewhere finds the other server or the store that has most of the prefix
-// beyond what the server holds. Servers drop what they hold within seconds, so
-// that the store is asked rather than one that used it some time ago.
+// elsewhere returns the other server or the store that has most of the prefix
+// beyond what the server holds. Servers evict prefixes within seconds, so that
+// the store is preferred to a server that has not used the prefix recently.
 func (v *versionPlan) elsewhere(now time.Time, server string, held int) sourcePlan {
 	other, theirs := v.readyHolder(now, server)
 	recent := theirs > 0 && now.Sub(other.usedAt) <= holderTrustPeriod
@@ -293,7 +304,8 @@
 	return sourcePlan{}
 }
 
-// storeAddress of the prefix's store if it should have so many tokens of it.
+// storeAddress returns the address of the prefix's store if it should have that
+// many tokens of the prefix; else empty.
 func (v *versionPlan) storeAddress(tokens int) string {
 	if v.store == nil || v.storedTokens < tokens {
 		return ""
--- a/internal/routing/direct_types.go
+++ b/internal/routing/direct_types.go
@@ -6,82 +6,93 @@
 	"github.com/jayproxy/jayproxy/internal/call"
 )
 
-// DirectServer is a backend server that is called without an agent beside it,
-// as a decision sees it. The caller builds the list; At is not needed, since
-// each field says how old it may be.
+// DirectServer is a backend server that is called without an agent, as the
+// router sees it.
 type DirectServer struct {
-	// ID is new with every start of the server, Hash is its rendezvous hash.
+	// ID is new with every incarnation of the server; Hash is its rendezvous
+	// hash.
 	ID string
-	// Instance is the name that the server gives itself.
+	// Instance is the name that the server reports.
 	Instance   string
 	Hash       uint64
 	Address    string
 	DataCentre string
 	Slots      int
-	// KVTokens is the engine's memory; 0: unknown.
+	// KVTokens is the size of the engine's KV cache memory in tokens; 0:
+	// unknown.
 	KVTokens int
-	// Version of the model's weights as last believed; 0 for plain services.
+	// Version of the model's weights, as last observed; 0 for services without
+	// a model.
 	Version uint64
-	// VersionAge is how long ago a newer version was named; 0: it is the newest.
+	// VersionAge is the time since a newer version was announced; 0: it is the
+	// newest.
 	VersionAge time.Duration
-	// Switching servers are about to take new weights, or do so now.
+	// Switching: the server loads new weights or is about to.
 	Switching bool
-	// Full servers take no more connections of this entry.
+	// Full: the server takes no more connections from this entry.
 	Full bool
-	// Usable and Weight are membership's word.
+	// Usable and Weight are the membership's view of the server; Weight is in
+	// (0, 1].
 	Usable bool
 	Weight float64
 }
 
-// DirectRequest is what a decision needs to know of a request.
+// DirectRequest holds the properties of a request that the choice depends on.
 type DirectRequest struct {
 	ID string
-	// IsolatedWorkspace keeps the cached parts of an isolated workspace apart; empty: shared by all.
+	// IsolatedWorkspace is the name of a workspace whose cached parts are kept
+	// apart from those of others; empty: shared by all.
 	IsolatedWorkspace string
 	// Prefix holds the parts that other requests may share, outermost first.
 	Prefix []call.Part
-	// Tokens of the whole prompt, and at most of the answer.
+	// Tokens of the whole prompt; OutputTokens is the upper bound for the
+	// answer.
 	Tokens       int
 	OutputTokens int
-	// MemoryShare of a server's memory that is planned with for it; 0: all.
+	// MemoryShare is the share of a server's memory that this request may use;
+	// 0: all.
 	MemoryShare float64
-	// Stores of kept cache; read only.
+	// Stores are the KV cache stores; they are only read.
 	Stores []KVCacheStore
-	// MayWait: Choose returns ErrNoRoom rather than a server at which the request
-	// would wait for memory.
+	// MayWait: Choose returns ErrNoFreeMemory rather than a server at which the
+	// request would wait long for memory.
 	MayWait bool
-	// SuspectKey, where it is not 0, sends the request to the first server in this key's
-	// order, whatever holds its prefix: requests under which servers crashed are
-	// kept from each other so, and the next crash tells them apart.
+	// SuspectKey, if not 0, sends the request to the server that ranks first
+	// for this key, wherever its prefix is held. Suspect requests go to
+	// different servers this way, so that the next crash shows which of them
+	// causes crashes.
 	SuspectKey uint64
 	// DataCentre that the request is sent from; empty: the router's own.
 	DataCentre string
-	// ExpiresAt is when the request counts no more, should its end never be told;
-	// zero: it is always told.
+	// ExpiresAt is when the request is dropped from its server's load if
+	// Finished was not called; zero: never.
 	ExpiresAt time.Time
 }
 
-// DirectChoice is where to send a request and what to tell the server.
+// DirectChoice is where to send a request, and what the server is instructed to
+// do with its prefix.
 type DirectChoice struct {
 	Server DirectServer
-	// Salt that the server's cached parts stand under.
+	// Salt under which the server caches the prompt's parts.
 	Salt string
-	// FetchFrom is the address of a holder or store of the prefix; empty: none.
+	// FetchFrom is the address of a server or store to fetch the prefix from;
+	// empty: none.
 	FetchFrom string
-	// SaveTo is the address of the store that the prompt is sent to; empty: none.
+	// SaveTo is the address of the store to send the prompt to; empty: none.
 	SaveTo string
-	// ExpectedMS to the first token, Terms the parts of the score, for logs.
+	// ExpectedMS is the expected time to the first token; Terms are the terms
+	// of the score.
 	ExpectedMS float64
 	Terms      DirectTerms
-	// Candidates that passed the filter.
+	// Candidates is the number of servers that passed the filter.
 	Candidates int
-	// Prefix names the shared prefix under the salt, Source says why the server
-	// is thought to hold it or where it gets it from; for logs.
+	// Prefix identifies the shared prefix under the salt; 0: none. Source says
+	// where the server gets the prefix from.
 	Prefix uint32
 	Source PrefixSource
 }
 
-// DirectTerms are the parts of a score, in milliseconds.
+// DirectTerms are the terms of a score, in milliseconds.
 type DirectTerms struct {
 	QueueMS     float64
 	PrefillMS   float64
@@ -92,7 +103,7 @@
 	MemoryMS    float64
 }
 
-// Total is the score: the server with the least is chosen.
+// Total is the score; the server with the lowest is chosen.
 func (t DirectTerms) Total() float64 {
 	return t.QueueMS + t.PrefillMS + t.RecomputeMS + t.VersionMS + t.DistanceMS + t.PenaltyMS + t.MemoryMS
 }
--- a/internal/routing/filter.go
+++ b/internal/routing/filter.go
@@ -6,7 +6,7 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// Reasons of the filter, as told in explanations.
+// Reasons to exclude a server, by their names in explanations.
 const (
 	filteredRefused    = "refused this request"
 	filteredMembership = "not usable"
@@ -17,12 +17,12 @@
 	filteredDataCentre = "data centre not allowed"
 )
 
-// filter takes out the servers that may not serve a request.
+// filter excludes servers that may not serve a request.
 type filter struct {
 	membership Membership
 }
 
-// reason returns why the server may not serve the request, "" when it may.
+// reason returns why the server may not serve the request; "" when it may.
 func (f filter) reason(c *choice, index int32) string {
 	server, b := &c.bound.set.servers[index], c.bound.backends[index]
 	switch {
@@ -38,7 +38,8 @@
 	return ""
 }
 
-// reported returns why the server's own last report keeps it out.
+// reported returns why the server's last report excludes it; "" when it does
+// not.
 func reported(signals *Signals, req *Request) string {
 	switch {
 	case signals.Draining:
@@ -57,7 +58,8 @@
 	return wanted != "" && !slices.Contains(loaded, wanted)
 }
 
-// refused tells whether the server refused the request for another reason than cost.
+// refused reports whether the server refused the request for a reason other
+// than cost.
 func refused(refusals []RefusedOffer, server string) bool {
 	for i := range refusals {
 		if refusals[i].Server == server && refusals[i].Refusal != jayv1.Refusal_REFUSAL_COST {
--- a/internal/routing/holders.go
+++ b/internal/routing/holders.go
@@ -7,38 +7,40 @@
 )
 
 const (
-	// maxPrefixes bounds the prefixes whose holders are known.
+	// maxPrefixes bounds the prefixes whose holders are recorded.
 	maxPrefixes = 1 << 13
-	// maxHolders kept of one prefix; the oldest word goes first.
+	// maxHolders bounds the holders of one prefix; the oldest record is dropped
+	// first.
 	maxHolders = 6
-	// maxRetention and heldAtLeast bound how long a holder is believed without
-	// being used; between them the engines' memory and the traffic decide.
+	// minRetention and maxRetention bound how long a holder counts after its
+	// last use; within them the retention is estimated from the engines' memory
+	// and the traffic.
 	maxRetention = 20 * time.Second
 	minRetention = 1500 * time.Millisecond
-	// pendingTimeout bounds how long a prefix may take to be read.
+	// pendingTimeout is how long a prefix counts as being prefilled.
 	pendingTimeout = 5 * time.Second
 )
 
-// holderRecord is the belief that a server holds a prefix, from our own requests.
+// holderRecord says that a server holds a prefix or is prefilling it.
 type holderRecord struct {
 	server  string
 	address string
-	// usedAt of the last use.
+	// usedAt is the time of the last request with the prefix.
 	usedAt time.Time
-	// readyAt is when the prefix has been read there, so that it can be fetched:
-	// with the first token of our own request, or as another entry expects.
+	// readyAt is when the prefix can be fetched: at the first token of this
+	// router's request, or when another entry expects it.
 	readyAt time.Time
 }
 
 func (h *holderRecord) ready(now time.Time) bool { return !h.readyAt.After(now) }
 
-// never is the readyAt of a prefix whose reading has not shown its end.
+// never is the readyAt of a prefix whose prefill has not ended.
 var never = time.Unix(1<<40, 0)
 
-// prefixHolders remembers where prefixes were sent.
+// prefixHolders records which servers hold a prefix, by the prefix's key.
 type prefixHolders struct {
 	records *simplelru.LRU[uint32, []holderRecord]
-	// retention is how long engines keep what is not used, about.
+	// retention estimates how long engines keep an unused prefix.
 	retention time.Duration
 }
 
@@ -46,8 +48,8 @@
 	return &prefixHolders{records: newLRU[uint32, []holderRecord](maxPrefixes), retention: maxRetention}
 }
 
-// lookup returns who is believed to hold or read the prefix, and who held it
-// last but may have dropped it since.
+// lookup returns the servers that should hold or be prefilling the prefix, and
+// the one that used it last, which may have evicted it.
 func (h *prefixHolders) lookup(now time.Time, key uint32) (live []holderRecord, last holderRecord) {
 	all, _ := h.records.Get(key)
 	for _, one := range all {
@@ -62,8 +64,8 @@
 	return live, last
 }
 
-// add notes that a request that reads the prefix was sent to a server. It
-// tells whether that is new.
+// add records that a request with the prefix was sent to a server. It reports
+// whether the server was not recorded yet.
 func (h *prefixHolders) add(now time.Time, key uint32, server, address string, readyAt time.Time) bool {
 	all, _ := h.lookup(now, key)
 	for i := range all {
@@ -83,7 +85,7 @@
 	return true
 }
 
-// markReady notes that a server has read the prefix.
+// markReady records that a server has prefilled the prefix.
 func (h *prefixHolders) markReady(now time.Time, key uint32, server string) {
 	all, _ := h.records.Get(key)
 	for i := range all {
@@ -96,7 +98,7 @@
 	}
 }
 
-// removePending notes that a request ended before its prompt was read.
+// removePending records that a request ended before its prompt was prefilled.
 func (h *prefixHolders) removePending(now time.Time, key uint32, server string) {
 	all, ok := h.records.Get(key)
 	if !ok {
--- a/internal/routing/levels.go
+++ b/internal/routing/levels.go
@@ -9,27 +9,32 @@
 )
 
 const (
-	// maxSharedPrefixes bounds the shared prefixes whose order and width are kept.
+	// maxSharedPrefixes bounds the shared prefixes whose ranking and width are
+	// kept.
 	maxSharedPrefixes = 1 << 13
-	// defaultSharedLevel is the message boundary used when none is declared.
+	// defaultSharedLevel is the message boundary that ends the shared prefix
+	// when the pool declares none; 1 is the end of the first message.
 	defaultSharedLevel = 2
-	// outsideShareGain weighs one request in the share of requests that left the set.
+	// outsideShareGain is the weight of one request in the share of requests
+	// that were placed outside the prefix's set.
 	outsideShareGain = 0.05
-	// widenAbove and narrowBelow are shares of requests that were better
-	// served outside the prefix's own set.
+	// widenAbove and narrowBelow are the shares of requests placed outside the
+	// prefix's set at which the set grows and shrinks.
 	widenAbove  = 0.25
 	narrowBelow = 0.05
-	// widthChangeInterval is the least time between two changes of width.
+	// widthChangeInterval is the shortest time between two changes of width.
 	widthChangeInterval = time.Second
-	// maxWidth leaves room in the order for the servers behind the set.
+	// maxWidth leaves ranked servers beyond the set as candidates.
 	maxWidth = maxRanked - 4
 )
 
-// The fixed offsets in bytes that stand for levels in prompts of one message.
+// sharedOffsets are the sizes in bytes of the shared prefixes of a prompt that
+// consists of a single message.
 var sharedOffsets = [...]uint32{4096, 16384}
 
-// sharedPrefix is a shared prefix: its rendezvous order in the set and how many
-// servers of the order hold it at its present rate.
+// sharedPrefix is the rendezvous ranking of the servers for a prefix that
+// requests share. The first width servers of the ranking are the prefix's set:
+// they should hold the prefix at its present request rate.
 type sharedPrefix struct {
 	set          *Set
 	ranking      ranking
@@ -39,10 +44,10 @@
 	changedAt    time.Time
 }
 
-// sharedPrefixes keeps the shared prefixes that are in use.
+// sharedPrefixes holds the shared prefixes in use.
 type sharedPrefixes struct {
 	entries *simplelru.LRU[uint64, *sharedPrefix]
-	// minWidth is the width of a prefix that is not hot.
+	// minWidth is the width of a prefix whose request rate is low.
 	minWidth int
 }
 
@@ -50,8 +55,8 @@
 	return sharedPrefixes{entries: newLRU[uint64, *sharedPrefix](capacity), minWidth: minWidth}
 }
 
-// of returns the level of a prefix point. The order is computed once a set,
-// so that hot prefixes cost no pass over the fleet.
+// of returns the shared prefix of a prefix point. Its ranking is computed once
+// per set, so that frequent prefixes need no pass over all servers.
 func (l sharedPrefixes) of(point uint64, set *Set) *sharedPrefix {
 	entry, ok := l.entries.Get(point)
 	if !ok {
@@ -65,8 +70,8 @@
 	return entry
 }
 
-// observe learns from a choice whether the set is wide enough. A prefix whose
-// requests keep being served better outside its set is too hot for it.
+// observe adapts the width to whether a request was placed inside the set: when
+// many requests are served better outside, the set is too small.
 func (l *sharedPrefix) observe(now time.Time, inside bool) {
 	outside := 0.0
 	if !inside {
@@ -88,7 +93,7 @@
 	l.outsideShare = (widenAbove + narrowBelow) / 2
 }
 
-// includes tells whether the server is in the prefix's own set.
+// includes reports whether the server is in the prefix's set.
 func (l *sharedPrefix) includes(server int32) bool {
 	for _, member := range l.ranking.servers[:min(l.width, l.ranking.length)] {
 		if member == server {
@@ -98,8 +103,8 @@
 	return false
 }
 
-// sharedPoints returns the indexes into the chain of the levels that requests
-// share, the main one first; n of them count.
+// sharedPoints returns the indexes into the chain of the prefixes that requests
+// share, the main one first; only the first n are valid.
 func sharedPoints(req *Request, policy *PoolPolicy) (points [2]int, n int) {
 	if len(req.Chain) == 0 {
 		return points, 0
@@ -109,7 +114,7 @@
 		if declared <= 0 {
 			declared = defaultSharedLevel
 		}
-		// The last boundary is the whole prompt, which hardly two share.
+		// The last boundary ends the whole prompt, which is rarely shared.
 		at := min(declared, len(req.Levels)-1)
 		points[0] = req.Levels[at-1]
 		return points, 1
--- a/internal/routing/lru.go
+++ b/internal/routing/lru.go
@@ -2,11 +2,11 @@
 
 import "github.com/hashicorp/golang-lru/v2/simplelru"
 
-// newLRU makes a map that forgets what was least recently used beyond its size.
+// newLRU returns an LRU cache of the given size, which must be positive.
 func newLRU[K comparable, V any](size int) *simplelru.LRU[K, V] {
 	entries, err := simplelru.NewLRU[K, V](size, nil)
 	if err != nil {
-		panic(err) // Only a size below 1 is refused.
+		panic(err) // size is below 1
 	}
 	return entries
 }
--- a/internal/routing/picker.go
+++ b/internal/routing/picker.go
@@ -1,7 +1,8 @@
 package routing
 
-// pick takes the candidate with the least expected time, and the next best.
-// Equals go to the one found first, which is the same in every process.
+// pick sets the candidate with the lowest expected time and the next best. Of
+// equal candidates the one found first is taken, which is the same in every
+// process.
 func (c *choice) pick() {
 	for i := range c.candidates[:c.n] {
 		cand := &c.candidates[i]
@@ -17,7 +18,8 @@
 	}
 }
 
-// cheapest names up to n candidates that may serve, least expected time first.
+// cheapest returns the names of up to n candidates that may serve and were not
+// probed yet, lowest expected time first.
 func (c *choice) cheapest(n int) []string {
 	var taken [maxCandidates]bool
 	chosen := make([]string, 0, n)
@@ -40,12 +42,12 @@
 	return chosen
 }
 
-// shouldProbe tells whether asking agents may pay: nobody was seen to hold the
-// shared level, or the wait at the best candidate and what it would compute
-// anew of the shared level come to more than the bound.
+// shouldProbe reports whether probing agents may save time: the best candidate
+// was not seen to hold a prefix of the request, or its queue and the prefill of
+// the part of the shared prefix that it lacks exceed aboveMS.
 func (c *choice) shouldProbe(aboveMS float64) bool {
 	if c.best < 0 || c.next < 0 {
-		return false // Nobody to ask, or nothing to choose between.
+		return false // No candidate, or no alternative to it.
 	}
 	best := &c.candidates[c.best]
 	if aboveMS < 0 || best.evidence != evidenceSeen {
--- a/internal/routing/placement.go
+++ b/internal/routing/placement.go
@@ -1,20 +1,21 @@
 package routing
 
 const (
-	// placementShare of the prefill of a missed shared level is charged to a
-	// server outside the level's set: it would make one more copy of what the
-	// set holds, and push out what others come there for.
+	// placementShare is the share of the prefill of the missing part of the
+	// shared prefix that is charged to a server outside the prefix's set: a
+	// copy there evicts other prefixes, and the set holds one already.
 	placementShare = 1.0
-	// pressureBytes of prefill as average queue count recomputed prefill once
-	// more on top of its own time. Work that is computed twice delays all that
-	// wait behind it, and the more the longer the queues: without this,
-	// differences between long queues outweigh any cached prefix, every
-	// request goes to the shortest queue, misses, and the queues stay long.
+	// pressureBytes is the average queue, as bytes to prefill, at which prefill
+	// counts once more on top of its own time. Repeated prefill delays all
+	// requests queued behind it, the more the longer the queues. Without this
+	// term, differences between long queues outweigh any cached prefix:
+	// requests go to the shortest queue, miss the cache, and the queues stay
+	// long.
 	pressureBytes = 2500
 	maxPressure   = 8
 )
 
-// recomputeMS is the weight of the prefill beyond its own time.
+// recomputeMS is the cost of the prefill beyond its own time.
 func (c *choice) recomputeMS(cand *candidate) float64 {
 	pressure := min(c.averageQueueMS/(pressureBytes*cand.backend.byteMS), maxPressure)
 	return (c.policy.RecomputeWeight+pressure)*cand.prefillMS + c.placementMS(cand)
@@ -27,7 +28,7 @@
 	return placementShare * c.missedSharedMS(cand)
 }
 
-// missedSharedMS is the prefill of the part of the shared level that the
+// missedSharedMS is the prefill time of the part of the shared prefix that the
 // candidate does not hold.
 func (c *choice) missedSharedMS(cand *candidate) float64 {
 	if c.shared == nil {
--- a/internal/routing/policies.go
+++ b/internal/routing/policies.go
@@ -2,62 +2,71 @@
 
 import "slices"
 
-// Policies by name. PolicyAskInDoubt is the product's; the others are
-// baselines, earlier versions and bounds for experiments.
+// Names of the policies, as in settings. PolicyAskInDoubt is the default; the
+// others are baselines and bounds for experiments.
 const (
 	// PolicyRandom takes any usable server.
 	PolicyRandom = "random"
-	// PolicyLeastLoad takes the server with the fewest requests, as last reported.
+	// PolicyLeastLoad takes the server with the fewest requests, as last
+	// reported.
 	PolicyLeastLoad = "least-load"
-	// PolicyHashFirst takes the rendezvous server of the prompt's first block.
+	// PolicyHashFirst takes the preferred server of the prompt's first prefix
+	// point.
 	PolicyHashFirst = "hash-first"
-	// PolicyHashLevel takes the rendezvous server of the shared level.
+	// PolicyHashLevel takes the preferred server of the shared prefix.
 	PolicyHashLevel = "hash-level"
-	// PolicyBeliefs goes by what this process saw alone.
+	// PolicyBeliefs uses only what agents' answers to this process reported as
+	// cached.
 	PolicyBeliefs = "beliefs"
-	// PolicyPresumption adds the rendezvous set and what it is presumed to hold.
+	// PolicyPresumption adds the servers of the shared prefix's rendezvous set,
+	// which are presumed to hold it.
 	PolicyPresumption = "presumption"
-	// PolicyOffers adds that agents may decline at once with their true cost.
+	// PolicyOffers adds that agents may refuse an offer with their actual cost.
 	PolicyOffers = "offers"
-	// PolicyAskFour asks four candidates for their true cost before it chooses.
+	// PolicyAskFour probes four candidates for their actual cost before it
+	// chooses.
 	PolicyAskFour = "ask-four"
-	// PolicyAskInDoubt asks four only when that may save time, and otherwise
-	// offers to a server that was seen to hold the prefix.
+	// PolicyAskInDoubt probes four candidates only when that may save time;
+	// otherwise it offers the request to a server that was seen to hold the
+	// prefix.
 	PolicyAskInDoubt = "ask-in-doubt"
-	// PolicyAskAll asks every server: full knowledge, a bound and not a product.
+	// PolicyAskAll probes every server: a bound for comparison, not for
+	// production.
 	PolicyAskAll = "ask-all"
 )
 
-// maxDeclines is how many refusals for cost a request may meet before its
-// offer can no longer be declined for cost.
+// maxDeclines is how many refusals for cost a request may receive before its
+// offer is final.
 const maxDeclines = 3
 
-// strategy is what a policy is made of.
+// strategy implements a policy.
 type strategy struct {
 	name    string
 	sources []source
-	// decide replaces scoring for the baselines that need none.
+	// decide chooses directly, for baselines that need no scores.
 	decide func(r *Router, c *choice)
-	// mayDecline lets agents refuse for cost.
+	// mayDecline lets agents refuse offers for cost.
 	mayDecline bool
-	// probes is the number of servers to probe first; askAll probes every one.
+	// probes is the number of servers to probe first; probeAll probes every
+	// server.
 	probes   int
 	probeAll bool
-	// probeAboveMS: no agent is asked when less than this can be saved. Negative:
-	// always ask.
+	// probeAboveMS is the time that probing must be able to save; negative:
+	// always probe.
 	probeAboveMS float64
-	// minWidth is how many servers of a prefix's order hold it while it is
-	// not hot; 0 counts as 1.
+	// minWidth is the size of a prefix's set while its request rate is low; 0
+	// counts as 1.
 	minWidth int
 }
 
-// defaultProbeAboveMS in milliseconds: a wait and a recomputation of a shared level that
-// are expected to stay below it are not worth the messages of four questions.
+// defaultProbeAboveMS: a shorter wait and recomputation of the shared prefix
+// are not worth the messages of probedServers probes.
 const defaultProbeAboveMS = 25
 
-// probedServers of the asking policies. Copies of a prefix that is not
-// hot lie on these first servers of its order only, so that asking them finds
-// any copy, whichever process placed it; the choice among four keeps queues even.
+// probedServers is the number of servers that policies probe. It is also the
+// smallest size of a prefix's set: copies of a prefix with a low request rate
+// are only at these servers, so that probing them finds any copy, whichever
+// process placed it.
 const probedServers = 4
 
 var strategies = []strategy{
@@ -73,7 +82,7 @@
 	{name: PolicyAskAll, sources: []source{fromProbes}, probeAll: true},
 }
 
-// Policies lists the names of all policies.
+// Policies returns the names of all policies.
 func Policies() []string {
 	names := make([]string, len(strategies))
 	for i := range strategies {
@@ -103,7 +112,7 @@
 	r.fallback(c, sourceRandom)
 }
 
-// decideLeastLoad looks at every server: a baseline, not meant for large sets.
+// decideLeastLoad looks at every server: a baseline, not for large sets.
 func decideLeastLoad(r *Router, c *choice) {
 	best, bestLoad := int32(-1), 0
 	offset := r.random.IntN(c.bound.set.Len())
@@ -143,7 +152,7 @@
 	r.fallback(c, sourceFallback)
 }
 
-// fallback takes the first usable server after a random one.
+// fallback chooses the first usable server from a random position on.
 func (r *Router) fallback(c *choice, source string) {
 	offset := r.random.IntN(c.bound.set.Len())
 	for i := range c.bound.set.Len() {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -11,17 +11,19 @@
 )
 
 const (
-	// averageQueueGain weighs one report in the average queue of all servers.
+	// averageQueueGain is the weight of one report in the moving average of all
+	// servers' queues.
 	averageQueueGain = 0.05
-	// declineMarginMS is added to the next best cost in an offer: a decline costs a
-	// round trip, so a difference below it is not worth one.
+	// declineMarginMS is added to the next best cost in an offer: a refusal
+	// costs a round trip, so a smaller difference is not worth one.
 	declineMarginMS = 3
-	// declineMarginShare is the same as a share of the next best cost.
+	// declineMarginShare is a further margin, as a share of the next best cost.
 	declineMarginShare = 0.05
 )
 
-// Router chooses backend servers and remembers what their answers taught. Not
-// safe for concurrent use: the shell locks.
+// Router chooses backend servers that have an agent, from the state and the
+// cached prefixes that the agents' answers reported. It is not safe for
+// concurrent use.
 type Router struct {
 	options   Options
 	strategy  *strategy
@@ -33,20 +35,21 @@
 	shared    sharedPrefixes
 	cacheView cacheView
 	handoffs  map[string]handoff
-	// averageQueueMS is the queue that servers report of late.
+	// averageQueueMS is the moving average of the queues that servers reported.
 	averageQueueMS float64
-	// commonLateness is how late first tokens are over all servers.
+	// commonLateness is the mean lateness of first tokens over all servers.
 	commonLateness lateness
 	scratch        choice
 }
 
-// handoff is what a server was chosen for, until its first token shows.
+// handoff is a request that a server accepted and that has not finished.
 type handoff struct {
 	backend    *backend
 	expectedMS float64
 }
 
-// New makes a router. An unknown policy shows as ErrUnknownPolicy in Choose.
+// New returns a router. If the policy is unknown, Choose returns
+// ErrUnknownPolicy.
 func New(options Options) *Router {
 	s, _ := strategyOf(options.Policy)
 	return &Router{
@@ -64,8 +67,8 @@
 	}
 }
 
-// Choose decides where to offer a request, given the offers of it that were
-// refused so far. ErrNoServer when no server may take it.
+// Choose decides where to offer a request, given its offers that were refused
+// so far. It returns ErrNoServer when no server may take the request.
 func (r *Router) Choose(now time.Time, req *Request, pool *PoolPolicy, set *Set, refusals []RefusedOffer) (Decision, error) {
 	if r.strategy == nil {
 		return Decision{}, eris.Wrapf(ErrUnknownPolicy, "policy %q", r.options.Policy)
@@ -129,8 +132,8 @@
 		return decision, ErrNoServer
 	}
 	best := &c.candidates[c.best]
-	// Until the answer to the offer tells the queue, the work counts as there,
-	// so that requests that come together do not all go to the same server.
+	// The work counts as queued there until the answer reports the queue, so
+	// that concurrent requests do not all go to the same server.
 	best.backend.offeredMS += best.prefillMS
 	decision.Server = best.backend.name
 	decision.Incarnation = best.backend.signals.Incarnation
@@ -138,15 +141,15 @@
 	decision.Final = !r.strategy.mayDecline || c.declined >= maxDeclines || best.evidence == evidenceAsked || c.next < 0
 	if c.next >= 0 {
 		next := &c.candidates[c.next]
-		// What the agent may compare with its own cost: the next best total
-		// less the terms that stand on our side for the chosen one.
+		// The agent compares this with its own cost, which lacks the terms that
+		// only this process adds: subtract those of the chosen server.
 		ownTerms := best.totalMS - decision.ExpectedMS
 		decision.NextBestMS = max(decision.ExpectedMS, next.totalMS-ownTerms)*(1+declineMarginShare) + declineMarginMS
 	}
 	return decision, nil
 }
 
-// bind binds a set to what is known of its servers.
+// bind pairs the servers of a set with their backends.
 func (r *Router) bind(set *Set) *boundSet {
 	v := r.boundSets[set.pool]
 	if v != nil && v.set == set {
@@ -170,7 +173,7 @@
 	return b
 }
 
-// removeUnused drops what is known of servers that are in no set any more.
+// removeUnused drops the backends that are in no set any more.
 func (r *Router) removeUnused() {
 	inUse := make(map[string]bool, len(r.backends))
 	for _, v := range r.boundSets {
@@ -193,7 +196,7 @@
 	return all
 }
 
-// UpdateState takes in the state that rode on an agent's answer.
+// UpdateState records the state that came with an agent's answer.
 func (r *Router) UpdateState(now time.Time, server string, state *jayv1.AgentState) {
 	if state == nil {
 		return
@@ -203,8 +206,8 @@
 	}
 }
 
-// ObserveCache takes in an agent's exact answer about a prompt: which part of it is
-// cached at the server, by the engine with the incarnation.
+// ObserveCache records how much of a request's prompt an agent reported as
+// cached at its server, by the given incarnation of the engine.
 func (r *Router) ObserveCache(now time.Time, server string, req *Request, cachedBytes int, incarnation uint64) {
 	b := r.backend(server)
 	for _, point := range req.Chain {
@@ -215,9 +218,10 @@
 	}
 }
 
-// HandedOff takes in that a server accepted the request and promised its
-// first token in expectedMS. The state that came with the acceptance, learned
-// before, counts the request; its prompt will be cached there.
+// HandedOff records that a server accepted the request and expects its first
+// token after expectedMS. Call UpdateState with the state of the same answer
+// before: it counts the request already. The prompt is taken to be cached there
+// from now on.
 func (r *Router) HandedOff(now time.Time, server string, req *Request, expectedMS float64) {
 	b := r.backend(server)
 	b.inFlight++
@@ -227,8 +231,8 @@
 	}
 }
 
-// Finished takes in that a request that was handed over came to its end,
-// firstTokenMS after the hand-over; 0 when no token came.
+// Finished records the end of a request that was handed off. firstTokenMS is
+// the time from handoff to first token; 0 when no token came.
 func (r *Router) Finished(now time.Time, server string, req *Request, firstTokenMS float64) {
 	b := r.backend(server)
 	b.inFlight = max(0, b.inFlight-1)
--- a/internal/routing/scorer.go
+++ b/internal/routing/scorer.go
@@ -1,19 +1,19 @@
 package routing
 
-// Distances added to the expected time, in milliseconds for both ways. Another
-// data centre costs little beside a missed prefix, but decides between equals.
+// Network distances in milliseconds for a round trip. Another data centre costs
+// little compared with a cache miss, but decides between equal candidates.
 const (
 	otherDataCentreMS = 2
 	otherRegionMS     = 120
 )
 
-// minWeight bounds what membership's evidence can add.
+// minWeight bounds the penalty for a low membership weight.
 const minWeight = 0.01
 
 // defaultBytesPerToken is used when the pool declares none.
 const defaultBytesPerToken = 4
 
-// scorer fills in the terms of a candidate's expected time to the first token.
+// scorer computes the terms of a candidate's expected time to the first token.
 type scorer struct {
 	dataCentre string
 	region     string
@@ -27,7 +27,7 @@
 	cand.prefillMS = float64(missed) * b.byteMS
 	cand.queueMS = b.queueMS(c.now, c.averageQueueMS)
 	if cand.exactMS >= 0 {
-		// The agent's word replaces our own estimate of the queue.
+		// The agent's answer replaces our estimate of the queue.
 		cand.queueMS = max(0, cand.exactMS-cand.prefillMS)
 	}
 	cand.recomputeMS = c.recomputeMS(cand)
@@ -36,7 +36,8 @@
 	cand.totalMS = cand.queueMS + cand.prefillMS + cand.recomputeMS + cand.distanceMS + cand.penaltyMS
 }
 
-// byteMS is the milliseconds that a prompt byte takes to prefill there.
+// byteMS returns the prefill time of one prompt byte at the server, in
+// milliseconds.
 func byteMS(b *backend, policy *PoolPolicy) float64 {
 	bytesPerToken := policy.BytesPerToken
 	if bytesPerToken <= 0 {
@@ -55,10 +56,9 @@
 	return otherRegionMS
 }
 
-// penalty is how much later than it says a server is expected to be: a slow or
-// lying one shows in first tokens later than promised, by a ratio for long
-// waits and by their lateness for short ones, and membership has evidence of
-// failures.
+// penalty is the expected delay of a server beyond its estimate: the lateness
+// of its earlier first tokens, relative for long waits and absolute for short
+// ones, and a term for membership's evidence of slowness or failures.
 func (s scorer) penalty(c *choice, cand *candidate) float64 {
 	expectedMS := cand.queueMS + cand.prefillMS
 	penaltyMS := cand.backend.excessMS(c.now, c.commonLateness, expectedMS)
--- a/internal/routing/set.go
+++ b/internal/routing/set.go
@@ -6,7 +6,7 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Set is the backend servers of one pool or service. Immutable.
+// Set holds the backend servers of one pool or service. It is immutable.
 type Set struct {
 	pool    string
 	servers []Server
@@ -14,7 +14,7 @@
 	byName  map[string]int32
 }
 
-// NewSet makes a set; the pool's name may stand for a service's.
+// NewSet returns a set; pool is the name of the pool or service.
 func NewSet(pool string, servers []Server) *Set {
 	s := &Set{
 		pool:    pool,
@@ -29,18 +29,19 @@
 	return s
 }
 
-// Len is the number of servers.
+// Len returns the number of servers.
 func (s *Set) Len() int { return len(s.servers) }
 
-// Rendezvous is the rendezvous weight of a server for a key.
+// Rendezvous returns the rendezvous hashing weight of a server's hash for a
+// key; the server with the highest weight is preferred.
 func Rendezvous(key, server uint64) uint64 {
 	const first, second = 0x9e3779b97f4a7c15, 0xd1b54a32d192ed03
 	hi, lo := bits.Mul64(key^first, server^second)
 	return hi ^ lo
 }
 
-// maxRanked is how much of a rendezvous order is kept: the widest that a hot
-// prefix may spread, and the servers behind it that stand in for lost ones.
+// maxRanked is the number of servers kept of a rendezvous ranking: the widest
+// set of a prefix, and the servers after it that replace unusable ones.
 const maxRanked = 16
 
 // ranking is the head of the rendezvous ranking for a key, best first.
@@ -49,8 +50,8 @@
 	servers [maxRanked]int32
 }
 
-// rank fills the order for a key. Every process with the same set of names
-// gets the same order, and a lost server moves only its own keys.
+// rank computes the ranking for a key. Every process with the same server names
+// computes the same ranking, and a lost server moves only its own keys.
 func (s *Set) rank(key uint64, into *ranking) {
 	var weights [maxRanked]uint64
 	n := 0
--- a/internal/routing/sources.go
+++ b/internal/routing/sources.go
@@ -7,7 +7,7 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// How many candidates each source gives.
+// Number of candidates from each source.
 const (
 	rendezvousCandidates = 4
 	observedCandidates   = 3
@@ -15,12 +15,13 @@
 	probeCandidates      = maxCandidates - 4
 )
 
-// source finds candidates. Each gives a constant number at most.
+// source adds candidates, a bounded number, or completes what is known of those
+// present.
 type source func(r *Router, c *choice)
 
-// fromRendezvous gives the servers that every process with the same set finds
-// for the prompt's shared levels: an order that needs no state, so that a
-// process that just started agrees with the others.
+// fromRendezvous adds the servers that rank first for the prompt's shared
+// prefixes. The ranking needs no state, so that a restarted process agrees with
+// the others.
 func fromRendezvous(r *Router, c *choice) {
 	points, n := sharedPoints(c.req, c.policy)
 	for i := range n {
@@ -34,8 +35,8 @@
 	}
 }
 
-// candidates adds the servers of the prefix's set that the rest of the prompt
-// prefers, then those behind the set, where it would widen to.
+// candidates adds the servers of the prefix's set that rank first for the next
+// prefix point, then servers ranked after the set, into which it would grow.
 func (l *sharedPrefix) candidates(c *choice, f filter, count int) {
 	added := 0
 	width := min(l.width, l.ranking.length)
@@ -69,15 +70,14 @@
 	}
 }
 
-// fromRandom gives servers picked at random, so that no server is forgotten
-// and an idle one is found.
+// fromRandom adds random servers, so that idle ones are found.
 func fromRandom(r *Router, c *choice) {
 	for range randomCandidates {
 		c.add(int32(r.random.IntN(c.bound.set.Len())), sourceRandom)
 	}
 }
 
-// fromRefusals keeps servers that declined for cost in the choice.
+// fromRefusals adds the servers that refused the request for cost.
 func fromRefusals(_ *Router, c *choice) {
 	for i := range c.refusals {
 		if c.refusals[i].Refusal == jayv1.Refusal_REFUSAL_COST {
@@ -86,7 +86,8 @@
 	}
 }
 
-// fromProbes takes the cheapest of the servers that were asked on a decision's order.
+// fromProbes adds the servers that were probed, the cheapest if they are too
+// many.
 func fromProbes(_ *Router, c *choice) {
 	probes := c.req.Probes
 	if len(probes) > probeCandidates {
@@ -109,8 +110,9 @@
 	}
 }
 
-// fromObservations walks the chain from its deepest point, adds the servers that
-// were seen to hold it and tells all candidates what they are believed to hold.
+// fromObservations adds the servers that were observed to hold the request's
+// prefix, deepest point first, and sets the cached bytes of all candidates by
+// the observations.
 func fromObservations(r *Router, c *choice) {
 	added := 0
 	for i := len(c.req.Chain) - 1; i >= 0; i-- {
@@ -135,8 +137,9 @@
 	}
 }
 
-// presume gives the servers of a prefix's own set the shared level until an
-// answer says otherwise: other processes sent it there as well.
+// presume assumes that the servers of the prefix's set hold the shared prefix,
+// as other processes send requests with it there as well, unless an agent
+// reported otherwise.
 func presume(r *Router, c *choice) {
 	if c.shared == nil {
 		return
@@ -155,7 +158,8 @@
 	}
 }
 
-// observedAbsent tells whether the server lately answered that it lacks the point.
+// observedAbsent reports whether the server's agent recently reported the point
+// as not cached.
 func (r *Router) observedAbsent(c *choice, b *backend, point uint64) bool {
 	for _, h := range r.cacheView.observations(point) {
 		if h.server == b && h.absent && h.current(c.now) {
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -1,7 +1,8 @@
-// Package routing decides which backend server a request is offered to: a
-// filter takes out what may not serve, scorers turn the rest into an expected
-// time to the first token, a picker takes the best. It has no I/O, goroutine,
-// clock or global random source.
+// Package routing chooses the backend server for a request. Router serves
+// servers that have an agent: a filter removes servers that may not serve the
+// request, scorers estimate the time to the first token at the others, and a
+// picker takes the lowest. Direct serves servers that are called without an
+// agent. The package has no I/O, goroutines, clock or global random source.
 package routing
 
 import (
@@ -11,17 +12,17 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// Server is a backend server as a decision sees it. Immutable; the entry
-// builds the set whole when the catalog or the membership changes.
+// Server is a backend server as the router sees it. It is immutable; the entry
+// rebuilds the set when the catalog or the membership changes.
 type Server struct {
 	Name       string
 	DataCentre string
 	Region     string
 }
 
-// Signals is what an entry last heard of a backend server, from the state that
-// rides on every answer. At tells how old it is; the zero value means that
-// nothing was heard yet.
+// Signals is the last state received from a backend server's agent; agents
+// attach it to every answer. At is the time of receipt; the zero value means
+// that no state was received yet.
 type Signals struct {
 	At                     time.Time
 	Incarnation            uint64
@@ -37,15 +38,15 @@
 	Ready                  bool
 }
 
-// Membership says whether a backend server may get work.
+// Membership reports whether a backend server may receive work.
 type Membership interface {
-	// Usable is false for a server that is leaving, gone or ejected.
+	// Usable is false for a server that is draining, gone or ejected.
 	Usable(server string) bool
-	// Weight in (0, 1]: evidence of slowness or failure lowers it.
+	// Weight is in (0, 1]; it is lowered by evidence of slowness or failures.
 	Weight(server string) float64
 }
 
-// Request is what a decision needs to know of a request.
+// Request holds the properties of a request that the choice depends on.
 type Request struct {
 	ID            string
 	Workspace     string
@@ -55,25 +56,26 @@
 	Class         jayv1.Class
 	// Chain holds the nested prefix points, shortest first.
 	Chain []*jayv1.PrefixPoint
-	// Levels indexes into Chain: the points that stand at message boundaries.
+	// Levels holds the indexes into Chain of the points at message boundaries.
 	Levels      []int
 	PromptBytes int
-	// DataCentres allowed by the rule; empty: all.
+	// DataCentres that the routing rule allows; empty: all.
 	DataCentres []string
-	// Probes are exact answers of agents that the shell asked because a
-	// decision told it to (Decision.Ask). Nil before they were asked.
+	// Probes holds the answers of the agents named in Decision.ProbeServers;
+	// nil before they were probed.
 	Probes []Probe
 }
 
-// Probe is an agent's exact answer about a request that was not offered.
+// Probe is an agent's exact cost of a request that was not offered to it.
 type Probe struct {
 	Server      string
 	CostMS      float64
 	CachedBytes int
 }
 
-// RefusedOffer is an offer of the same request that an agent refused. A refusal for
-// cost leaves the server in the choice, with its true cost; any other takes it out.
+// RefusedOffer is an offer of the same request that an agent refused. A server
+// that refused for cost stays a candidate, with its actual cost; any other
+// refusal excludes it.
 type RefusedOffer struct {
 	Server      string
 	Refusal     jayv1.Refusal
@@ -81,39 +83,42 @@
 	CachedBytes int
 }
 
-// Decision is where to offer a request, or whom to ask first.
+// Decision says where to offer a request, or which servers to probe first.
 type Decision struct {
 	Server string
-	// ExpectedMS to the first token at Server, NextBestMS at the next best
-	// candidate, both in the terms of an agent's cost: queue and prefill.
-	// NextBestMS is 0 when there is none.
+	// ExpectedMS is the expected time to the first token at Server, NextBestMS
+	// the one at the next best candidate. Both are in the terms of an agent's
+	// cost: queue and prefill. NextBestMS is 0 when there is no other
+	// candidate.
 	ExpectedMS float64
 	NextBestMS float64
-	// Incarnation of the engine that the expectation rests on; 0: none known.
+	// Incarnation of the engine that ExpectedMS was computed for; 0: unknown.
 	Incarnation uint64
-	// Final: the offer must not be declined for cost.
+	// Final means that the agent must not refuse the offer for cost.
 	Final bool
-	// ProbeServers names the servers to probe before Choose is called again with
-	// Request.Probes; Server is empty then. Only asking policies set it.
+	// ProbeServers names the servers to probe before Choose is called again
+	// with Request.Probes; Server is empty then. Only policies that probe set
+	// it.
 	ProbeServers []string
-	// Candidates with their terms, in the order in which they were found.
+	// Candidates and the terms of their scores, in the order in which they were
+	// found.
 	Candidates []*jayv1.CandidateTerms
 	Policy     string
 }
 
-// Errors of Choose.
+// Errors of Router.Choose and Direct.Choose.
 var (
 	// ErrNoServer means that no backend server may take the request now.
 	ErrNoServer = errors.New("no backend server may take the request")
-	// ErrUnknownPolicy means that Options.Policy names none.
+	// ErrUnknownPolicy means that Options.Policy is not the name of a policy.
 	ErrUnknownPolicy = errors.New("unknown routing policy")
 )
 
-// Options of a router.
+// Options configure a Router.
 type Options struct {
-	// Policy by name; empty is PolicyAskInDoubt.
+	// Policy is the name of the policy; empty: PolicyAskInDoubt.
 	Policy string
-	// DataCentre and Region of the process that decides.
+	// DataCentre and Region of this process.
 	DataCentre string
 	Region     string
 	// Seed of the random candidates. The same seed and the same calls give the
@@ -123,12 +128,13 @@
 	Membership Membership
 }
 
-// PoolPolicy is what a pool declares for its decisions.
+// PoolPolicy is the part of a pool's configuration that decisions use.
 type PoolPolicy struct {
 	Pool            string
 	RecomputeWeight float64
 	BytesPerToken   float64
 	SharedLevel     int
-	// PrefillTokensPerSecond is the declared rate, 0 when it must be learned.
+	// PrefillTokensPerSecond is the declared rate; 0: use the rate that the
+	// agents report.
 	PrefillTokensPerSecond float64
 }
