--- a/internal/routing/direct_test.go
+++ b/internal/routing/direct_test.go
@@ -47,7 +47,7 @@
 	d.Finished(directStart.Add(at), id, true)
 }
 
-func TestTheSecondRequestGoesWhereThePrefixWasRead(t *testing.T) {
+func TestSecondRequestGoesWherePrefixIsCached(t *testing.T) {
 	d, servers := newDirect(), directServers(8)
 	first := choose(t, d, 0, prompt("r1", "contract"), servers)
 	served(d, 300*time.Millisecond, "r1")
@@ -73,7 +73,7 @@
 
 // Two requests for a new prefix are read at two servers at once. The second
 // can't fetch what is not read yet, so it goes where the first went.
-func TestConcurrentFirstRequestsMeet(t *testing.T) {
+func TestConcurrentFirstRequestsGoToOneServer(t *testing.T) {
 	d, servers := newDirect(), directServers(8)
 	first := choose(t, d, 0, prompt("r1", "contract"), servers)
 	second := choose(t, d, 20*time.Millisecond, prompt("r2", "contract"), servers)
@@ -84,11 +84,11 @@
 // prefix itself; the other's first request went elsewhere.
 func TestAnotherEntrysHintCountsAsOurOwnRequest(t *testing.T) {
 	one, two, servers := newDirect(), newDirect(), directServers(8)
-	busy := choose(t, one, 0, prompt("r0", "contract"), servers[:1]) // not the home of every prefix
+	first := choose(t, one, 0, prompt("r0", "contract"), servers[:1]) // not the home of every prefix
 	hints := one.TakePrefixHints()
 	require.Len(t, hints, 2, "one for each level of the prefix")
 	for i := range hints {
-		hints[i].Address = busy.Server.Address
+		hints[i].Address = first.Server.Address
 	}
 	two.ReceivePrefixHints(directStart, hints)
 	choice := choose(t, two, 2*time.Second, prompt("r1", "contract"), servers)
@@ -98,7 +98,7 @@
 
 // New servers drown in prompts. Only few have the new weights, every entry
 // sees them as idle, and all send there at once.
-func TestUnreadPromptsOfOtherEntriesCount(t *testing.T) {
+func TestPendingPrefillOfOtherEntriesCounts(t *testing.T) {
 	d, servers := newDirect(), directServers(2)
 	d.SetEntries(4)
 	first := choose(t, d, 0, prompt("r1", "one"), servers[:1])
@@ -109,7 +109,7 @@
 	assert.Equal(t, "s0", choice.Server.ID)
 }
 
-func TestCachedPartsStandApartByVersionAndWall(t *testing.T) {
+func TestSaltSeparatesVersionsAndIsolatedWorkspaces(t *testing.T) {
 	salts := map[string]bool{}
 	for _, version := range []uint64{1, 2} {
 		for _, wall := range []string{"", "1", "2"} {
@@ -121,7 +121,7 @@
 
 // A request begins on weights that were replaced long ago, because the only
 // server with new ones is busy.
-func TestTooOldWeightsGetNothing(t *testing.T) {
+func TestServersWithTooOldWeightsAreExcluded(t *testing.T) {
 	d, servers := newDirect(), directServers(2)
 	servers[0].VersionAge = 9 * time.Second
 	servers[1].Version = 2
@@ -132,7 +132,7 @@
 	assert.ErrorIs(t, err, routing.ErrNoServer)
 }
 
-func TestNewerWeightsArePreferredWhileTheyAreNotSwamped(t *testing.T) {
+func TestNewerWeightsArePreferredUnlessOverloaded(t *testing.T) {
 	d, servers := newDirect(), directServers(2)
 	servers[0].VersionAge = 2 * time.Second
 	servers[1].Version = 2
@@ -141,7 +141,7 @@
 	assert.Equal(t, "s0", choose(t, d, time.Millisecond, prompt("r2", "other"), servers).Server.ID)
 }
 
-func TestServersThatSwitchAreTakenOnlyWhenNothingElseIsThere(t *testing.T) {
+func TestServersLoadingWeightsAreLastResort(t *testing.T) {
 	d, servers := newDirect(), directServers(2)
 	servers[0].Switching = true
 	assert.Equal(t, "s1", choose(t, d, 0, prompt("r1", "contract"), servers).Server.ID)
@@ -150,7 +150,7 @@
 
 // Streams end in resets. A server takes a bounded number of connections from
 // all entries, and resets those beyond, whatever runs on them.
-func TestAServerWithoutConnectionsLeftGetsNothing(t *testing.T) {
+func TestServerWithoutFreeConnectionsIsExcluded(t *testing.T) {
 	d, servers := newDirect(), directServers(2)
 	servers[0].Full = true
 	for i := range 10 {
@@ -199,7 +199,7 @@
 
 // A caller named shared parts of no token at all, on a deployment without a store
 // of kept cache: the process ended at the look at a store that is not there.
-func TestPartsWithoutTokensAreServed(t *testing.T) {
+func TestPromptPartsWithoutTokensArePlaced(t *testing.T) {
 	d, servers := newDirect(), directServers(2)
 	req := prompt("r1", "contract")
 	for i := range req.Prefix {
--- a/internal/routing/enginemodel_test.go
+++ b/internal/routing/enginemodel_test.go
@@ -18,7 +18,7 @@
 	// parts by salt and name, order by last use, the newest in front.
 	parts map[string]*list.Element
 	order *list.List
-	held  int
+	used  int
 	// endsAt is when the present step ends, in milliseconds; idle: no step.
 	endsAt float64
 	busy   bool
@@ -26,13 +26,13 @@
 }
 
 // Figures of an engine: a step of modelStepMS and modelSlotMS for each request,
-// modelReadPerMS prompt tokens a millisecond, modelPiece tokens a step at most.
+// modelPrefillPerMS prompt tokens a millisecond, modelChunk tokens a step at most.
 const (
-	modelStepMS    = 3.0
-	modelSlotMS    = 0.1
-	modelReadPerMS = 57.0
-	modelPiece     = 4096
-	modelSlots     = 64
+	modelStepMS       = 3.0
+	modelSlotMS       = 0.1
+	modelPrefillPerMS = 57.0
+	modelChunk        = 4096
+	modelSlots        = 64
 )
 
 type modelPart struct {
@@ -43,16 +43,16 @@
 
 // modelRun is one request at an engine.
 type modelRun struct {
-	request *modelRequest
-	urgency int
-	salt    string
-	fetch   string
+	request  *modelRequest
+	priority int
+	salt     string
+	fetch    string
 	// save: the store that the prompt goes to once it is read.
 	save    string
 	arrived float64
-	// unread tokens of the prompt, made tokens of the answer.
-	unread, made int
-	parts        []*list.Element
+	// uncached tokens of the prompt, generated tokens of the answer.
+	uncached, generated int
+	parts               []*list.Element
 }
 
 func newModelEngine(memory int, fleet *modelFleet) *modelEngine {
@@ -70,7 +70,7 @@
 func (e *modelEngine) enqueue(run *modelRun) {
 	at := sort.Search(len(e.waiting), func(i int) bool {
 		w := e.waiting[i]
-		return w.urgency > run.urgency || w.urgency == run.urgency && w.arrived > run.arrived
+		return w.priority > run.priority || w.priority == run.priority && w.arrived > run.arrived
 	})
 	e.waiting = append(e.waiting, nil)
 	copy(e.waiting[at+1:], e.waiting[at:])
@@ -85,23 +85,23 @@
 	if !e.busy {
 		return
 	}
-	budget := modelPiece
+	budget := modelChunk
 	for _, run := range e.running {
-		piece := min(budget, run.unread)
-		run.unread -= piece
-		budget -= piece
+		chunk := min(budget, run.uncached)
+		run.uncached -= chunk
+		budget -= chunk
 	}
-	read := modelPiece - budget
-	e.fleet.read += read
-	e.endsAt = now + modelStepMS + modelSlotMS*float64(len(e.running)) + float64(read)/modelReadPerMS
+	prefilled := modelChunk - budget
+	e.fleet.prefilled += prefilled
+	e.endsAt = now + modelStepMS + modelSlotMS*float64(len(e.running)) + float64(prefilled)/modelPrefillPerMS
 }
 
 // expire drops what waited until its caller's time was over.
 func (e *modelEngine) expire(now float64) {
 	var left []*modelRun
 	for _, run := range e.waiting {
-		if now > run.request.endsAt || run.made == 0 && now > run.request.firstBy {
-			e.fleet.ended(run, now, false)
+		if now > run.request.deadline || run.generated == 0 && now > run.request.firstTokenDeadline {
+			e.fleet.finish(run, now, false)
 			continue
 		}
 		left = append(left, run)
@@ -112,7 +112,7 @@
 func (e *modelEngine) admit(now float64) {
 	for len(e.waiting) > 0 && len(e.running) < modelSlots {
 		run := e.waiting[0]
-		if !e.makeRoom(run) {
+		if !e.makeSpace(run) {
 			return
 		}
 		e.waiting = e.waiting[1:]
@@ -121,30 +121,30 @@
 	}
 }
 
-// makeRoom puts less urgent runs back until the request fits.
-func (e *modelEngine) makeRoom(run *modelRun) bool {
+// makeSpace puts less urgent runs back until the request fits.
+func (e *modelEngine) makeSpace(run *modelRun) bool {
 	for {
 		if e.needed(run)+e.pinned() <= e.memory {
 			return true
 		}
-		worst := -1
+		victim := -1
 		for i, other := range e.running {
-			if other.urgency > run.urgency && (worst < 0 || other.urgency >= e.running[worst].urgency) {
-				worst = i
+			if other.priority > run.priority && (victim < 0 || other.priority >= e.running[victim].priority) {
+				victim = i
 			}
 		}
-		if worst < 0 {
+		if victim < 0 {
 			return false
 		}
-		e.putBack(worst)
+		e.preempt(victim)
 	}
 }
 
-func (e *modelEngine) putBack(i int) {
+func (e *modelEngine) preempt(i int) {
 	run := e.running[i]
 	e.running = append(e.running[:i:i], e.running[i+1:]...)
 	e.release(run)
-	e.fleet.putBack++
+	e.fleet.preempted++
 	e.enqueue(run)
 }
 
@@ -157,7 +157,7 @@
 		}
 	}
 	for _, run := range e.running {
-		sum += run.made
+		sum += run.generated
 	}
 	return sum
 }
@@ -176,7 +176,7 @@
 
 // place takes the request's parts into memory and counts what must be read.
 func (e *modelEngine) place(run *modelRun, now float64) {
-	run.unread = run.made
+	run.uncached = run.generated
 	found := true
 	source, store := e.fleet.engines[run.fetch], e.fleet.stores[run.fetch]
 	for _, part := range run.request.chain() {
@@ -184,13 +184,13 @@
 		at := e.parts[key]
 		found = found && (at != nil || source != nil && source.parts[key] != nil || store != nil && store.has(key, now))
 		if !found {
-			run.unread += part.Tokens
-			e.fleet.countRead(key, part.Tokens, now)
+			run.uncached += part.Tokens
+			e.fleet.countPrefill(key, part.Tokens, now)
 		}
 		if at == nil {
 			at = e.order.PushFront(&modelPart{key: key, tokens: part.Tokens})
 			e.parts[key] = at
-			e.held += part.Tokens
+			e.used += part.Tokens
 		}
 		at.Value.(*modelPart).refs++
 		e.order.MoveToFront(at)
@@ -201,12 +201,12 @@
 }
 
 func (e *modelEngine) evict() {
-	for at := e.order.Back(); at != nil && e.held > e.memory; {
+	for at := e.order.Back(); at != nil && e.used > e.memory; {
 		before := at.Prev()
 		if part := at.Value.(*modelPart); part.refs == 0 {
 			e.order.Remove(at)
 			delete(e.parts, part.key)
-			e.held -= part.tokens
+			e.used -= part.tokens
 		}
 		at = before
 	}
@@ -223,15 +223,15 @@
 func (e *modelEngine) step(now float64) {
 	var left []*modelRun
 	for _, run := range e.running {
-		if run.unread == 0 {
-			run.made++
-			if run.made == 1 {
-				e.fleet.first(run, now, call.Load{Running: len(e.running), Waiting: len(e.waiting), Slots: modelSlots})
+		if run.uncached == 0 {
+			run.generated++
+			if run.generated == 1 {
+				e.fleet.firstToken(run, now, call.Load{Running: len(e.running), Waiting: len(e.waiting), Slots: modelSlots})
 			}
 		}
-		if run.made >= run.request.output || now > run.request.endsAt || run.made == 0 && now > run.request.firstBy {
+		if run.generated >= run.request.output || now > run.request.deadline || run.generated == 0 && now > run.request.firstTokenDeadline {
 			e.release(run)
-			e.fleet.ended(run, now, run.made >= run.request.output)
+			e.fleet.finish(run, now, run.generated >= run.request.output)
 			continue
 		}
 		left = append(left, run)
--- a/internal/routing/fleetmodel_test.go
+++ b/internal/routing/fleetmodel_test.go
@@ -18,34 +18,34 @@
 	name      string
 	perSecond float64
 	// own tokens of a prompt: mean, spread and largest of a log-normal size.
-	own, spread, most float64
+	own, spread, largest float64
 	// Common parts of many and documents that requests share: tokens, count.
 	commonTokens, commons     int
 	documentTokens, documents int
 	// output tokens of an answer on average; the caller names three times that.
-	output            int
-	aimMS, patienceMS float64
-	// quietMS after which a caller leaves that has seen nothing.
-	quietMS float64
-	// credit of an answer in time, and late.
-	credit, late float64
-	urgency      int
+	output              int
+	targetMS, timeoutMS float64
+	// firstTokenTimeoutMS after which a caller leaves that has seen nothing.
+	firstTokenTimeoutMS float64
+	// credit of an answer in time, and lateCredit.
+	credit, lateCredit float64
+	priority           int
 }
 
 // modelRequest is one request on its way; times in milliseconds.
 type modelRequest struct {
-	class      *modelClass
-	id, server string
-	shared     []call.Part
-	own        call.Part
-	output     int
-	entry      int
-	at, endsAt float64
-	// firstBy is when the caller leaves that has seen nothing.
-	firstBy float64
-	firstMS float64
-	// returnsAt is when its caller came back after it was turned away; 0: never.
-	returnsAt float64
+	class        *modelClass
+	id, server   string
+	shared       []call.Part
+	own          call.Part
+	output       int
+	entry        int
+	at, deadline float64
+	// firstTokenDeadline is when the caller leaves that has seen nothing.
+	firstTokenDeadline float64
+	firstTokenMS       float64
+	// retriesAt is when its caller came back after it was turned away; 0: never.
+	retriesAt float64
 	finished  bool
 	// owner that chose the server; nil: the entry itself.
 	owner *routing.Direct
@@ -63,48 +63,48 @@
 	return sum
 }
 
-// worth of the request, which grows with its prompt, and what of it was earned.
-func (r *modelRequest) worth() (earned, owed float64) {
+// credit of the request, which grows with its prompt, and what of it was earned.
+func (r *modelRequest) credit() (earned, possible float64) {
 	size := min(4, 0.3+0.7*float64(r.own.Tokens)/r.class.own)
-	owed = r.class.credit * size
+	possible = r.class.credit * size
 	switch {
 	case !r.finished:
-		return 0, owed
-	case r.firstMS <= r.class.aimMS:
-		return owed, owed
+		return 0, possible
+	case r.firstTokenMS <= r.class.targetMS:
+		return possible, possible
 	}
-	return r.class.late * size, owed
+	return r.class.lateCredit * size, possible
 }
 
 // modelFleet is engines and entries in virtual time.
 type modelFleet struct {
-	random   *rand.Rand
-	classes  []*modelClass
-	engines  map[string]*modelEngine
-	ordered  []*modelEngine
-	servers  []routing.DirectServer
-	entries  []*routing.Direct
-	rooms    []*waitroom.Room
-	requests map[string]*modelRequest
+	random     *rand.Rand
+	classes    []*modelClass
+	engines    map[string]*modelEngine
+	ordered    []*modelEngine
+	servers    []routing.DirectServer
+	entries    []*routing.Direct
+	waitQueues []*waitroom.Room
+	requests   map[string]*modelRequest
 	// mayWait: requests wait in the entries rather than at full engines.
 	mayWait bool
 	// owners of shards that choose for all entries, by name; nil: none, and the
 	// entries tell each other what they do.
 	owners   map[string]*routing.Direct
 	division *shard.Division
-	// mute entries, the first ones, neither tell the others anything nor hear.
-	mute int
-	// returns are callers that will come back, by time.
-	returns []*modelRequest
+	// isolated entries, the first ones, neither tell the others anything nor hear.
+	isolated int
+	// retries are callers that will come back, by time.
+	retries []*modelRequest
 	// stores of kept cache by address, keptStores as the entries see them.
-	stores     map[string]*modelStore
-	keptStores []routing.KVCacheStore
+	stores       map[string]*modelStore
+	routerStores []routing.KVCacheStore
 	// crashes empty the first of the engines, by virtual time.
 	crashes []float64
 	// used is when a part was last used anywhere.
 	used map[string]float64
-	// read and readAgain count prompt tokens, putBack and turnedAway requests.
-	read, readAgain, putBack, turnedAway int
+	// prefilled and recomputed count prompt tokens, preempted and rejected requests.
+	prefilled, recomputed, preempted, rejected int
 }
 
 const (
@@ -118,8 +118,8 @@
 	modelServeTicks = 5
 	// modelReuseMS after its last use a part counts as read again.
 	modelReuseMS = 10000
-	// modelReturnMS after being turned away a caller comes back.
-	modelReturnMS = 2000
+	// modelRetryMS after being turned away a caller comes back.
+	modelRetryMS = 2000
 )
 
 func newModelFleet(seed uint64, engines, entries, memory int, classes []*modelClass) *modelFleet {
@@ -139,7 +139,7 @@
 		d := newDirect()
 		d.SetEntries(entries)
 		f.entries = append(f.entries, d)
-		f.rooms = append(f.rooms, waitroom.New())
+		f.waitQueues = append(f.waitQueues, waitroom.New())
 	}
 	return f
 }
@@ -148,28 +148,28 @@
 	return directStart.Add(time.Duration(ms * float64(time.Millisecond)))
 }
 
-// countRead notes that a part is read, and whether that was done before.
-func (f *modelFleet) countRead(key string, tokens int, now float64) {
+// countPrefill notes that a part is read, and whether that was done before.
+func (f *modelFleet) countPrefill(key string, tokens int, now float64) {
 	if last, ok := f.used[key]; ok && now-last < modelReuseMS {
-		f.readAgain += tokens
+		f.recomputed += tokens
 	}
 }
 
-func (f *modelFleet) first(run *modelRun, now float64, load call.Load) {
-	run.request.firstMS = now - run.request.at
+func (f *modelFleet) firstToken(run *modelRun, now float64, load call.Load) {
+	run.request.firstTokenMS = now - run.request.at
 	d := f.routerOf(run.request)
 	d.FirstToken(modelTime(now), run.request.id)
 	if f.owners == nil {
 		d.UpdateLoad(modelTime(now), run.request.server, load)
 	}
 	if store := f.stores[run.save]; store != nil {
-		store.take(run, now)
+		store.save(run, now)
 	}
 }
 
-func (f *modelFleet) ended(run *modelRun, now float64, whole bool) {
-	run.request.finished = whole
-	f.routerOf(run.request).Finished(modelTime(now), run.request.id, whole)
+func (f *modelFleet) finish(run *modelRun, now float64, complete bool) {
+	run.request.finished = complete
+	f.routerOf(run.request).Finished(modelTime(now), run.request.id, complete)
 }
 
 // arrive makes a request of a class.
@@ -178,26 +178,26 @@
 	document := int(float64(class.documents) * math.Pow(f.random.Float64(), 1.3))
 	own := class.own * math.Exp(class.spread*f.random.NormFloat64()-class.spread*class.spread/2)
 	r := &modelRequest{
-		class: class, id: fmt.Sprintf("r%d", n), at: now, endsAt: now + class.patienceMS, firstBy: now + min(class.quietMS, class.patienceMS), entry: f.random.IntN(len(f.entries)),
+		class: class, id: fmt.Sprintf("r%d", n), at: now, deadline: now + class.timeoutMS, firstTokenDeadline: now + min(class.firstTokenTimeoutMS, class.timeoutMS), entry: f.random.IntN(len(f.entries)),
 		shared: []call.Part{
 			{ID: fmt.Sprintf("%s-c%d", class.name, document%class.commons), Tokens: class.commonTokens},
 			{ID: fmt.Sprintf("%s-d%d", class.name, document), Tokens: class.documentTokens},
 		},
-		own:    call.Part{ID: fmt.Sprintf("own%d", n), Tokens: int(min(own, class.most)) + 1},
+		own:    call.Part{ID: fmt.Sprintf("own%d", n), Tokens: int(min(own, class.largest)) + 1},
 		output: 1 + int(float64(class.output)*f.random.ExpFloat64()),
 	}
 	f.requests[r.id] = r
 	f.admit(r, now)
 }
 
-// turnAway lets a caller come back, once.
-func (f *modelFleet) turnAway(r *modelRequest, now float64) {
-	f.turnedAway++
-	if r.returnsAt > 0 || now+modelReturnMS > r.endsAt {
+// reject lets a caller come back, once.
+func (f *modelFleet) reject(r *modelRequest, now float64) {
+	f.rejected++
+	if r.retriesAt > 0 || now+modelRetryMS > r.deadline {
 		return
 	}
-	r.returnsAt = now + modelReturnMS
-	f.returns = append(f.returns, r)
+	r.retriesAt = now + modelRetryMS
+	f.retries = append(f.retries, r)
 }
 
 // admit sends a request, or lets it wait.
@@ -206,27 +206,27 @@
 		return
 	}
 	class := r.class
-	_, ok := f.rooms[r.entry].Enter(modelTime(now), waitroom.Request{
-		ID: r.id, Urgency: class.urgency, Arrived: modelTime(now), Reading: routing.PrefillTime(r.tokens()),
-		InTimeUntil: modelTime(now + class.aimMS), Deadline: modelTime(r.firstBy),
+	_, ok := f.waitQueues[r.entry].Enter(modelTime(now), waitroom.Request{
+		ID: r.id, Urgency: class.priority, Arrived: modelTime(now), Reading: routing.PrefillTime(r.tokens()),
+		InTimeUntil: modelTime(now + class.targetMS), Deadline: modelTime(r.firstTokenDeadline),
 	})
 	if !ok {
-		f.turnAway(r, now)
+		f.reject(r, now)
 	}
 }
 
 // place sends a request to a server; false: it should wait.
-func (f *modelFleet) place(r *modelRequest, now float64, anyway bool) bool {
+func (f *modelFleet) place(r *modelRequest, now float64, mustPlace bool) bool {
 	request := &routing.DirectRequest{
 		ID: r.id, Tokens: r.tokens(), OutputTokens: 3 * r.class.output, Prefix: r.shared,
-		MemoryShare: routing.MemoryShare(r.class.urgency, len(f.classes)), MayWait: f.mayWait && !anyway, Stores: f.keptStores,
+		MemoryShare: routing.MemoryShare(r.class.priority, len(f.classes)), MayWait: f.mayWait && !mustPlace, Stores: f.routerStores,
 	}
 	choice, err := f.choose(r, request, now)
 	if errors.Is(err, routing.ErrNoFreeMemory) {
 		return false
 	}
 	r.server = choice.Server.ID
-	f.engines[r.server].submit(&modelRun{request: r, urgency: r.class.urgency, salt: choice.Salt, fetch: choice.FetchFrom, save: choice.SaveTo}, now)
+	f.engines[r.server].submit(&modelRun{request: r, priority: r.class.priority, salt: choice.Salt, fetch: choice.FetchFrom, save: choice.SaveTo}, now)
 	return true
 }
 
@@ -250,10 +250,10 @@
 		case r.owner == nil:
 			best, r.owner, err = choice, owner, nil
 		case choice.Terms.Total() < best.Terms.Total():
-			r.owner.PlacedElsewhere(modelTime(now), r.id, holdingOf(&choice))
+			r.owner.PlacedElsewhere(modelTime(now), r.id, holderOf(&choice))
 			best, r.owner = choice, owner
 		default:
-			owner.PlacedElsewhere(modelTime(now), r.id, holdingOf(&best))
+			owner.PlacedElsewhere(modelTime(now), r.id, holderOf(&best))
 		}
 		if routing.GoodOffer(best.Terms.QueueMS, best.Terms.MemoryMS) {
 			break
@@ -262,7 +262,7 @@
 	return best, err
 }
 
-func holdingOf(choice *routing.DirectChoice) routing.PrefixHolder {
+func holderOf(choice *routing.DirectChoice) routing.PrefixHolder {
 	return routing.PrefixHolder{
 		Server: choice.Server.ID, Address: choice.Server.Address, Version: choice.Server.Version,
 		ReadyIn: time.Duration(choice.ExpectedMS * float64(time.Millisecond)),
@@ -280,8 +280,8 @@
 	return servers
 }
 
-// divideAmong lets so many of the entries own shards.
-func (f *modelFleet) divideAmong(entries int) {
+// assignShards lets so many of the entries own shards.
+func (f *modelFleet) assignShards(entries int) {
 	m := shard.NewMap()
 	var all []shard.Entry
 	f.owners = map[string]*routing.Direct{}
@@ -308,37 +308,37 @@
 	return f.entries[r.entry]
 }
 
-// serveRooms places what waits in the entries.
-func (f *modelFleet) serveRooms(now float64) {
-	for len(f.returns) > 0 && f.returns[0].returnsAt <= now {
-		r := f.returns[0]
-		f.returns = f.returns[1:]
-		r.firstBy = min(r.endsAt, now+r.class.quietMS)
+// serveWaitQueues places what waits in the entries.
+func (f *modelFleet) serveWaitQueues(now float64) {
+	for len(f.retries) > 0 && f.retries[0].retriesAt <= now {
+		r := f.retries[0]
+		f.retries = f.retries[1:]
+		r.firstTokenDeadline = min(r.deadline, now+r.class.firstTokenTimeoutMS)
 		f.admit(r, now)
 	}
-	for i, room := range f.rooms {
+	for i, room := range f.waitQueues {
 		if (i+int(now/modelHintMS))%modelServeTicks != 0 {
 			continue
 		}
-		away := room.Serve(modelTime(now), func(id string, anyway bool) bool { return f.place(f.requests[id], now, anyway) })
-		for _, id := range away {
-			f.turnAway(f.requests[id], now)
+		rejected := room.Serve(modelTime(now), func(id string, anyway bool) bool { return f.place(f.requests[id], now, anyway) })
+		for _, id := range rejected {
+			f.reject(f.requests[id], now)
 		}
 	}
 }
 
-// hint lets each entry tell the others what it knows.
-func (f *modelFleet) hint(now float64, tick int) {
-	for i, from := range f.entries[f.mute:] {
-		news, placed, saved := from.TakePrefixHints(), from.TakePlacedHints(), from.TakeSavedParts()
-		for k := range news {
-			news[k].Address = news[k].Server
+// exchangeHints lets each entry tell the others what it knows.
+func (f *modelFleet) exchangeHints(now float64, tick int) {
+	for i, from := range f.entries[f.isolated:] {
+		prefixes, placed, saved := from.TakePrefixHints(), from.TakePlacedHints(), from.TakeSavedParts()
+		for k := range prefixes {
+			prefixes[k].Address = prefixes[k].Server
 		}
-		for k, to := range f.entries[f.mute:] {
+		for k, to := range f.entries[f.isolated:] {
 			if k == i {
 				continue
 			}
-			to.ReceivePrefixHints(modelTime(now), news)
+			to.ReceivePrefixHints(modelTime(now), prefixes)
 			to.ReceiveSavedParts(modelTime(now), saved)
 			to.ReceivePlacedHints(modelTime(now), uint32(i), placed) //nolint:gosec // few
 			if tick%modelLoadTicks == 0 {
@@ -362,9 +362,9 @@
 		for f.playNext(next, until, forMS) {
 		}
 		f.crashAt(until)
-		f.speak(until)
-		f.serveRooms(until)
-		f.hint(until, tick)
+		f.sendStoreUpdates(until)
+		f.serveWaitQueues(until)
+		f.exchangeHints(until, tick)
 	}
 }
 
@@ -400,36 +400,36 @@
 			return false
 		}
 	}
-	for _, room := range f.rooms {
+	for _, room := range f.waitQueues {
 		if room.Len() > 0 {
 			return false
 		}
 	}
-	return len(f.returns) == 0
+	return len(f.retries) == 0
 }
 
 // modelResult is what the requests of a class earned.
 type modelResult struct {
 	requests, inTime, late, failed int
-	earned, owed                   float64
+	earned, possible               float64
 }
 
-func (r modelResult) share() float64 { return r.earned / r.owed }
+func (r modelResult) share() float64 { return r.earned / r.possible }
 
 // results by class, and of all under "all".
 func (f *modelFleet) results() map[string]modelResult {
 	results := map[string]modelResult{}
 	for _, r := range f.requests {
-		earned, owed := r.worth()
+		earned, possible := r.credit()
 		for _, name := range []string{r.class.name, "all"} {
 			one := results[name]
 			one.requests++
 			one.earned += earned
-			one.owed += owed
+			one.possible += possible
 			switch {
 			case !r.finished:
 				one.failed++
-			case r.firstMS <= r.class.aimMS:
+			case r.firstTokenMS <= r.class.targetMS:
 				one.inTime++
 			default:
 				one.late++
--- a/internal/routing/kept_test.go
+++ b/internal/routing/kept_test.go
@@ -13,25 +13,25 @@
 
 var oneStore = []routing.KVCacheStore{routing.NewKVCacheStore("store:1", "a", 290000)}
 
-func keptPrompt(id, document string) *routing.DirectRequest {
+func promptWithStore(id, document string) *routing.DirectRequest {
 	req := prompt(id, document)
 	req.Stores = oneStore
 	return req
 }
 
-// word is what the store says of the deepest part of a prompt.
-func word(d *routing.Direct, document string, held bool) {
+// updateStore is what the store says of the deepest part of a prompt.
+func updateStore(d *routing.Direct, document string, held bool) {
 	d.UpdateStoredPart(directStart, &oneStore[0], routing.Salt(1, ""), document, held)
 }
 
 // An engine crashed, and all prefixes that it had read were read once more.
-func TestALostPrefixComesFromItsStore(t *testing.T) {
+func TestLostPrefixIsFetchedFromStore(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
-	first := choose(t, d, 0, keptPrompt("r1", "contract"), servers)
+	first := choose(t, d, 0, promptWithStore("r1", "contract"), servers)
 	assert.Equal(t, "store:1", first.SaveTo, "a first read is saved")
 	served(d, 300*time.Millisecond, "r1")
 	d.ForgetCache(first.Server.ID)
-	next := choose(t, d, 2*time.Second, keptPrompt("r2", "contract"), servers)
+	next := choose(t, d, 2*time.Second, promptWithStore("r2", "contract"), servers)
 	assert.Equal(t, routing.SourceStore, next.Source)
 	assert.Equal(t, "store:1", next.FetchFrom)
 	assert.Empty(t, next.SaveTo, "it is there")
@@ -41,83 +41,83 @@
 // Another entry saved the prefix; without its word each entry saved it again.
 func TestAPrefixIsSavedOnceByAllEntries(t *testing.T) {
 	one, two, servers := newDirect(), newDirect(), directServers(4)
-	choose(t, one, 0, keptPrompt("r1", "contract"), servers)
+	choose(t, one, 0, promptWithStore("r1", "contract"), servers)
 	saved := one.TakeSavedParts()
 	require.Len(t, saved, 1)
 	two.ReceiveSavedParts(directStart, saved)
-	assert.Empty(t, choose(t, two, 100*time.Millisecond, keptPrompt("r2", "contract"), servers).SaveTo)
-	assert.Equal(t, "store:1", choose(t, two, 2*time.Second, keptPrompt("r3", "contract"), servers).FetchFrom)
+	assert.Empty(t, choose(t, two, 100*time.Millisecond, promptWithStore("r2", "contract"), servers).SaveTo)
+	assert.Equal(t, "store:1", choose(t, two, 2*time.Second, promptWithStore("r3", "contract"), servers).FetchFrom)
 }
 
 // A server drops a prefix without a word. The request that is sent there in
 // good faith names the store as well, and nothing is read again.
-func TestTheStoreStandsInForWhatAServerMayHaveDropped(t *testing.T) {
+func TestStoreIsFallbackForPrefixEvictedByServer(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
-	choose(t, d, 0, keptPrompt("r1", "contract"), servers)
+	choose(t, d, 0, promptWithStore("r1", "contract"), servers)
 	served(d, 300*time.Millisecond, "r1")
-	word(d, "contract", true)
-	held := choose(t, d, time.Second, keptPrompt("r2", "contract"), servers)
+	updateStore(d, "contract", true)
+	held := choose(t, d, time.Second, promptWithStore("r2", "contract"), servers)
 	assert.Equal(t, routing.SourceHeld, held.Source)
 	assert.Equal(t, "store:1", held.FetchFrom)
 }
 
 // The store's own word goes before what was sent there.
-func TestTheStoreSaysWhatItHas(t *testing.T) {
+func TestStoreUpdateOverridesSavedParts(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
-	first := choose(t, d, 0, keptPrompt("r1", "contract"), servers)
+	first := choose(t, d, 0, promptWithStore("r1", "contract"), servers)
 	served(d, 300*time.Millisecond, "r1")
-	word(d, "contract", true)
-	word(d, "contract", false)
+	updateStore(d, "contract", true)
+	updateStore(d, "contract", false)
 	d.ForgetCache(first.Server.ID)
-	again := choose(t, d, 3*time.Second, keptPrompt("r2", "contract"), servers)
+	again := choose(t, d, 3*time.Second, promptWithStore("r2", "contract"), servers)
 	assert.NotEqual(t, routing.SourceStore, again.Source, "it dropped the part")
 	assert.Equal(t, "store:1", again.SaveTo, "which is read, so it is saved once more")
 }
 
 // The store was emptied by a restart: engines were sent there in vain.
-func TestAnEmptiedStoreIsNotAsked(t *testing.T) {
+func TestEmptyStoreIsNotUsed(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
-	first := choose(t, d, 0, keptPrompt("r1", "contract"), servers)
+	first := choose(t, d, 0, promptWithStore("r1", "contract"), servers)
 	served(d, 300*time.Millisecond, "r1")
-	word(d, "contract", true)
+	updateStore(d, "contract", true)
 	d.ForgetStoredParts()
 	d.ForgetCache(first.Server.ID)
-	assert.NotEqual(t, "store:1", choose(t, d, 2*time.Second, keptPrompt("r2", "contract"), servers).FetchFrom)
+	assert.NotEqual(t, "store:1", choose(t, d, 2*time.Second, promptWithStore("r2", "contract"), servers).FetchFrom)
 }
 
 // A request was refused where it should have been read and saved; for fifteen
 // seconds all took the prefix for kept.
-func TestAPromptThatWasNotReadSavesNothing(t *testing.T) {
+func TestPromptThatWasNotPrefilledIsNotSaved(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
-	choose(t, d, 0, keptPrompt("r1", "contract"), servers)
+	choose(t, d, 0, promptWithStore("r1", "contract"), servers)
 	d.Finished(directStart, "r1", false)
-	assert.Equal(t, "store:1", choose(t, d, time.Second, keptPrompt("r2", "contract"), servers).SaveTo)
+	assert.Equal(t, "store:1", choose(t, d, time.Second, promptWithStore("r2", "contract"), servers).SaveTo)
 }
 
 // Prompts that belong to one request alone pushed shared ones out of the store.
 // With room to spare the store takes them as well: where no prompt is half shared
 // nothing was ever saved, beside an empty store.
-func TestAPromptThatIsMostlyItsOwnIsSavedOnlyWhereThereIsRoom(t *testing.T) {
+func TestMostlyUnsharedPromptIsSavedOnlyWhileStoreHasRoom(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
 	own := func(id, document string) *routing.DirectRequest {
-		req := keptPrompt(id, document)
+		req := promptWithStore(id, document)
 		req.Tokens = 3 * req.Tokens
 		return req
 	}
 	assert.NotEmpty(t, choose(t, d, 0, own("r", "contract"), servers).SaveTo, "the store drops nothing")
 	for i := range 40 {
 		document := fmt.Sprint("contract", i)
-		choose(t, d, time.Duration(i)*10*time.Millisecond, keptPrompt(fmt.Sprint("r", i), document), servers)
+		choose(t, d, time.Duration(i)*10*time.Millisecond, promptWithStore(fmt.Sprint("r", i), document), servers)
 		d.UpdateStoredPart(directStart.Add(time.Second), &oneStore[0], routing.Salt(1, ""), document, false)
 	}
 	assert.Empty(t, choose(t, d, 3*time.Second, own("s", "report"), servers).SaveTo, "it dropped parts after a second")
-	assert.NotEmpty(t, choose(t, d, 3*time.Second, keptPrompt("t", "other"), servers).SaveTo, "which is mostly shared")
+	assert.NotEmpty(t, choose(t, d, 3*time.Second, promptWithStore("t", "other"), servers).SaveTo, "which is mostly shared")
 	assert.NotEmpty(t, choose(t, d, time.Minute, own("u", "report"), servers).SaveTo, "it has room again")
 }
 
 // New weights made every prefix a first one within two seconds. Saving them all
 // filled the store's link, and fetches waited behind saves.
-func TestSavesKeepToTheirShareOfTheLink(t *testing.T) {
+func TestSavesStayWithinShareOfLink(t *testing.T) {
 	for perSecond, atMost := range map[float64]int{290000: 290000 * 2, 29000: 29000 * 2, 0: 0} {
 		d, servers := newDirect(), directServers(8)
 		stores := []routing.KVCacheStore{routing.NewKVCacheStore("store:1", "a", perSecond)}
@@ -136,18 +136,18 @@
 
 // Isolated workspaces and other weights stand under other salts: what one saved
 // must not be taken for the other's.
-func TestWhatIsKeptUnderOneSaltIsNotAnothers(t *testing.T) {
+func TestStoredPartsAreSeparatedBySalt(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
-	choose(t, d, 0, keptPrompt("r1", "contract"), servers)
+	choose(t, d, 0, promptWithStore("r1", "contract"), servers)
 	served(d, 300*time.Millisecond, "r1")
-	word(d, "contract", true)
-	walled := keptPrompt("r2", "contract")
+	updateStore(d, "contract", true)
+	walled := promptWithStore("r2", "contract")
 	walled.IsolatedWorkspace = "w"
 	assert.NotEqual(t, routing.SourceStore, choose(t, d, 2*time.Second, walled, servers).Source)
 	for i := range servers {
 		servers[i].Version = 2
 	}
-	assert.NotEqual(t, routing.SourceStore, choose(t, d, 2*time.Second, keptPrompt("r3", "contract"), servers).Source)
+	assert.NotEqual(t, routing.SourceStore, choose(t, d, 2*time.Second, promptWithStore("r3", "contract"), servers).Source)
 }
 
 // Entries must look for a prefix at the store to which another sent it.
--- a/internal/routing/keptmodel_test.go
+++ b/internal/routing/keptmodel_test.go
@@ -15,26 +15,26 @@
 // after another over its link, one that would wait for two seconds is not
 // started, and the least recently used parts yield.
 type modelStore struct {
-	memory, held int
+	memory, used int
 	perMS        float64
 	freeAt       float64
 	// readyAt and usedAt by salt and part.
 	readyAt, usedAt map[string]float64
 	tokens          map[string]int
 	// names of the parts by key, words that it has not said yet.
-	names map[string][2]string
-	words []modelWord
+	names   map[string][2]string
+	updates []modelStoreUpdate
 }
 
-// modelWord is a store's word on a part, said at a time.
-type modelWord struct {
+// modelStoreUpdate is a store's word on a part, said at a time.
+type modelStoreUpdate struct {
 	at         float64
 	salt, part string
 	held       bool
 }
 
-// modelWordMS is how late a store's word is.
-const modelWordMS = 500
+// modelUpdateDelayMS is how late a store's word is.
+const modelUpdateDelayMS = 500
 
 const modelTransferWaitMS = 2000
 
@@ -51,8 +51,8 @@
 	return true
 }
 
-// take begins the transfer of a prompt that was read.
-func (s *modelStore) take(run *modelRun, now float64) {
+// save begins the transfer of a prompt that was read.
+func (s *modelStore) save(run *modelRun, now float64) {
 	if s.freeAt > now+modelTransferWaitMS {
 		return
 	}
@@ -60,36 +60,36 @@
 	for _, part := range run.request.chain() {
 		key := run.salt + part.ID
 		if _, ok := s.readyAt[key]; !ok {
-			s.held += part.Tokens
+			s.used += part.Tokens
 			s.tokens[key] = part.Tokens
 		}
 		s.readyAt[key], s.usedAt[key] = s.freeAt, s.freeAt
 		s.names[key] = [2]string{run.salt, part.ID}
-		s.say(key, s.freeAt, true)
+		s.queueUpdate(key, s.freeAt, true)
 	}
 	s.evict(now)
 }
 
-func (s *modelStore) say(key string, at float64, held bool) {
+func (s *modelStore) queueUpdate(key string, at float64, held bool) {
 	name := s.names[key]
-	s.words = append(s.words, modelWord{at: at + modelWordMS, salt: name[0], part: name[1], held: held})
+	s.updates = append(s.updates, modelStoreUpdate{at: at + modelUpdateDelayMS, salt: name[0], part: name[1], held: held})
 }
 
-// speak lets the stores tell the entries what they hold.
-func (f *modelFleet) speak(now float64) {
-	for i := range f.keptStores {
-		store := f.stores[f.keptStores[i].Address]
-		var later []modelWord
-		for _, w := range store.words {
+// sendStoreUpdates lets the stores tell the entries what they hold.
+func (f *modelFleet) sendStoreUpdates(now float64) {
+	for i := range f.routerStores {
+		store := f.stores[f.routerStores[i].Address]
+		var later []modelStoreUpdate
+		for _, w := range store.updates {
 			if w.at > now {
 				later = append(later, w)
 				continue
 			}
 			for _, entry := range f.entries {
-				entry.UpdateStoredPart(modelTime(now), &f.keptStores[i], w.salt, w.part, w.held)
+				entry.UpdateStoredPart(modelTime(now), &f.routerStores[i], w.salt, w.part, w.held)
 			}
 		}
-		store.words = later
+		store.updates = later
 	}
 }
 
@@ -101,11 +101,11 @@
 	sort.Strings(keys)
 	sort.SliceStable(keys, func(i, j int) bool { return s.usedAt[keys[i]] < s.usedAt[keys[j]] })
 	for _, key := range keys {
-		if s.held <= s.memory {
+		if s.used <= s.memory {
 			return
 		}
-		s.say(key, now, false)
-		s.held -= s.tokens[key]
+		s.queueUpdate(key, now, false)
+		s.used -= s.tokens[key]
 		delete(s.readyAt, key)
 		delete(s.usedAt, key)
 		delete(s.tokens, key)
@@ -123,7 +123,7 @@
 			if part := at.Value.(*modelPart); part.refs == 0 {
 				e.order.Remove(at)
 				delete(e.parts, key)
-				e.held -= part.tokens
+				e.used -= part.tokens
 			}
 		}
 	}
@@ -139,39 +139,39 @@
 func reportsAndQuestions() []*modelClass {
 	return []*modelClass{
 		{
-			name: "question", perSecond: 72, own: 628, spread: 1, most: 3300, commonTokens: 119, commons: 40, documentTokens: 79, documents: 614,
-			output: 73, aimMS: 800, patienceMS: 15000, quietMS: 3200, credit: 2, late: 0.6, urgency: 0,
+			name: "question", perSecond: 72, own: 628, spread: 1, largest: 3300, commonTokens: 119, commons: 40, documentTokens: 79, documents: 614,
+			output: 73, targetMS: 800, timeoutMS: 15000, firstTokenTimeoutMS: 3200, credit: 2, lateCredit: 0.6, priority: 0,
 		},
 		{
-			name: "report", perSecond: 46, own: 2890, spread: 1, most: 39600, commonTokens: 2520, commons: 4, documentTokens: 3780, documents: 250,
-			output: 13, aimMS: 600, patienceMS: 5000, quietMS: 2400, credit: 3, late: 0.9, urgency: 1,
+			name: "report", perSecond: 46, own: 2890, spread: 1, largest: 39600, commonTokens: 2520, commons: 4, documentTokens: 3780, documents: 250,
+			output: 13, targetMS: 600, timeoutMS: 5000, firstTokenTimeoutMS: 2400, credit: 3, lateCredit: 0.9, priority: 1,
 		},
 	}
 }
 
-func playKept(t *testing.T, stores int) *modelFleet {
+func playWithStores(t *testing.T, stores int) *modelFleet {
 	t.Helper()
 	f := newModelFleet(1, 18, 5, 106000, reportsAndQuestions())
 	f.mayWait, f.crashes = true, []float64{6000, 10000, 14000}
 	f.stores = map[string]*modelStore{}
 	for _, address := range []string{"store1", "store2"}[:stores] {
 		f.stores[address] = newModelStore(1000000, 290000)
-		f.keptStores = append(f.keptStores, routing.NewKVCacheStore(address, "a", 290000))
+		f.routerStores = append(f.routerStores, routing.NewKVCacheStore(address, "a", 290000))
 	}
 	f.play(20000)
 	r := f.results()["all"]
 	t.Logf("stores %d: net %.3f, in time %d, late %d; read %d k, again %d k", stores,
-		r.share()-float64(f.readAgain)/1000/r.owed, r.inTime, r.late, f.read/1000, f.readAgain/1000)
+		r.share()-float64(f.recomputed)/1000/r.possible, r.inTime, r.late, f.prefilled/1000, f.recomputed/1000)
 	return f
 }
 
 // The engines' memory turned over within seconds, and a third of them crashed
 // three times: prompts that had been read a moment ago were read again, a tenth
 // of all that was read, while a store of kept cache stood by unused.
-func TestWhatEnginesLoseComesFromTheStore(t *testing.T) {
-	before, after := playKept(t, 0), playKept(t, 1)
-	assert.Less(t, after.readAgain, before.readAgain/2)
-	assert.Less(t, after.read, before.read)
+func TestLostPrefixesComeFromStore(t *testing.T) {
+	before, after := playWithStores(t, 0), playWithStores(t, 1)
+	assert.Less(t, after.recomputed, before.recomputed/2)
+	assert.Less(t, after.prefilled, before.prefilled)
 	assert.GreaterOrEqual(t, after.results()["all"].share(), before.results()["all"].share()-0.005)
-	assert.LessOrEqual(t, playKept(t, 2).readAgain, after.readAgain*11/10, "two stores share the prefixes")
+	assert.LessOrEqual(t, playWithStores(t, 2).recomputed, after.recomputed*11/10, "two stores share the prefixes")
 }
--- a/internal/routing/overload_test.go
+++ b/internal/routing/overload_test.go
@@ -18,27 +18,27 @@
 func longAndShort(scale float64) []*modelClass {
 	return []*modelClass{
 		{
-			name: "short", perSecond: 76 * scale, own: 1800, spread: 1.3, most: 7000, commonTokens: 340, commons: 12, documentTokens: 230, documents: 220,
-			output: 22, aimMS: 600, patienceMS: 3000, quietMS: 6400, credit: 1.6, late: 0.5, urgency: 0,
+			name: "short", perSecond: 76 * scale, own: 1800, spread: 1.3, largest: 7000, commonTokens: 340, commons: 12, documentTokens: 230, documents: 220,
+			output: 22, targetMS: 600, timeoutMS: 3000, firstTokenTimeoutMS: 6400, credit: 1.6, lateCredit: 0.5, priority: 0,
 		},
 		{
-			name: "long", perSecond: 37 * scale, own: 6500, spread: 1.4, most: 54000, commonTokens: 500, commons: 8, documentTokens: 4900, documents: 160,
-			output: 385, aimMS: 1000, patienceMS: 15000, quietMS: 6400, credit: 5, late: 1.5, urgency: 1,
+			name: "long", perSecond: 37 * scale, own: 6500, spread: 1.4, largest: 54000, commonTokens: 500, commons: 8, documentTokens: 4900, documents: 160,
+			output: 385, targetMS: 1000, timeoutMS: 15000, firstTokenTimeoutMS: 6400, credit: 5, lateCredit: 1.5, priority: 1,
 		},
 	}
 }
 
 // playOverload plays 15 s of the mix and returns the fleet and its net share:
 // what was earned less the price of what was read again, of what was owed.
-func playOverload(t *testing.T, scale float64, mayWait bool, mute int) (*modelFleet, float64) {
+func playOverload(t *testing.T, scale float64, mayWait bool, isolated int) (*modelFleet, float64) {
 	t.Helper()
 	f := newModelFleet(1, 16, 9, 140000, longAndShort(scale))
-	f.mayWait, f.mute = mayWait, mute
+	f.mayWait, f.isolated = mayWait, isolated
 	f.play(15000)
 	r := f.results()
-	net := r["all"].share() - float64(f.readAgain)/1000/r["all"].owed
+	net := r["all"].share() - float64(f.recomputed)/1000/r["all"].possible
 	t.Logf("scale %.1f wait %v mute %d: net %.3f long %.3f (%d in time, %d late, %d failed) short %.3f; read %d k, again %d k, put back %d, turned away %d",
-		scale, mayWait, mute, net, r["long"].share(), r["long"].inTime, r["long"].late, r["long"].failed, r["short"].share(), f.read/1000, f.readAgain/1000, f.putBack, f.turnedAway)
+		scale, mayWait, isolated, net, r["long"].share(), r["long"].inTime, r["long"].late, r["long"].failed, r["short"].share(), f.prefilled/1000, f.recomputed/1000, f.preempted, f.rejected)
 	return f, net
 }
 
@@ -50,8 +50,8 @@
 func TestPromptsWaitOutsideFullEngines(t *testing.T) {
 	before, netBefore := playOverload(t, 1.7, false, 0)
 	after, net := playOverload(t, 1.7, true, 0)
-	assert.Less(t, after.putBack, before.putBack/3)
-	assert.Less(t, after.readAgain, before.readAgain*2/3)
+	assert.Less(t, after.preempted, before.preempted/3)
+	assert.Less(t, after.recomputed, before.recomputed*2/3)
 	assert.Greater(t, net, netBefore+0.2)
 	long, longBefore := after.results()["long"], before.results()["long"]
 	assert.Greater(t, long.inTime, longBefore.inTime)
@@ -64,24 +64,24 @@
 func TestNothingWaitsWhileMemoryIsFree(t *testing.T) {
 	_, netBefore := playOverload(t, 0.6, false, 0)
 	after, net := playOverload(t, 0.6, true, 0)
-	assert.Zero(t, after.turnedAway)
+	assert.Zero(t, after.rejected)
 	assert.InDelta(t, netBefore, net, 0.02)
 }
 
 // Entries that were cut off from the others, and still reached callers and
 // engines, took the engines for empty but for their own requests and filled
 // them, for all.
-func TestEntriesThatHearNothingDoNotFillTheEngines(t *testing.T) {
-	whole, net := playOverload(t, 1.5, true, 0)
-	cut, netCut := playOverload(t, 1.5, true, 3)
-	assert.Less(t, cut.putBack, whole.putBack+100)
+func TestIsolatedEntriesDoNotOverfillEngines(t *testing.T) {
+	connected, net := playOverload(t, 1.5, true, 0)
+	partitioned, netCut := playOverload(t, 1.5, true, 3)
+	assert.Less(t, partitioned.preempted, connected.preempted+100)
 	assert.Greater(t, netCut, net-0.1)
 }
 
 // While new weights went round, each engine that had them was empty and on the
 // newest version. All entries heard so at once, and each sent there what it had:
 // 1.4 s to the first token at an engine that all expected to need 0.3.
-func TestAServerThatReopensIsNotFilledByAllAtOnce(t *testing.T) {
+func TestServerWithNewWeightsIsNotOverloadedByAllEntries(t *testing.T) {
 	const entries = 31
 	servers := directServers(8)
 	for i := range servers[1:] {
@@ -94,13 +94,13 @@
 		d.SetEntries(entries)
 		all = append(all, d)
 	}
-	filled := 0
+	placed := 0
 	for i, from := range all {
 		now := directStart.Add(time.Duration(i) * 100 * time.Millisecond / entries)
 		choice, err := from.Choose(now, prompt(fmt.Sprint("r", i), fmt.Sprint("contract", i)), servers, nil)
 		require.NoError(t, err)
 		if choice.Server.ID == servers[0].ID {
-			filled++
+			placed++
 		}
 		if i%6 != 5 {
 			continue
@@ -113,6 +113,6 @@
 			}
 		}
 	}
-	assert.Less(t, filled, entries/2)
-	assert.Positive(t, filled)
+	assert.Less(t, placed, entries/2)
+	assert.Positive(t, placed)
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -109,27 +109,27 @@
 // An engine crashes and comes back cold under the same name. A router that
 // still believes its old cache sends it prompts that must be computed anew,
 // while the caller waits; the belief's incarnation shows that it is dead.
-func TestBeliefOfADeadIncarnationIsNotUsed(t *testing.T) {
+func TestObservationOfEarlierIncarnationIsNotUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := routing.New(option(routing.PolicyBeliefs, rapid.Uint64().Draw(t, "seed")))
 		set := routing.NewSet("p", servers(rapid.IntRange(1, 20).Draw(t, "servers")))
-		believed := uint64(rapid.IntRange(1, 3).Draw(t, "believed"))
+		observed := uint64(rapid.IntRange(1, 3).Draw(t, "believed"))
 		current := uint64(rapid.IntRange(1, 3).Draw(t, "current"))
-		late := uint64(rapid.IntRange(1, 3).Draw(t, "late"))
+		delayed := uint64(rapid.IntRange(1, 3).Draw(t, "late"))
 		for _, server := range servers(set.Len()) {
-			r.UpdateState(epoch, server.Name, state(believed, 0))
-			r.ObserveCache(epoch, server.Name, document(1, 1), 1<<20, believed)
+			r.UpdateState(epoch, server.Name, state(observed, 0))
+			r.ObserveCache(epoch, server.Name, document(1, 1), 1<<20, observed)
 			r.UpdateState(epoch, server.Name, state(current, 0))
-			r.UpdateState(epoch, server.Name, state(late, 0))
+			r.UpdateState(epoch, server.Name, state(delayed, 0))
 		}
 		decision, err := r.Choose(epoch, document(1, 1), pool, set, nil)
 		require.NoError(t, err)
-		alive := max(believed, current, late) == believed
-		relied := false
+		alive := max(observed, current, delayed) == observed
+		used := false
 		for _, candidate := range decision.Candidates {
-			relied = relied || candidate.GetCachedBytes() > 0
+			used = used || candidate.GetCachedBytes() > 0
 		}
-		assert.Equal(t, alive, relied)
+		assert.Equal(t, alive, used)
 	})
 }
 
@@ -177,7 +177,7 @@
 
 // A believed cache that nobody has touched for longer than blocks survive has
 // been evicted: the caller would wait for a prefill that nobody reckoned with.
-func TestBeliefEndsWithTheCachesSurvivalTime(t *testing.T) {
+func TestObservationExpiresWithCacheRetention(t *testing.T) {
 	r := routing.New(option(routing.PolicyBeliefs, 1))
 	set := routing.NewSet("p", servers(1))
 	r.UpdateState(epoch, "runner-0", state(1, 0))
@@ -189,7 +189,7 @@
 	}
 }
 
-func TestDeclinesKeepTheServerInTheChoiceAndEndInAFinalOffer(t *testing.T) {
+func TestCostRefusalsKeepServerAndEndInFinalOffer(t *testing.T) {
 	r := routing.New(option(routing.PolicyOffers, 1))
 	set := routing.NewSet("p", servers(12))
 	var tried []routing.RefusedOffer
@@ -210,7 +210,7 @@
 // A server promises early first tokens and delivers them late: a slow engine,
 // or an agent whose report is wrong. Requests keep going there and wait,
 // unless what it delivered counts against what it promised.
-func TestServerThatBreaksItsPromisesLosesWork(t *testing.T) {
+func TestLateServerLosesWork(t *testing.T) {
 	r := routing.New(option(routing.PolicyOffers, 1))
 	set := routing.NewSet("p", servers(3))
 	req := document(1, 1)
@@ -228,7 +228,7 @@
 
 // Asking costs messages and a round trip: a server that was just seen to hold
 // the prefix and has no queue is offered the request at once.
-func TestAgentsAreAskedOnlyInDoubt(t *testing.T) {
+func TestAgentsAreProbedOnlyWhenUncertain(t *testing.T) {
 	r := routing.New(option("", 1))
 	set := routing.NewSet("p", servers(12))
 	req := document(1, 1)
@@ -256,7 +256,7 @@
 
 // An entry presumes that a prefix's own servers hold it, and one of them says
 // that it does not: the next request must not count on it again.
-func TestPresumptionEndsWithAnAnswer(t *testing.T) {
+func TestPresumedCacheEndsWithAnswer(t *testing.T) {
 	r := routing.New(option(routing.PolicyPresumption, 1))
 	set := routing.NewSet("p", servers(12))
 	req := document(1, 1)
@@ -280,7 +280,7 @@
 
 // The agents' exact answers decide: here the holder of the prefix has a queue
 // that costs more than computing it anew next door.
-func TestAnswersOfAskedAgentsDecide(t *testing.T) {
+func TestProbeAnswersDecide(t *testing.T) {
 	r := routing.New(option("", 1))
 	set := routing.NewSet("p", servers(12))
 	req := document(1, 1)
--- a/internal/routing/shardmodel_test.go
+++ b/internal/routing/shardmodel_test.go
@@ -18,9 +18,9 @@
 	prepare(f)
 	f.play(8000)
 	r := f.results()
-	net := r["all"].share() - float64(f.readAgain)/1000/r["all"].owed
+	net := r["all"].share() - float64(f.recomputed)/1000/r["all"].possible
 	t.Logf("%s: %d engines, %d entries: net %.3f long %.3f (%d in time, %d late, %d failed) short %.3f; read %d k, again %d k, turned away %d",
-		name, engines, entries, net, r["long"].share(), r["long"].inTime, r["long"].late, r["long"].failed, r["short"].share(), f.read/1000, f.readAgain/1000, f.turnedAway)
+		name, engines, entries, net, r["long"].share(), r["long"].inTime, r["long"].late, r["long"].failed, r["short"].share(), f.prefilled/1000, f.recomputed/1000, f.rejected)
 	return f, net
 }
 
@@ -28,11 +28,11 @@
 // hundredth of what went on, and what it could tell the others was cut to nearly
 // nothing. Long prompts waited seconds at some engines while others stood idle,
 // and prefixes were read at several.
-func TestShardsKnowWhatALargeFleetDoes(t *testing.T) {
+func TestShardOwnersServeLargeFleet(t *testing.T) {
 	_, few := playLarge(t, "few entries that tell each other all", 48, 6, func(*modelFleet) {})
-	blind, many := playLarge(t, "many entries that tell nothing", 48, 100, func(f *modelFleet) { f.mute = 100 })
-	shared, sharded := playLarge(t, "many entries, owners of shards asked", 48, 100, func(f *modelFleet) { f.divideAmong(6) })
+	isolated, many := playLarge(t, "many entries that tell nothing", 48, 100, func(f *modelFleet) { f.isolated = 100 })
+	shared, sharded := playLarge(t, "many entries, owners of shards asked", 48, 100, func(f *modelFleet) { f.assignShards(6) })
 	assert.Greater(t, sharded, many+0.1, "the fleet of many entries is served better")
 	assert.Greater(t, sharded, few-0.03, "as well as by a few")
-	assert.Less(t, shared.readAgain, blind.readAgain*2/3)
+	assert.Less(t, shared.recomputed, isolated.recomputed*2/3)
 }
