--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -13,7 +13,7 @@
 // Sources of candidates, by their names in explanations.
 const (
 	sourceRendezvous = "rendezvous"
-	sourceBelief     = "belief"
+	sourceBelief     = "belief" // observed to hold the prefix
 	sourceRandom     = "random"
 	sourceAsked      = "asked"
 	sourceLoad       = "load"
--- a/internal/routing/direct_load.go
+++ b/internal/routing/direct_load.go
@@ -25,6 +25,7 @@
 	serviceMS float64
 }
 
+// pendingRun is a placed request that has not finished.
 type pendingRun struct {
 	server    string
 	prefillMS float64
--- a/internal/routing/direct_test.go
+++ b/internal/routing/direct_test.go
@@ -57,9 +57,9 @@
 	assert.Less(t, second.Terms.PrefillMS, first.Terms.PrefillMS)
 }
 
-// A hot contract is read again at every server it spreads to. A server that
-// does not hold a prefix must be told where to fetch it, at the deepest level
-// that another holds.
+// A server that does not hold a prefix must fetch the deepest level that
+// another server holds; otherwise a frequent prefix is prefilled at every
+// server.
 func TestAServerThatLacksThePrefixFetchesIt(t *testing.T) {
 	d, servers := newDirect(), directServers(2)
 	first := choose(t, d, 0, prompt("r1", "contract"), servers)
@@ -71,8 +71,8 @@
 	assert.Equal(t, routing.SourceHolder, other.Source)
 }
 
-// Two requests for a new prefix are read at two servers at once. The second
-// can't fetch what is not read yet, so it goes where the first went.
+// A prefix that is being prefilled can't be fetched yet: a second request must
+// go to the same server, or the prefix is prefilled twice.
 func TestConcurrentFirstRequestsGoToOneServer(t *testing.T) {
 	d, servers := newDirect(), directServers(8)
 	first := choose(t, d, 0, prompt("r1", "contract"), servers)
@@ -80,11 +80,11 @@
 	assert.Equal(t, first.Server.ID, second.Server.ID)
 }
 
-// Half of all prompts are read twice. Each entry knew only where it had sent a
-// prefix itself; the other's first request went elsewhere.
+// Without hints, each entry knows only its own requests, and prefixes are
+// prefilled once per entry.
 func TestAnotherEntrysHintCountsAsOurOwnRequest(t *testing.T) {
 	one, two, servers := newDirect(), newDirect(), directServers(8)
-	first := choose(t, one, 0, prompt("r0", "contract"), servers[:1]) // not the home of every prefix
+	first := choose(t, one, 0, prompt("r0", "contract"), servers[:1]) // no choice: not the preferred server of the eight
 	hints := one.TakePrefixHints()
 	require.Len(t, hints, 2, "one for each level of the prefix")
 	for i := range hints {
@@ -93,17 +93,17 @@
 	two.ReceivePrefixHints(directStart, hints)
 	choice := choose(t, two, 2*time.Second, prompt("r1", "contract"), servers)
 	assert.Contains(t, []routing.PrefixSource{routing.SourceHeld, routing.SourceHolder}, choice.Source)
-	assert.Empty(t, one.TakePrefixHints(), "a hint is told once")
+	assert.Empty(t, one.TakePrefixHints(), "a hint is returned once")
 }
 
-// New servers drown in prompts. Only few have the new weights, every entry
-// sees them as idle, and all send there at once.
+// All entries see a server with new weights as idle, and would send to it at
+// once.
 func TestPendingPrefillOfOtherEntriesCounts(t *testing.T) {
 	d, servers := newDirect(), directServers(2)
 	d.SetEntries(4)
 	first := choose(t, d, 0, prompt("r1", "one"), servers[:1])
 	alone := choose(t, d, time.Millisecond, prompt("r2", "two"), servers[:1])
-	assert.Greater(t, alone.Terms.QueueMS, 2*first.Terms.PrefillMS, "one of ours stands for more of theirs")
+	assert.Greater(t, alone.Terms.QueueMS, 2*first.Terms.PrefillMS, "prefill of other entries is estimated from our own")
 	d.ReceiveLoadHints(directStart, 7, []routing.LoadHint{{Server: "s1", PrefillMS: 5000}})
 	choice := choose(t, d, 2*time.Millisecond, prompt("r3", "three"), servers)
 	assert.Equal(t, "s0", choice.Server.ID)
@@ -112,15 +112,15 @@
 func TestSaltSeparatesVersionsAndIsolatedWorkspaces(t *testing.T) {
 	salts := map[string]bool{}
 	for _, version := range []uint64{1, 2} {
-		for _, wall := range []string{"", "1", "2"} {
-			salts[routing.Salt(version, wall)] = true
+		for _, workspace := range []string{"", "1", "2"} {
+			salts[routing.Salt(version, workspace)] = true
 		}
 	}
 	assert.Len(t, salts, 6)
 }
 
-// A request begins on weights that were replaced long ago, because the only
-// server with new ones is busy.
+// A request must not begin on weights that were superseded too long ago, even
+// when the server with the new ones is busy.
 func TestServersWithTooOldWeightsAreExcluded(t *testing.T) {
 	d, servers := newDirect(), directServers(2)
 	servers[0].VersionAge = 9 * time.Second
@@ -148,8 +148,7 @@
 	assert.Equal(t, "s0", choose(t, d, 0, prompt("r2", "contract"), servers[:1]).Server.ID)
 }
 
-// Streams end in resets. A server takes a bounded number of connections from
-// all entries, and resets those beyond, whatever runs on them.
+// A server resets connections beyond its limit, whatever runs on them.
 func TestServerWithoutFreeConnectionsIsExcluded(t *testing.T) {
 	d, servers := newDirect(), directServers(2)
 	servers[0].Full = true
@@ -161,8 +160,8 @@
 	assert.ErrorIs(t, err, routing.ErrNoServer)
 }
 
-// The count of requests at a server drifts. One that was refused there and sent
-// elsewhere must leave nothing behind.
+// The count of requests at a server must not drift: a request that was refused
+// there must not stay in its load.
 func TestFinishedRequestsLeaveNoLoad(t *testing.T) {
 	d, servers := newDirect(), directServers(3)
 	for i := range 50 {
@@ -197,8 +196,8 @@
 	}
 }
 
-// A caller named shared parts of no token at all, on a deployment without a store
-// of kept cache: the process ended at the look at a store that is not there.
+// Shared parts without tokens, in a deployment without KV cache stores, must
+// not cause a nil dereference.
 func TestPromptPartsWithoutTokensArePlaced(t *testing.T) {
 	d, servers := newDirect(), directServers(2)
 	req := prompt("r1", "contract")
--- a/internal/routing/enginemodel_test.go
+++ b/internal/routing/enginemodel_test.go
@@ -7,26 +7,27 @@
 	"github.com/jayproxy/jayproxy/internal/call"
 )
 
-// modelEngine is a model engine in virtual time: requests are batched, prompts
-// are read in pieces between the tokens of others, running requests and cached
-// parts share the memory, the least recently used parts yield, and when memory
-// runs out the newest of the least urgent requests is put back.
+// modelEngine simulates an engine in virtual time. Requests are batched,
+// prompts are prefilled in chunks beside the generation of others, and running
+// requests and cached parts share the memory. The least recently used parts are
+// evicted; when memory runs out, the newest of the requests with the lowest
+// priority is preempted.
 type modelEngine struct {
 	memory  int
 	running []*modelRun
 	waiting []*modelRun
-	// parts by salt and name, order by last use, the newest in front.
+	// parts by salt and id; order has the most recently used in front.
 	parts map[string]*list.Element
 	order *list.List
 	used  int
-	// endsAt is when the present step ends, in milliseconds; idle: no step.
+	// endsAt is when the current step ends, in milliseconds.
 	endsAt float64
 	busy   bool
 	fleet  *modelFleet
 }
 
-// Figures of an engine: a step of modelStepMS and modelSlotMS for each request,
-// modelPrefillPerMS prompt tokens a millisecond, modelChunk tokens a step at most.
+// A step takes modelStepMS and modelSlotMS per request, plus the prefill of at
+// most modelChunk tokens at modelPrefillPerMS tokens per millisecond.
 const (
 	modelStepMS       = 3.0
 	modelSlotMS       = 0.1
@@ -41,16 +42,17 @@
 	refs   int
 }
 
-// modelRun is one request at an engine.
+// modelRun is a request at an engine.
 type modelRun struct {
 	request  *modelRequest
 	priority int
 	salt     string
 	fetch    string
-	// save: the store that the prompt goes to once it is read.
+	// save is the address of the store that the prompt is saved to after
+	// prefill.
 	save    string
 	arrived float64
-	// uncached tokens of the prompt, generated tokens of the answer.
+	// uncached prompt tokens still to prefill, generated tokens of the answer.
 	uncached, generated int
 	parts               []*list.Element
 }
@@ -77,7 +79,7 @@
 	e.waiting[at] = run
 }
 
-// begin starts the next step, if there is work.
+// begin starts the next step if there is work.
 func (e *modelEngine) begin(now float64) {
 	e.expire(now)
 	e.admit(now)
@@ -96,7 +98,7 @@
 	e.endsAt = now + modelStepMS + modelSlotMS*float64(len(e.running)) + float64(prefilled)/modelPrefillPerMS
 }
 
-// expire drops what waited until its caller's time was over.
+// expire drops waiting requests whose caller's timeout is over.
 func (e *modelEngine) expire(now float64) {
 	var left []*modelRun
 	for _, run := range e.waiting {
@@ -121,7 +123,7 @@
 	}
 }
 
-// makeSpace puts less urgent runs back until the request fits.
+// makeSpace preempts runs of lower priority until the request fits.
 func (e *modelEngine) makeSpace(run *modelRun) bool {
 	for {
 		if e.needed(run)+e.pinned() <= e.memory {
@@ -148,7 +150,7 @@
 	e.enqueue(run)
 }
 
-// pinned tokens are those of parts in use, and of answers.
+// pinned counts the tokens of parts in use and of answers.
 func (e *modelEngine) pinned() int {
 	sum := 0
 	for at := e.order.Front(); at != nil; at = at.Next() {
@@ -162,7 +164,7 @@
 	return sum
 }
 
-// needed tokens beyond the parts that are in use already.
+// needed counts the tokens that the request needs beyond parts in use.
 func (e *modelEngine) needed(run *modelRun) int {
 	sum := run.request.output / 4
 	for _, part := range run.request.chain() {
@@ -174,7 +176,7 @@
 	return sum
 }
 
-// place takes the request's parts into memory and counts what must be read.
+// place takes the request's parts into memory and counts the tokens to prefill.
 func (e *modelEngine) place(run *modelRun, now float64) {
 	run.uncached = run.generated
 	found := true
@@ -219,7 +221,7 @@
 	run.parts = nil
 }
 
-// step ends the present one.
+// step ends the current step.
 func (e *modelEngine) step(now float64) {
 	var left []*modelRun
 	for _, run := range e.running {
--- a/internal/routing/fleetmodel_test.go
+++ b/internal/routing/fleetmodel_test.go
@@ -13,26 +13,29 @@
 	"github.com/jayproxy/jayproxy/internal/waitroom"
 )
 
-// modelClass is one kind of request.
+// modelClass is a class of requests.
 type modelClass struct {
 	name      string
 	perSecond float64
-	// own tokens of a prompt: mean, spread and largest of a log-normal size.
+	// own is the mean of the tokens of a prompt that are not shared, which have
+	// a log-normal distribution with the given spread, cut off at largest.
 	own, spread, largest float64
-	// Common parts of many and documents that requests share: tokens, count.
+	// Shared parts of the prompts: tokens of one and number of different ones.
 	commonTokens, commons     int
 	documentTokens, documents int
-	// output tokens of an answer on average; the caller names three times that.
+	// output is the mean length of an answer in tokens; callers declare three
+	// times that as the upper bound.
 	output              int
 	targetMS, timeoutMS float64
-	// firstTokenTimeoutMS after which a caller leaves that has seen nothing.
+	// firstTokenTimeoutMS is the time to the first token after which a caller
+	// gives up.
 	firstTokenTimeoutMS float64
-	// credit of an answer in time, and lateCredit.
+	// credit of an answer whose first token meets targetMS, and of a later one.
 	credit, lateCredit float64
-	priority           int
+	priority           int // 0: the highest
 }
 
-// modelRequest is one request on its way; times in milliseconds.
+// modelRequest is a request of the simulation; times are in milliseconds.
 type modelRequest struct {
 	class        *modelClass
 	id, server   string
@@ -41,13 +44,13 @@
 	output       int
 	entry        int
 	at, deadline float64
-	// firstTokenDeadline is when the caller leaves that has seen nothing.
+	// firstTokenDeadline is when the caller gives up without a first token.
 	firstTokenDeadline float64
 	firstTokenMS       float64
-	// retriesAt is when its caller came back after it was turned away; 0: never.
+	// retriesAt is when the caller retries after a rejection; 0: never.
 	retriesAt float64
 	finished  bool
-	// owner that chose the server; nil: the entry itself.
+	// owner of the shard that chose the server; nil: the entry chose it.
 	owner *routing.Direct
 }
 
@@ -63,7 +66,8 @@
 	return sum
 }
 
-// credit of the request, which grows with its prompt, and what of it was earned.
+// credit returns the credit earned by the request and the credit possible,
+// which grows with its prompt.
 func (r *modelRequest) credit() (earned, possible float64) {
 	size := min(4, 0.3+0.7*float64(r.own.Tokens)/r.class.own)
 	possible = r.class.credit * size
@@ -76,7 +80,7 @@
 	return r.class.lateCredit * size, possible
 }
 
-// modelFleet is engines and entries in virtual time.
+// modelFleet simulates engines and entries in virtual time.
 type modelFleet struct {
 	random     *rand.Rand
 	classes    []*modelClass
@@ -86,39 +90,43 @@
 	entries    []*routing.Direct
 	waitQueues []*waitroom.Room
 	requests   map[string]*modelRequest
-	// mayWait: requests wait in the entries rather than at full engines.
+	// mayWait: requests wait in the entries instead of at full engines.
 	mayWait bool
-	// owners of shards that choose for all entries, by name; nil: none, and the
-	// entries tell each other what they do.
+	// owners of shards by name, which choose for all entries; nil: the entries
+	// choose and exchange hints.
 	owners   map[string]*routing.Direct
 	division *shard.Division
-	// isolated entries, the first ones, neither tell the others anything nor hear.
+	// isolated is the number of entries, the first ones, that exchange no
+	// hints.
 	isolated int
-	// retries are callers that will come back, by time.
+	// retries are the requests to be retried, by time.
 	retries []*modelRequest
-	// stores of kept cache by address, keptStores as the entries see them.
+	// stores are the KV cache stores by address, routerStores the same as the
+	// routers see them.
 	stores       map[string]*modelStore
 	routerStores []routing.KVCacheStore
-	// crashes empty the first of the engines, by virtual time.
+	// crashes are the times at which a third of the engines lose their caches.
 	crashes []float64
-	// used is when a part was last used anywhere.
+	// used is when a part was last used at any engine.
 	used map[string]float64
-	// prefilled and recomputed count prompt tokens, preempted and rejected requests.
+	// prefilled and recomputed count prompt tokens, preempted and rejected
+	// count requests.
 	prefilled, recomputed, preempted, rejected int
 }
 
 const (
 	modelHintMS = 20
-	// modelLoadTicks and modelMemoryTicks are how many hints there are to one on
-	// unread prompts, and on memory.
+	// modelLoadTicks and modelMemoryTicks are the ticks between two exchanges
+	// of load hints and of memory hints.
 	modelLoadTicks   = 5
 	modelMemoryTicks = 25
-	// modelServeTicks is how many hints there are to one look at what waits; the
-	// entries look by turns.
+	// modelServeTicks is the number of ticks between two looks at an entry's
+	// wait queue; the entries take turns.
 	modelServeTicks = 5
-	// modelReuseMS after its last use a part counts as read again.
+	// modelReuseMS is how long after its last use the prefill of a part counts
+	// as recomputed.
 	modelReuseMS = 10000
-	// modelRetryMS after being turned away a caller comes back.
+	// modelRetryMS is how long after a rejection a caller retries.
 	modelRetryMS = 2000
 )
 
@@ -148,7 +156,7 @@
 	return directStart.Add(time.Duration(ms * float64(time.Millisecond)))
 }
 
-// countPrefill notes that a part is read, and whether that was done before.
+// countPrefill counts the tokens as recomputed if the part was used recently.
 func (f *modelFleet) countPrefill(key string, tokens int, now float64) {
 	if last, ok := f.used[key]; ok && now-last < modelReuseMS {
 		f.recomputed += tokens
@@ -172,7 +180,7 @@
 	f.routerOf(run.request).Finished(modelTime(now), run.request.id, complete)
 }
 
-// arrive makes a request of a class.
+// arrive creates a request of a class.
 func (f *modelFleet) arrive(class *modelClass, now float64) {
 	n := len(f.requests)
 	document := int(float64(class.documents) * math.Pow(f.random.Float64(), 1.3))
@@ -190,7 +198,7 @@
 	f.admit(r, now)
 }
 
-// reject lets a caller come back, once.
+// reject lets the caller retry once.
 func (f *modelFleet) reject(r *modelRequest, now float64) {
 	f.rejected++
 	if r.retriesAt > 0 || now+modelRetryMS > r.deadline {
@@ -200,7 +208,7 @@
 	f.retries = append(f.retries, r)
 }
 
-// admit sends a request, or lets it wait.
+// admit places a request or queues it.
 func (f *modelFleet) admit(r *modelRequest, now float64) {
 	if f.place(r, now, false) {
 		return
@@ -230,7 +238,7 @@
 	return true
 }
 
-// choose lets the request's entry choose, or the owners that it asks.
+// choose lets the request's entry choose, or the shard owners that it asks.
 func (f *modelFleet) choose(r *modelRequest, request *routing.DirectRequest, now float64) (routing.DirectChoice, error) {
 	if f.owners == nil {
 		return f.entries[r.entry].Choose(modelTime(now), request, f.servers, nil)
@@ -269,7 +277,7 @@
 	}
 }
 
-// shardOf are the servers that an entry owns.
+// shardOf returns the servers of an entry's shard.
 func (f *modelFleet) shardOf(name string) []routing.DirectServer {
 	var servers []routing.DirectServer
 	for i := range f.servers {
@@ -280,7 +288,7 @@
 	return servers
 }
 
-// assignShards lets so many of the entries own shards.
+// assignShards divides the servers into shards owned by that many entries.
 func (f *modelFleet) assignShards(entries int) {
 	m := shard.NewMap()
 	var all []shard.Entry
@@ -300,7 +308,7 @@
 	})
 }
 
-// routerOf is what hears how a request goes on.
+// routerOf returns the router that counts a request.
 func (f *modelFleet) routerOf(r *modelRequest) *routing.Direct {
 	if r.owner != nil {
 		return r.owner
@@ -308,7 +316,7 @@
 	return f.entries[r.entry]
 }
 
-// serveWaitQueues places what waits in the entries.
+// serveWaitQueues admits requests to be retried and places waiting ones.
 func (f *modelFleet) serveWaitQueues(now float64) {
 	for len(f.retries) > 0 && f.retries[0].retriesAt <= now {
 		r := f.retries[0]
@@ -316,18 +324,18 @@
 		r.firstTokenDeadline = min(r.deadline, now+r.class.firstTokenTimeoutMS)
 		f.admit(r, now)
 	}
-	for i, room := range f.waitQueues {
+	for i, queue := range f.waitQueues {
 		if (i+int(now/modelHintMS))%modelServeTicks != 0 {
 			continue
 		}
-		rejected := room.Serve(modelTime(now), func(id string, anyway bool) bool { return f.place(f.requests[id], now, anyway) })
+		rejected := queue.Serve(modelTime(now), func(id string, mustPlace bool) bool { return f.place(f.requests[id], now, mustPlace) })
 		for _, id := range rejected {
 			f.reject(f.requests[id], now)
 		}
 	}
 }
 
-// exchangeHints lets each entry tell the others what it knows.
+// exchangeHints sends the hints of each entry to the others.
 func (f *modelFleet) exchangeHints(now float64, tick int) {
 	for i, from := range f.entries[f.isolated:] {
 		prefixes, placed, saved := from.TakePrefixHints(), from.TakePlacedHints(), from.TakeSavedParts()
@@ -351,7 +359,7 @@
 	}
 }
 
-// play lets requests arrive for a time, and all of them end.
+// play simulates arrivals for a time, and then until all requests ended.
 func (f *modelFleet) play(forMS float64) {
 	next := make([]float64, len(f.classes))
 	for i, c := range f.classes {
@@ -368,7 +376,8 @@
 	}
 }
 
-// playNext plays the next arrival or step before a time; false: there is none.
+// playNext simulates the next arrival or step before a time; false: there is
+// none.
 func (f *modelFleet) playNext(next []float64, until, forMS float64) bool {
 	now, class := until, -1
 	for i := range next {
@@ -400,15 +409,15 @@
 			return false
 		}
 	}
-	for _, room := range f.waitQueues {
-		if room.Len() > 0 {
+	for _, queue := range f.waitQueues {
+		if queue.Len() > 0 {
 			return false
 		}
 	}
 	return len(f.retries) == 0
 }
 
-// modelResult is what the requests of a class earned.
+// modelResult sums up the requests of a class.
 type modelResult struct {
 	requests, inTime, late, failed int
 	earned, possible               float64
@@ -416,7 +425,7 @@
 
 func (r modelResult) share() float64 { return r.earned / r.possible }
 
-// results by class, and of all under "all".
+// results returns the results by class, and those of all classes under "all".
 func (f *modelFleet) results() map[string]modelResult {
 	results := map[string]modelResult{}
 	for _, r := range f.requests {
--- a/internal/routing/kept_test.go
+++ b/internal/routing/kept_test.go
@@ -19,26 +19,27 @@
 	return req
 }
 
-// updateStore is what the store says of the deepest part of a prompt.
+// updateStore reports the deepest part of a prompt as held or dropped by the
+// store.
 func updateStore(d *routing.Direct, document string, held bool) {
 	d.UpdateStoredPart(directStart, &oneStore[0], routing.Salt(1, ""), document, held)
 }
 
-// An engine crashed, and all prefixes that it had read were read once more.
+// Without a store, the prefixes lost in an engine's crash are prefilled again.
 func TestLostPrefixIsFetchedFromStore(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
 	first := choose(t, d, 0, promptWithStore("r1", "contract"), servers)
-	assert.Equal(t, "store:1", first.SaveTo, "a first read is saved")
+	assert.Equal(t, "store:1", first.SaveTo, "the first prefill is saved")
 	served(d, 300*time.Millisecond, "r1")
 	d.ForgetCache(first.Server.ID)
 	next := choose(t, d, 2*time.Second, promptWithStore("r2", "contract"), servers)
 	assert.Equal(t, routing.SourceStore, next.Source)
 	assert.Equal(t, "store:1", next.FetchFrom)
-	assert.Empty(t, next.SaveTo, "it is there")
+	assert.Empty(t, next.SaveTo, "the store has it already")
 	assert.Less(t, next.Terms.PrefillMS, first.Terms.PrefillMS)
 }
 
-// Another entry saved the prefix; without its word each entry saved it again.
+// Entries notify each other of saves; otherwise each saves the same prefix.
 func TestAPrefixIsSavedOnceByAllEntries(t *testing.T) {
 	one, two, servers := newDirect(), newDirect(), directServers(4)
 	choose(t, one, 0, promptWithStore("r1", "contract"), servers)
@@ -49,8 +50,8 @@
 	assert.Equal(t, "store:1", choose(t, two, 2*time.Second, promptWithStore("r3", "contract"), servers).FetchFrom)
 }
 
-// A server drops a prefix without a word. The request that is sent there in
-// good faith names the store as well, and nothing is read again.
+// A server evicts a prefix without notice: the request sent there must name the
+// store as well, or the prefix is prefilled again.
 func TestStoreIsFallbackForPrefixEvictedByServer(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
 	choose(t, d, 0, promptWithStore("r1", "contract"), servers)
@@ -61,7 +62,7 @@
 	assert.Equal(t, "store:1", held.FetchFrom)
 }
 
-// The store's own word goes before what was sent there.
+// The store's own updates take precedence over what was sent to it.
 func TestStoreUpdateOverridesSavedParts(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
 	first := choose(t, d, 0, promptWithStore("r1", "contract"), servers)
@@ -70,11 +71,11 @@
 	updateStore(d, "contract", false)
 	d.ForgetCache(first.Server.ID)
 	again := choose(t, d, 3*time.Second, promptWithStore("r2", "contract"), servers)
-	assert.NotEqual(t, routing.SourceStore, again.Source, "it dropped the part")
-	assert.Equal(t, "store:1", again.SaveTo, "which is read, so it is saved once more")
+	assert.NotEqual(t, routing.SourceStore, again.Source, "the store dropped the part")
+	assert.Equal(t, "store:1", again.SaveTo, "the part is prefilled again, so it is saved again")
 }
 
-// The store was emptied by a restart: engines were sent there in vain.
+// After the store lost its parts, engines must not be told to fetch from it.
 func TestEmptyStoreIsNotUsed(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
 	first := choose(t, d, 0, promptWithStore("r1", "contract"), servers)
@@ -85,8 +86,7 @@
 	assert.NotEqual(t, "store:1", choose(t, d, 2*time.Second, promptWithStore("r2", "contract"), servers).FetchFrom)
 }
 
-// A request was refused where it should have been read and saved; for fifteen
-// seconds all took the prefix for kept.
+// A refused request saves nothing: its prefix must not count as stored.
 func TestPromptThatWasNotPrefilledIsNotSaved(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
 	choose(t, d, 0, promptWithStore("r1", "contract"), servers)
@@ -94,9 +94,8 @@
 	assert.Equal(t, "store:1", choose(t, d, time.Second, promptWithStore("r2", "contract"), servers).SaveTo)
 }
 
-// Prompts that belong to one request alone pushed shared ones out of the store.
-// With room to spare the store takes them as well: where no prompt is half shared
-// nothing was ever saved, beside an empty store.
+// Unshared prompts must not evict shared ones from the store, but must be saved
+// while it has room; otherwise nothing is saved where no prompt is half shared.
 func TestMostlyUnsharedPromptIsSavedOnlyWhileStoreHasRoom(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
 	own := func(id, document string) *routing.DirectRequest {
@@ -104,19 +103,19 @@
 		req.Tokens = 3 * req.Tokens
 		return req
 	}
-	assert.NotEmpty(t, choose(t, d, 0, own("r", "contract"), servers).SaveTo, "the store drops nothing")
+	assert.NotEmpty(t, choose(t, d, 0, own("r", "contract"), servers).SaveTo, "the store has room")
 	for i := range 40 {
 		document := fmt.Sprint("contract", i)
 		choose(t, d, time.Duration(i)*10*time.Millisecond, promptWithStore(fmt.Sprint("r", i), document), servers)
 		d.UpdateStoredPart(directStart.Add(time.Second), &oneStore[0], routing.Salt(1, ""), document, false)
 	}
-	assert.Empty(t, choose(t, d, 3*time.Second, own("s", "report"), servers).SaveTo, "it dropped parts after a second")
-	assert.NotEmpty(t, choose(t, d, 3*time.Second, promptWithStore("t", "other"), servers).SaveTo, "which is mostly shared")
-	assert.NotEmpty(t, choose(t, d, time.Minute, own("u", "report"), servers).SaveTo, "it has room again")
+	assert.Empty(t, choose(t, d, 3*time.Second, own("s", "report"), servers).SaveTo, "the store drops parts early")
+	assert.NotEmpty(t, choose(t, d, 3*time.Second, promptWithStore("t", "other"), servers).SaveTo, "a mostly shared prompt is still saved")
+	assert.NotEmpty(t, choose(t, d, time.Minute, own("u", "report"), servers).SaveTo, "the store has room again")
 }
 
-// New weights made every prefix a first one within two seconds. Saving them all
-// filled the store's link, and fetches waited behind saves.
+// With new weights every prefix is saved again within seconds; saves that fill
+// the store's link delay fetches.
 func TestSavesStayWithinShareOfLink(t *testing.T) {
 	for perSecond, atMost := range map[float64]int{290000: 290000 * 2, 29000: 29000 * 2, 0: 0} {
 		d, servers := newDirect(), directServers(8)
@@ -129,42 +128,42 @@
 				tokens += req.Tokens
 			}
 		}
-		assert.LessOrEqual(t, tokens, atMost+10000, "%.0f tokens a second", perSecond)
+		assert.LessOrEqual(t, tokens, atMost+10000, "%.0f tokens per second", perSecond)
 		assert.Equal(t, perSecond > 0, tokens > 0)
 	}
 }
 
-// Isolated workspaces and other weights stand under other salts: what one saved
-// must not be taken for the other's.
+// Parts of other versions or isolated workspaces have other salts and must not
+// be taken for one another.
 func TestStoredPartsAreSeparatedBySalt(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
 	choose(t, d, 0, promptWithStore("r1", "contract"), servers)
 	served(d, 300*time.Millisecond, "r1")
 	updateStore(d, "contract", true)
-	walled := promptWithStore("r2", "contract")
-	walled.IsolatedWorkspace = "w"
-	assert.NotEqual(t, routing.SourceStore, choose(t, d, 2*time.Second, walled, servers).Source)
+	isolated := promptWithStore("r2", "contract")
+	isolated.IsolatedWorkspace = "w"
+	assert.NotEqual(t, routing.SourceStore, choose(t, d, 2*time.Second, isolated, servers).Source)
 	for i := range servers {
 		servers[i].Version = 2
 	}
 	assert.NotEqual(t, routing.SourceStore, choose(t, d, 2*time.Second, promptWithStore("r3", "contract"), servers).Source)
 }
 
-// Entries must look for a prefix at the store to which another sent it.
+// Entries must look for a prefix at the store to which another entry saved it.
 func TestEntriesAgreeOnTheStoreOfAPrefix(t *testing.T) {
 	stores := []routing.KVCacheStore{routing.NewKVCacheStore("store:1", "a", 290000), routing.NewKVCacheStore("store:2", "b", 290000), routing.NewKVCacheStore("store:3", "c", 290000)}
-	turned := []routing.KVCacheStore{stores[2], stores[0], stores[1]}
+	rotated := []routing.KVCacheStore{stores[2], stores[0], stores[1]}
 	used := map[string]int{}
 	for i := range 30 {
 		servers := directServers(8)
 		req := prompt("r", fmt.Sprint("contract", i))
 		req.Stores = stores
 		one := choose(t, newDirect(), 0, req, servers).SaveTo
-		req.Stores = turned
+		req.Stores = rotated
 		assert.Equal(t, one, choose(t, newDirect(), 0, req, servers).SaveTo)
 		used[one]++
 	}
-	assert.Len(t, used, 3, "all stores take their share")
+	assert.Len(t, used, 3, "every store is used")
 }
 
 func BenchmarkDirectChoiceWithStores(b *testing.B) {
--- a/internal/routing/keptmodel_test.go
+++ b/internal/routing/keptmodel_test.go
@@ -11,9 +11,10 @@
 	_ "github.com/jayproxy/jayproxy/internal/testseed" // fixed seed
 )
 
-// modelStore is a store of kept cache in virtual time: transfers to it run one
-// after another over its link, one that would wait for two seconds is not
-// started, and the least recently used parts yield.
+// modelStore simulates a KV cache store in virtual time. Transfers to it run
+// one after another over its link, one that would wait longer than
+// modelTransferWaitMS is not started, and the least recently used parts are
+// evicted.
 type modelStore struct {
 	memory, used int
 	perMS        float64
@@ -21,19 +22,19 @@
 	// readyAt and usedAt by salt and part.
 	readyAt, usedAt map[string]float64
 	tokens          map[string]int
-	// names of the parts by key, words that it has not said yet.
+	// names are salt and part by key; updates have not been sent yet.
 	names   map[string][2]string
 	updates []modelStoreUpdate
 }
 
-// modelStoreUpdate is a store's word on a part, said at a time.
+// modelStoreUpdate is a store's update on a part, sent at a time.
 type modelStoreUpdate struct {
 	at         float64
 	salt, part string
 	held       bool
 }
 
-// modelUpdateDelayMS is how late a store's word is.
+// modelUpdateDelayMS is the delay of a store's updates.
 const modelUpdateDelayMS = 500
 
 const modelTransferWaitMS = 2000
@@ -51,7 +52,7 @@
 	return true
 }
 
-// save begins the transfer of a prompt that was read.
+// save begins the transfer of a prefilled prompt.
 func (s *modelStore) save(run *modelRun, now float64) {
 	if s.freeAt > now+modelTransferWaitMS {
 		return
@@ -75,18 +76,18 @@
 	s.updates = append(s.updates, modelStoreUpdate{at: at + modelUpdateDelayMS, salt: name[0], part: name[1], held: held})
 }
 
-// sendStoreUpdates lets the stores tell the entries what they hold.
+// sendStoreUpdates sends the stores' due updates to the entries.
 func (f *modelFleet) sendStoreUpdates(now float64) {
 	for i := range f.routerStores {
 		store := f.stores[f.routerStores[i].Address]
 		var later []modelStoreUpdate
-		for _, w := range store.updates {
-			if w.at > now {
-				later = append(later, w)
+		for _, update := range store.updates {
+			if update.at > now {
+				later = append(later, update)
 				continue
 			}
 			for _, entry := range f.entries {
-				entry.UpdateStoredPart(modelTime(now), &f.routerStores[i], w.salt, w.part, w.held)
+				entry.UpdateStoredPart(modelTime(now), &f.routerStores[i], update.salt, update.part, update.held)
 			}
 		}
 		store.updates = later
@@ -112,7 +113,7 @@
 	}
 }
 
-// crashAt empties a third of the engines when a crash is due.
+// crashAt empties the caches of a third of the engines when a crash is due.
 func (f *modelFleet) crashAt(now float64) {
 	if len(f.crashes) == 0 || now < f.crashes[0] {
 		return
@@ -134,8 +135,8 @@
 	}
 }
 
-// reportsAndQuestions is a mix of long prompts of which two thirds are shared
-// beside short ones, at engines that turn their memory over within seconds.
+// reportsAndQuestions is a mix of short prompts and long ones that are two
+// thirds shared. It fills the engines' memory within seconds.
 func reportsAndQuestions() []*modelClass {
 	return []*modelClass{
 		{
@@ -160,14 +161,13 @@
 	}
 	f.play(20000)
 	r := f.results()["all"]
-	t.Logf("stores %d: net %.3f, in time %d, late %d; read %d k, again %d k", stores,
+	t.Logf("stores %d: net %.3f, in time %d, late %d; prefilled %d k, recomputed %d k", stores,
 		r.share()-float64(f.recomputed)/1000/r.possible, r.inTime, r.late, f.prefilled/1000, f.recomputed/1000)
 	return f
 }
 
-// The engines' memory turned over within seconds, and a third of them crashed
-// three times: prompts that had been read a moment ago were read again, a tenth
-// of all that was read, while a store of kept cache stood by unused.
+// Engines evict prefixes within seconds and lose them in crashes. Without a
+// store, a tenth of all prefill repeats earlier prefill.
 func TestLostPrefixesComeFromStore(t *testing.T) {
 	before, after := playWithStores(t, 0), playWithStores(t, 1)
 	assert.Less(t, after.recomputed, before.recomputed/2)
--- a/internal/routing/levels_test.go
+++ b/internal/routing/levels_test.go
@@ -7,10 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A charity's new rulebook becomes hot: the one server that holds it has a
-// queue, and each request that goes elsewhere recomputes it there. The
-// prefix's set must grow to the servers that serve it anyway, and shrink again
-// so that it does not keep their caches when the rush is over.
+// When one server can't serve all requests with a prefix, its set must grow to
+// the servers that serve them anyway, and shrink after the peak so that it no
+// longer occupies their caches.
 func TestHotPrefixWidensAndNarrows(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := &sharedPrefix{width: 1, minWidth: 1, ranking: ranking{length: 12}}
@@ -30,9 +29,9 @@
 	assert.Equal(t, 1, l.width)
 }
 
-// All queues are long after a burst. If the shortest queue then beats every
-// cached prefix, each request is computed anew at a server that holds nothing
-// of it, and the queues stay long although the caches could carry the load.
+// With long queues everywhere, the shortest queue must not outweigh every
+// cached prefix: each request would be prefilled from scratch, and the queues
+// would stay long.
 func TestLongQueuesRaiseTheWeightOfRecomputation(t *testing.T) {
 	c := &choice{policy: &PoolPolicy{}}
 	cand := &candidate{backend: &backend{byteMS: 0.025}, prefillMS: 400}
--- a/internal/routing/overload_test.go
+++ b/internal/routing/overload_test.go
@@ -13,8 +13,8 @@
 	_ "github.com/jayproxy/jayproxy/internal/testseed" // fixed seed
 )
 
-// longAndShort is a mix whose running requests nearly fill the memory of 16
-// engines at scale 1.4: long prompts with long answers beside many short ones.
+// longAndShort is a mix of long prompts with long answers and many short ones.
+// At scale 1.4 its running requests nearly fill the memory of 16 engines.
 func longAndShort(scale float64) []*modelClass {
 	return []*modelClass{
 		{
@@ -28,8 +28,9 @@
 	}
 }
 
-// playOverload plays 15 s of the mix and returns the fleet and its net share:
-// what was earned less the price of what was read again, of what was owed.
+// playOverload simulates 15 s of the mix and returns the fleet and its net
+// share: the credit earned less the cost of recomputed tokens, as a share of
+// the credit possible.
 func playOverload(t *testing.T, scale float64, mayWait bool, isolated int) (*modelFleet, float64) {
 	t.Helper()
 	f := newModelFleet(1, 16, 9, 140000, longAndShort(scale))
@@ -37,16 +38,14 @@
 	f.play(15000)
 	r := f.results()
 	net := r["all"].share() - float64(f.recomputed)/1000/r["all"].possible
-	t.Logf("scale %.1f wait %v mute %d: net %.3f long %.3f (%d in time, %d late, %d failed) short %.3f; read %d k, again %d k, put back %d, turned away %d",
+	t.Logf("scale %.1f wait %v isolated %d: net %.3f long %.3f (%d in time, %d late, %d failed) short %.3f; prefilled %d k, recomputed %d k, preempted %d, rejected %d",
 		scale, mayWait, isolated, net, r["long"].share(), r["long"].inTime, r["long"].late, r["long"].failed, r["short"].share(), f.prefilled/1000, f.recomputed/1000, f.preempted, f.rejected)
 	return f, net
 }
 
-// At the worst load the running requests alone filled the engines' memory. Each
-// short call then put a long prompt back, which was read once more, and cached
-// prefixes were dropped before their next use: what was read again kept the
-// memory full, and the fleet stayed at three seconds to the first token long
-// after the cause was over.
+// When running requests fill the engines' memory, preempted prompts and evicted
+// prefixes are prefilled again, which keeps the memory full long after the
+// peak.
 func TestPromptsWaitOutsideFullEngines(t *testing.T) {
 	before, netBefore := playOverload(t, 1.7, false, 0)
 	after, net := playOverload(t, 1.7, true, 0)
@@ -55,12 +54,11 @@
 	assert.Greater(t, net, netBefore+0.2)
 	long, longBefore := after.results()["long"], before.results()["long"]
 	assert.Greater(t, long.inTime, longBefore.inTime)
-	assert.LessOrEqual(t, long.failed, long.requests/10, "those who wait are served as well, or come back")
-	assert.Greater(t, after.results()["short"].share(), 0.95, "what is urgent finds room")
+	assert.LessOrEqual(t, long.failed, long.requests/10, "waiting requests are served, or rejected and retried")
+	assert.Greater(t, after.results()["short"].share(), 0.95, "requests of the higher priority are served")
 }
 
-// Waiting must cost nothing where memory is free: a fleet far from its limit
-// sends everything at once.
+// Far from the memory limit, nothing may wait.
 func TestNothingWaitsWhileMemoryIsFree(t *testing.T) {
 	_, netBefore := playOverload(t, 0.6, false, 0)
 	after, net := playOverload(t, 0.6, true, 0)
@@ -68,19 +66,17 @@
 	assert.InDelta(t, netBefore, net, 0.02)
 }
 
-// Entries that were cut off from the others, and still reached callers and
-// engines, took the engines for empty but for their own requests and filled
-// them, for all.
+// Entries that receive no hints must not assume that the engines are empty and
+// overfill them.
 func TestIsolatedEntriesDoNotOverfillEngines(t *testing.T) {
 	connected, net := playOverload(t, 1.5, true, 0)
-	partitioned, netCut := playOverload(t, 1.5, true, 3)
+	partitioned, netPartitioned := playOverload(t, 1.5, true, 3)
 	assert.Less(t, partitioned.preempted, connected.preempted+100)
-	assert.Greater(t, netCut, net-0.1)
+	assert.Greater(t, netPartitioned, net-0.1)
 }
 
-// While new weights went round, each engine that had them was empty and on the
-// newest version. All entries heard so at once, and each sent there what it had:
-// 1.4 s to the first token at an engine that all expected to need 0.3.
+// A server with new weights is idle when it becomes available: entries must not
+// all place their requests there before its load is reported.
 func TestServerWithNewWeightsIsNotOverloadedByAllEntries(t *testing.T) {
 	const entries = 31
 	servers := directServers(8)
@@ -94,13 +90,13 @@
 		d.SetEntries(entries)
 		all = append(all, d)
 	}
-	placed := 0
+	onNewWeights := 0
 	for i, from := range all {
 		now := directStart.Add(time.Duration(i) * 100 * time.Millisecond / entries)
 		choice, err := from.Choose(now, prompt(fmt.Sprint("r", i), fmt.Sprint("contract", i)), servers, nil)
 		require.NoError(t, err)
 		if choice.Server.ID == servers[0].ID {
-			placed++
+			onNewWeights++
 		}
 		if i%6 != 5 {
 			continue
@@ -113,6 +109,6 @@
 			}
 		}
 	}
-	assert.Less(t, placed, entries/2)
-	assert.Positive(t, placed)
+	assert.Less(t, onNewWeights, entries/2)
+	assert.Positive(t, onNewWeights)
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -55,9 +55,9 @@
 	return routing.Options{Policy: policy, DataCentre: "hall-0", Region: "north", Seed: seed}
 }
 
-// A caller's request goes to a server that is leaving, that lost the version,
-// or that just refused it, although another could serve: the request fails or
-// waits for nothing. Here any policy must leave out what the filter excludes.
+// A request sent to a server that is draining, lacks the version or just
+// refused it fails or waits in vain: no policy may choose a server that the
+// filter excludes.
 func TestNoPolicyChoosesAnExcludedServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := servers(rapid.IntRange(1, 30).Draw(t, "servers"))
@@ -106,16 +106,15 @@
 	})
 }
 
-// An engine crashes and comes back cold under the same name. A router that
-// still believes its old cache sends it prompts that must be computed anew,
-// while the caller waits; the belief's incarnation shows that it is dead.
+// An engine that restarted under the same name has an empty cache: observations
+// of an earlier incarnation must not count, also when an answer arrives late.
 func TestObservationOfEarlierIncarnationIsNotUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := routing.New(option(routing.PolicyBeliefs, rapid.Uint64().Draw(t, "seed")))
 		set := routing.NewSet("p", servers(rapid.IntRange(1, 20).Draw(t, "servers")))
-		observed := uint64(rapid.IntRange(1, 3).Draw(t, "believed"))
+		observed := uint64(rapid.IntRange(1, 3).Draw(t, "observed"))
 		current := uint64(rapid.IntRange(1, 3).Draw(t, "current"))
-		delayed := uint64(rapid.IntRange(1, 3).Draw(t, "late"))
+		delayed := uint64(rapid.IntRange(1, 3).Draw(t, "delayed"))
 		for _, server := range servers(set.Len()) {
 			r.UpdateState(epoch, server.Name, state(observed, 0))
 			r.ObserveCache(epoch, server.Name, document(1, 1), 1<<20, observed)
@@ -133,9 +132,8 @@
 	})
 }
 
-// All entries restart at once. If each then spreads the hot prefixes in its
-// own way, every cache is filled anew and first tokens are late for a while;
-// they must agree by the rendezvous order alone.
+// When all entries restart at once they must choose the same servers by the
+// rendezvous ranking alone; otherwise every cache is filled anew.
 func TestColdRoutersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := servers(rapid.IntRange(1, 60).Draw(t, "servers"))
@@ -175,8 +173,8 @@
 	}
 }
 
-// A believed cache that nobody has touched for longer than blocks survive has
-// been evicted: the caller would wait for a prefill that nobody reckoned with.
+// A prefix that was not observed for longer than the server's cache retention
+// has most likely been evicted.
 func TestObservationExpiresWithCacheRetention(t *testing.T) {
 	r := routing.New(option(routing.PolicyBeliefs, 1))
 	set := routing.NewSet("p", servers(1))
@@ -207,9 +205,8 @@
 	}
 }
 
-// A server promises early first tokens and delivers them late: a slow engine,
-// or an agent whose report is wrong. Requests keep going there and wait,
-// unless what it delivered counts against what it promised.
+// A server that delivers first tokens later than expected, because the engine
+// is slow or its agent reports wrong values, must get less work.
 func TestLateServerLosesWork(t *testing.T) {
 	r := routing.New(option(routing.PolicyOffers, 1))
 	set := routing.NewSet("p", servers(3))
@@ -226,8 +223,8 @@
 	assert.NotEqual(t, before.Server, after.Server)
 }
 
-// Asking costs messages and a round trip: a server that was just seen to hold
-// the prefix and has no queue is offered the request at once.
+// Probing costs messages and a round trip: a server that was seen to hold the
+// prefix and has no queue is offered the request at once.
 func TestAgentsAreProbedOnlyWhenUncertain(t *testing.T) {
 	r := routing.New(option("", 1))
 	set := routing.NewSet("p", servers(12))
@@ -251,11 +248,11 @@
 	r.UpdateState(epoch, holder, state(1, 100))
 	busy, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
-	assert.Len(t, busy.ProbeServers, 4, "its queue is worth a question although it is the best known")
+	assert.Len(t, busy.ProbeServers, 4, "the queue of the best candidate justifies probing")
 }
 
-// An entry presumes that a prefix's own servers hold it, and one of them says
-// that it does not: the next request must not count on it again.
+// A server is presumed to hold the prefixes of which it is a preferred server
+// until its agent reports that it does not.
 func TestPresumedCacheEndsWithAnswer(t *testing.T) {
 	r := routing.New(option(routing.PolicyPresumption, 1))
 	set := routing.NewSet("p", servers(12))
@@ -279,7 +276,7 @@
 }
 
 // The agents' exact answers decide: here the holder of the prefix has a queue
-// that costs more than computing it anew next door.
+// that costs more than prefill at another server.
 func TestProbeAnswersDecide(t *testing.T) {
 	r := routing.New(option("", 1))
 	set := routing.NewSet("p", servers(12))
@@ -302,8 +299,8 @@
 	require.ErrorIs(t, err, routing.ErrUnknownPolicy)
 }
 
-// BenchmarkChoose measures a decision over a warm router: hot prefixes, and
-// for cold=1 a shared prefix that was never seen, whose order must be computed.
+// BenchmarkChoose measures a decision of a warm router: frequent prefixes, and
+// for cold=1 a new shared prefix whose ranking must be computed.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{318, 1000, 3500, 7000} {
 		set := routing.NewSet("p", servers(n))
@@ -342,7 +339,7 @@
 	return r, requests
 }
 
-// fresh is a request whose chain nobody has seen, made without hashing text.
+// fresh returns a request with a new chain, made without hashing text.
 func fresh(i int) *routing.Request {
 	chain := make([]*jayv1.PrefixPoint, 20)
 	for p := range chain {
@@ -351,8 +348,8 @@
 	return &routing.Request{ID: "fresh", Chain: chain, Levels: []int{2, 10, 19}, PromptBytes: 20480}
 }
 
-// BenchmarkBeliefMemory reports the memory of one remembered prefix point when
-// the table is full, in bytes.
+// BenchmarkBeliefMemory reports the memory of one observed prefix point in
+// bytes when the table is full.
 func BenchmarkBeliefMemory(b *testing.B) {
 	const points = 1 << 16
 	var before, after runtime.MemStats
--- a/internal/routing/trial_test.go
+++ b/internal/routing/trial_test.go
@@ -15,23 +15,23 @@
 	"github.com/jayproxy/jayproxy/internal/routing"
 )
 
-// The trial is a small model in virtual time for tuning the policies: servers
-// with an LRU cache and one prefill at a time, entries that each see a part of
-// the calls. Its figures are trials; jay-load measures the real processes.
+// A small simulation in virtual time for comparing policies: servers with an
+// LRU cache and one prefill at a time, and entries that each receive a part of
+// the calls. jay-load measures the real processes.
 const (
-	trialPrefillRate = 10000.0 // tokens a second
+	trialPrefillRate = 10000.0 // tokens per second
 	trialHopMS       = 1.0     // one offer or probe and its answer
 	trialOutputMS    = 150.0   // from the first token to the end
 	trialCacheShare  = 0.75    // of the working set, over all servers
 )
 
 type trialServer struct {
-	freeAt    time.Duration
-	lru       *list.List
-	blocks    map[uint64]*list.Element
-	capacity  int
-	survival  float64
-	inService int
+	freeAt      time.Duration
+	lru         *list.List
+	blocks      map[uint64]*list.Element
+	capacity    int
+	retentionMS float64
+	inService   int
 }
 
 type cachedBlock struct {
@@ -40,7 +40,7 @@
 }
 
 func newTrialServer(capacity int) *trialServer {
-	return &trialServer{lru: list.New(), blocks: map[uint64]*list.Element{}, capacity: capacity, survival: 30000}
+	return &trialServer{lru: list.New(), blocks: map[uint64]*list.Element{}, capacity: capacity, retentionMS: 30000}
 }
 
 func (s *trialServer) hits(chain []uint64) int {
@@ -51,7 +51,7 @@
 	return n
 }
 
-// touch makes the chain cached, deepest block least recently used.
+// touch caches the chain, its deepest block as the least recently used.
 func (s *trialServer) touch(now time.Duration, chain []uint64) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		if e := s.blocks[chain[i]]; e != nil {
@@ -64,14 +64,14 @@
 	for s.lru.Len() > s.capacity {
 		last := s.lru.Remove(s.lru.Back()).(cachedBlock)
 		delete(s.blocks, last.hash)
-		s.survival += 0.001 * (ms(now-last.used) - s.survival)
+		s.retentionMS += 0.001 * (ms(now-last.used) - s.retentionMS)
 	}
 }
 
 func (s *trialServer) state(now time.Duration) *jayv1.AgentState {
 	return &jayv1.AgentState{
 		Incarnation: 1, Ready: true, QueueMs: ms(max(0, s.freeAt-now)), Running: uint32(s.inService),
-		PrefillTokensPerSecond: trialPrefillRate, CacheSurvivalMs: s.survival,
+		PrefillTokensPerSecond: trialPrefillRate, CacheSurvivalMs: s.retentionMS,
 	}
 }
 
@@ -102,6 +102,8 @@
 	return last
 }
 
+// trial is one run of the simulation. All entries restart at restartAt, if it is
+// positive; slowServer, if not negative, prefills slowFactor times as long.
 type trial struct {
 	servers []*trialServer
 	names   []string
@@ -111,15 +113,15 @@
 	pool    *routing.PoolPolicy
 	ends    trialEnds
 
-	ttft         []float64
-	hit, prompt  int
-	asks, calls  int
-	slowServer   int
-	slowTimes    float64
-	restartAt    time.Duration
-	policy       string
-	hitFirst5s   int
-	promptFirst5 int
+	ttft               []float64
+	hit, prompt        int
+	asks, calls        int
+	slowServer         int
+	slowFactor         float64
+	restartAt          time.Duration
+	policy             string
+	hitAfterRestart    int
+	promptAfterRestart int
 }
 
 func newTrial(mix load.Mix, policy string, entries int, calls []load.Call) *trial {
@@ -219,22 +221,22 @@
 	hits := s.hits(blocks)
 	prefill := time.Duration(float64(req.PromptBytes-hits*64) / 4 / trialPrefillRate * float64(time.Second))
 	if i == t.slowServer {
-		prefill = time.Duration(float64(prefill) * t.slowTimes)
+		prefill = time.Duration(float64(prefill) * t.slowFactor)
 		ttft = ms(max(0, s.freeAt-at)+prefill) + trialHopMS
 	}
 	s.freeAt = max(at, s.freeAt) + prefill
 	s.touch(at, blocks)
 	s.inService++
 	heap.Push(&t.ends, trialEnd{at: at + time.Duration((ttft+trialOutputMS)*1e6), server: i, entry: e, req: req, ttft: ttft})
-	if at < 15*time.Second { // caches fill first
+	if at < 15*time.Second { // the caches are being filled
 		return
 	}
 	t.ttft = append(t.ttft, ttft)
 	t.hit += hits * 16
 	t.prompt += req.PromptBytes / 4
 	if t.restartAt > 0 && at >= t.restartAt && at < t.restartAt+5*time.Second {
-		t.hitFirst5s += hits * 16
-		t.promptFirst5 += req.PromptBytes / 4
+		t.hitAfterRestart += hits * 16
+		t.promptAfterRestart += req.PromptBytes / 4
 	}
 }
 
@@ -243,8 +245,8 @@
 	return t.ttft[int(q*float64(len(t.ttft)-1))]
 }
 
-// leastLoadRate is the calls a second that least load can carry, from its own
-// hit rate at a moderate rate.
+// leastLoadRate returns the calls per second that PolicyLeastLoad can serve,
+// computed from its hit rate at a moderate rate.
 func leastLoadRate(mix load.Mix) float64 {
 	calls := load.Generate(load.Traffic{Mix: mix, Rate: 40, Duration: 60 * time.Second, Seed: 1})
 	t := newTrial(mix, routing.PolicyLeastLoad, 3, calls)
@@ -253,8 +255,9 @@
 	return float64(mix.Servers) * trialPrefillRate / missed
 }
 
-// BenchmarkTrial reports hit rate, p50 and p99 of the time to first token in
-// milliseconds and asks a request. Run it with -benchtime 1x.
+// BenchmarkTrial reports the hit rate, p50 and p99 of the time to first token
+// in milliseconds, and messages to agents per request. Run it with -benchtime
+// 1x.
 func BenchmarkTrial(b *testing.B) {
 	for _, mix := range []load.Mix{load.Association(), load.Darovnica()} {
 		full := leastLoadRate(mix)
