--- a/internal/routing/backend.go
+++ b/internal/routing/backend.go
@@ -20,21 +20,22 @@
 	defaultPrefillRate = 10000
 	// defaultRetention of an unused cached block, until an agent reported one.
 	defaultRetention = 10 * time.Second
-	// slownessHalfLife of a server's observed lateness.
-	slownessHalfLife = 10 * time.Second
-	slownessGain     = 0.1
-	maxSlowness      = 16
-	// commonLatenessGain is much smaller than slownessGain, so that one slow
+	// latenessHalfLife of a server's observed lateness; latenessGain is the
+	// weight of one first token.
+	latenessHalfLife = 10 * time.Second
+	latenessGain     = 0.1
+	maxLatenessRatio = 16
+	// commonLatenessGain is much smaller than latenessGain, so that one slow
 	// server hardly changes the mean of all.
 	commonLatenessGain = 0.005
-	// slownessNoiseRatio and lateNoiseMS are the relative and absolute
+	// latenessNoiseRatio and latenessNoiseMS are the relative and absolute
 	// lateness, beyond the common one, that healthy servers have: requests of a
 	// higher class overtake, blocks are evicted while the request is queued.
-	slownessNoiseRatio = 1.5
-	lateNoiseMS        = 50
-	// slownessFloorMS is added to times before their ratio is taken: ratios of
-	// very short times say nothing.
-	slownessFloorMS = 20
+	latenessNoiseRatio = 1.5
+	latenessNoiseMS    = 50
+	// ratioFloorMS is added to times before a ratio of them is taken or applied:
+	// ratios of very short times say nothing.
+	ratioFloorMS = 20
 )
 
 // backend is what this process knows of one backend server.
@@ -123,13 +124,13 @@
 }
 
 func latenessOf(expectedMS, observedMS float64) lateness {
-	ratio := (observedMS + slownessFloorMS) / (expectedMS + slownessFloorMS)
-	return lateness{ratio: min(ratio, maxSlowness), lateMS: max(0, observedMS-expectedMS)}
+	ratio := (observedMS + ratioFloorMS) / (expectedMS + ratioFloorMS)
+	return lateness{ratio: min(ratio, maxLatenessRatio), lateMS: max(0, observedMS-expectedMS)}
 }
 
 // observeFirstToken records the lateness of one of the server's first tokens.
 func (b *backend) observeFirstToken(now time.Time, seen lateness) {
-	b.lateness = b.latenessNow(now).toward(seen, slownessGain)
+	b.lateness = b.latenessNow(now).toward(seen, latenessGain)
 	b.latenessAt = now
 }
 
@@ -139,7 +140,7 @@
 	if b.latenessAt.IsZero() {
 		return lateness{ratio: 1}
 	}
-	share := math.Exp2(-float64(now.Sub(b.latenessAt)) / float64(slownessHalfLife))
+	share := math.Exp2(-float64(now.Sub(b.latenessAt)) / float64(latenessHalfLife))
 	return lateness{ratio: 1 + (b.lateness.ratio-1)*share, lateMS: b.lateness.lateMS * share}
 }
 
@@ -147,8 +148,8 @@
 // and the noise.
 func (b *backend) excessMS(now time.Time, common lateness, expectedMS float64) float64 {
 	own := b.latenessNow(now)
-	excess := max(0, own.lateMS-2*common.lateMS-lateNoiseMS)
-	if ratio := own.ratio / max(1, common.ratio); ratio > slownessNoiseRatio {
+	excess := max(0, own.lateMS-2*common.lateMS-latenessNoiseMS)
+	if ratio := own.ratio / max(1, common.ratio); ratio > latenessNoiseRatio {
 		excess = max(excess, expectedMS*(ratio-1))
 	}
 	return excess
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -21,8 +21,8 @@
 )
 
 // Evidence for a candidate's cached bytes, by its name in explanations: none,
-// an earlier answer of the agent, the prefix's rendezvous set, or an answer
-// about this very request.
+// an observation, membership in the shared prefix's set, or the agent's answer
+// about this request.
 const (
 	evidenceNone     = "none"
 	evidenceSeen     = "seen"
--- a/internal/routing/direct.go
+++ b/internal/routing/direct.go
@@ -288,7 +288,7 @@
 	}
 	t.VersionMS = d.versionMS(s.VersionAge, t.QueueMS+t.PrefillMS+t.MemoryMS)
 	if weight := max(s.Weight, minWeight); weight < 1 {
-		t.PenaltyMS = (t.QueueMS + t.PrefillMS + slownessFloorMS) * (1/weight - 1)
+		t.PenaltyMS = (t.QueueMS + t.PrefillMS + ratioFloorMS) * (1/weight - 1)
 	}
 	return t
 }
--- a/internal/routing/policies.go
+++ b/internal/routing/policies.go
@@ -15,13 +15,14 @@
 	PolicyHashFirst = "hash-first"
 	// PolicyHashLevel takes the preferred server of the shared prefix.
 	PolicyHashLevel = "hash-level"
-	// PolicyBeliefs uses only what agents' answers to this process reported as
-	// cached.
+	// PolicyBeliefs chooses among random servers and those that this process
+	// observed to hold a prefix of the request.
 	PolicyBeliefs = "beliefs"
-	// PolicyPresumption adds the servers of the shared prefix's rendezvous set,
-	// which are presumed to hold it.
+	// PolicyPresumption extends PolicyBeliefs with the servers of the shared
+	// prefix's rendezvous set, which are presumed to hold it.
 	PolicyPresumption = "presumption"
-	// PolicyOffers adds that agents may refuse an offer with their actual cost.
+	// PolicyOffers extends PolicyPresumption: agents may refuse an offer with
+	// their actual cost.
 	PolicyOffers = "offers"
 	// PolicyAskFour probes four candidates for their actual cost before it
 	// chooses.
@@ -59,14 +60,14 @@
 	minWidth int
 }
 
-// defaultProbeAboveMS: a shorter wait and recomputation of the shared prefix
-// are not worth the messages of probedServers probes.
+// defaultProbeAboveMS: when the queue and the recomputation of the shared prefix
+// at the best candidate take less, probing is not worth its messages.
 const defaultProbeAboveMS = 25
 
 // probedServers is the number of servers that policies probe. It is also the
 // smallest size of a prefix's set: copies of a prefix with a low request rate
 // are only at these servers, so that probing them finds any copy, whichever
-// process placed it.
+// process placed it, and the choice among them keeps their queues even.
 const probedServers = 4
 
 var strategies = []strategy{
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -91,8 +91,8 @@
 	r.scoreAll(c)
 	c.pick()
 	if r.strategy.probes > 0 && req.Probes == nil && c.shouldProbe(r.strategy.probeAboveMS) {
-		if ask := c.cheapest(r.strategy.probes); len(ask) > 0 {
-			return Decision{ProbeServers: ask, Candidates: c.explain(), Policy: r.strategy.name}, nil
+		if probe := c.cheapest(r.strategy.probes); len(probe) > 0 {
+			return Decision{ProbeServers: probe, Candidates: c.explain(), Policy: r.strategy.name}, nil
 		}
 	}
 	if c.best < 0 {
--- a/internal/routing/scorer.go
+++ b/internal/routing/scorer.go
@@ -64,7 +64,7 @@
 	penaltyMS := cand.backend.excessMS(c.now, c.commonLateness, expectedMS)
 	if s.membership != nil {
 		weight := max(s.membership.Weight(cand.backend.name), minWeight)
-		penaltyMS += (expectedMS + slownessFloorMS) * (1/weight - 1)
+		penaltyMS += (expectedMS + ratioFloorMS) * (1/weight - 1)
 	}
 	return penaltyMS
 }
