--- a/internal/routing/direct_prefix.go
+++ b/internal/routing/direct_prefix.go
@@ -14,7 +14,7 @@
 	// SourceNone: no known server or store has it, and the server is not the
 	// preferred one for it.
 	SourceNone PrefixSource = iota
-	// SourceHeld: the server itself holds it.
+	// SourceHeld: the server itself holds it or is prefilling it.
 	SourceHeld
 	// SourceHolder: another server that holds it.
 	SourceHolder
@@ -110,7 +110,8 @@
 	return v.levels[len(v.levels)-1].key
 }
 
-// heldBy returns the number of prefix tokens that the server should hold.
+// heldBy returns the number of prefix tokens that the server should hold,
+// including those that it is prefilling.
 func (v *versionPlan) heldBy(server string) int {
 	for i := len(v.levels) - 1; i >= 0; i-- {
 		if holdsPrefix(v.levels[i].holders, server) {
