--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -55,7 +55,7 @@
 	work  *work
 	to    answer
 	table *catalog.Table
-	tried []routing.Tried
+	tried []routing.RefusedOffer
 	last  result
 	// mayHaveRun: an attempt had an unknown outcome, so the request can't be
 	// reported as not run.
@@ -75,7 +75,7 @@
 		d.Final = d.Final || h.maxAttempts() == 1 || h.declines() >= h.entry.settings.Attempts.MaxDeclines
 		a, ok := h.newAttempt(uint32(n), d) //nolint:gosec // bounded by the setting
 		if !ok {
-			h.tried = append(h.tried, routing.Tried{Server: d.Server, Refusal: jayv1.Refusal_REFUSAL_NOT_FOUND})
+			h.tried = append(h.tried, routing.RefusedOffer{Server: d.Server, Refusal: jayv1.Refusal_REFUSAL_NOT_FOUND})
 			continue
 		}
 		h.entry.explain.recordDecision(h.work.id, d)
@@ -132,7 +132,7 @@
 // recordAttempt records the result of an ended attempt.
 func (h *handoff) recordAttempt(a *attempt) {
 	h.entry.picker.ended(time.Now(), h.work, a)
-	t := routing.Tried{Server: a.server, Refusal: refusalOf(a), CostMS: a.reply.GetCostMs(), CachedBytes: int(a.reply.GetCachedBytes())}
+	t := routing.RefusedOffer{Server: a.server, Refusal: refusalOf(a), CostMS: a.reply.GetCostMs(), CachedBytes: int(a.reply.GetCachedBytes())}
 	h.tried = append(h.tried, t)
 	h.entry.explain.recordAttempt(a, t.Refusal)
 	h.last.attempts, h.last.server = a.number, a.server
--- a/internal/entry/picker.go
+++ b/internal/entry/picker.go
@@ -39,7 +39,7 @@
 }
 
 // next chooses the backend server that the work is offered to next.
-func (p *picker) next(now time.Time, table *catalog.Table, w *work, tried []routing.Tried) (routing.Decision, error) {
+func (p *picker) next(now time.Time, table *catalog.Table, w *work, tried []routing.RefusedOffer) (routing.Decision, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.adopt(now, table)
@@ -93,10 +93,10 @@
 	defer p.mu.Unlock()
 	p.receiveState(now, server, reply.GetState())
 	if reply.GetAccepted() || reply.GetRefusal() == jayv1.Refusal_REFUSAL_COST {
-		p.router.Saw(now, server, w.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
+		p.router.ObserveCache(now, server, w.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
 	}
 	if reply.GetAccepted() {
-		p.router.HandedOver(now, server, w.route, reply.GetCostMs())
+		p.router.HandedOff(now, server, w.route, reply.GetCostMs())
 	}
 }
 
@@ -104,7 +104,7 @@
 	if state == nil {
 		return
 	}
-	p.router.Learn(now, server, state)
+	p.router.UpdateState(now, server, state)
 	p.members.ReceiveAgentState(now, server, state)
 }
 
@@ -169,7 +169,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.receiveState(now, server, reply.GetState())
-	p.router.Saw(now, server, w.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
+	p.router.ObserveCache(now, server, w.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
 }
 
 // receiveVMs applies the platform's list of VMs, complete or changes only.
--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -17,10 +17,10 @@
 // probes, the agents are probed first; late replies are left out.
 func (h *handoff) decide(ctx context.Context) (routing.Decision, error) {
 	d, err := h.entry.picker.next(time.Now(), h.table, h.work, h.tried)
-	if err != nil || len(d.Ask) == 0 {
+	if err != nil || len(d.ProbeServers) == 0 {
 		return d, err
 	}
-	h.work.route.Probes = h.probe(ctx, d.Ask)
+	h.work.route.Probes = h.probe(ctx, d.ProbeServers)
 	d, err = h.entry.picker.next(time.Now(), h.table, h.work, h.tried)
 	h.work.route.Probes = nil
 	return d, err
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -200,8 +200,8 @@
 		return j.place(false)
 	}
 	choice, err := j.placeByOwners(j.stream.delivered == 0)
-	if errors.Is(err, routing.ErrNoRoom) {
-		return j.waitForMemory(routing.ReadingTime(j.head.InputTokens))
+	if errors.Is(err, routing.ErrNoFreeMemory) {
+		return j.waitForMemory(routing.PrefillTime(j.head.InputTokens))
 	}
 	return choice, err
 }
@@ -227,7 +227,7 @@
 // routingRequest returns the request as the router needs it. The state must be
 // locked.
 func (j *job) routingRequest(s *state) routing.DirectRequest {
-	request := routing.DirectRequest{ID: j.head.ID, Apart: j.separation}
+	request := routing.DirectRequest{ID: j.head.ID, SuspectKey: j.separation}
 	if j.modelName() == "" {
 		return request
 	}
@@ -235,7 +235,7 @@
 	request.Prefix, request.Stores = j.head.Shared(), s.kvStoresLocked(j.table, j.service.Engine)
 	request.MemoryShare = routing.MemoryShare(j.table.RoutePriorityRank(j.route))
 	if j.workspace != nil && j.workspace.Isolated {
-		request.Wall = j.workspace.Name
+		request.IsolatedWorkspace = j.workspace.Name
 	}
 	return request
 }
@@ -293,7 +293,7 @@
 	j.outbound.Header = g.ports.Dialect.RequestHeader(j.inbound.Header, directions)
 	j.sentAt, j.firstEventAt = time.Now(), time.Time{}
 	klog.InfoS("Placed", "request", j.head.ID, "server", server.ID, "send", j.sends, "owner", j.ownerName(), "expectedMS", int(choice.ExpectedMS),
-		"queueMS", int(choice.Terms.QueueMS), "readMS", int(choice.Terms.ReadMS), "rereadMS", int(choice.Terms.RereadMS), "memoryMS", int(choice.Terms.MemoryMS),
+		"queueMS", int(choice.Terms.QueueMS), "readMS", int(choice.Terms.PrefillMS), "rereadMS", int(choice.Terms.RecomputeMS), "memoryMS", int(choice.Terms.MemoryMS),
 		"version", server.Version, "versionAgeMS", server.VersionAge.Milliseconds(), "prefix", strconv.FormatUint(uint64(choice.Prefix), 36), "source", choice.Source.String(), "fetch", choice.FetchFrom, "save", choice.SaveTo, "priority", directions.Priority, "tokens", j.head.InputTokens, "output", j.head.OutputTokens, "candidates", choice.Candidates)
 	response, err := g.pool.Send(j.ctx, server.Address, &j.outbound, j.freshness(), j.matchesRequest)
 	if err != nil {
--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -83,7 +83,7 @@
 		s.suspects.serverCrashed(now, b.ID)
 	}
 	for _, router := range s.routers() {
-		router.Left(b.ID)
+		router.RemoveServer(b.ID)
 	}
 	s.members.Forget(b.ID)
 	delete(s.switches, b.ID)
--- a/internal/gateway/owning.go
+++ b/internal/gateway/owning.go
@@ -78,11 +78,11 @@
 	servers := s.candidatesAtLocked(now, service, ask.GetModel(), division.ServersOf(s.settings.Node))
 	request := s.routingRequestLocked(now, table, service, ask)
 	if held := ask.GetHeld(); held != nil {
-		s.shardRouter.HearHolder(now, &request, s.holdingLocked(service.Name, held))
+		s.shardRouter.ReceiveHolder(now, &request, s.holdingLocked(service.Name, held))
 	}
 	choice, err := s.shardRouter.Choose(now, &request, servers, s.idsByHashLocked(ask.GetTried()))
 	switch {
-	case errors.Is(err, routing.ErrNoRoom):
+	case errors.Is(err, routing.ErrNoFreeMemory):
 		noOffer.Outcome = jayv1.PlacementOffer_OUTCOME_NO_ROOM
 		return noOffer
 	case err != nil:
@@ -96,12 +96,12 @@
 func (s *state) routingRequestLocked(now time.Time, table *routetable.Table, service *routetable.Service, ask *jayv1.PlacementAsk) routing.DirectRequest {
 	request := routing.DirectRequest{
 		ID: placementID(ask.GetKey()), DataCentre: ask.GetDataCentre(), MayWait: ask.GetMayWait(),
-		Until: now.Add(time.Duration(ask.GetLeftMs()) * time.Millisecond),
+		ExpiresAt: now.Add(time.Duration(ask.GetLeftMs()) * time.Millisecond),
 	}
 	if ask.GetModel() == "" {
 		return request
 	}
-	request.Wall = ask.GetWall()
+	request.IsolatedWorkspace = ask.GetWall()
 	request.Tokens, request.OutputTokens = int(ask.GetTokens()), int(ask.GetOutputTokens())
 	request.MemoryShare = float64(ask.GetMemoryPercent()) / percent
 	for i, id := range ask.GetPart() {
@@ -115,8 +115,8 @@
 
 // holdingLocked converts a message that a server holds a prefix, and looks up the server's
 // ID by its address.
-func (s *state) holdingLocked(service string, held *jayv1.Held) routing.Holding {
-	holding := routing.Holding{
+func (s *state) holdingLocked(service string, held *jayv1.Held) routing.PrefixHolder {
+	holding := routing.PrefixHolder{
 		Server: held.GetAddress(), Address: held.GetAddress(), Version: held.GetVersion(),
 		ReadyIn: time.Duration(held.GetReadyMs()) * time.Millisecond,
 	}
@@ -158,7 +158,7 @@
 		Server: nameHash(choice.Server.ID), Version: choice.Server.Version,
 		FetchFrom: choice.FetchFrom, SaveTo: choice.SaveTo, Source: uint32(choice.Source), //nolint:gosec // a small enumeration
 		QueueMs: clampMS(choice.Terms.QueueMS), MemoryMs: clampMS(choice.Terms.MemoryMS),
-		ReadMs: clampMS(choice.Terms.ReadMS), TotalMs: clampMS(choice.Terms.Total()),
+		ReadMs: clampMS(choice.Terms.PrefillMS), TotalMs: clampMS(choice.Terms.Total()),
 	}
 }
 
@@ -181,10 +181,10 @@
 	if p.GetHasLoad() {
 		// Load beyond the requests placed here comes from entries that could not ask this
 		// owner.
-		s.shardRouter.Told(now, server, call.Load{Running: int(p.GetRunning()), Waiting: int(p.GetWaiting())})
+		s.shardRouter.UpdateLoad(now, server, call.Load{Running: int(p.GetRunning()), Waiting: int(p.GetWaiting())})
 	}
 	if held := p.GetElsewhere(); held != nil {
-		s.shardRouter.WentElsewhere(now, request, s.holdingLocked(s.serviceOf(server), held))
+		s.shardRouter.PlacedElsewhere(now, request, s.holdingLocked(s.serviceOf(server), held))
 		return
 	}
 	if p.GetEnded() {
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -194,7 +194,7 @@
 func (p *placementClient) prefixHolder(received *ownerOffer) *jayv1.Held {
 	offer := routing.Offer{
 		Server:    routing.DirectServer{Address: p.gateway.state.addressOf(received.GetServer()), Version: received.GetVersion()},
-		FetchFrom: received.GetFetchFrom(), Source: routing.SourceOfCode(received.GetSource()),
+		FetchFrom: received.GetFetchFrom(), Source: routing.SourceFromCode(received.GetSource()),
 	}
 	holding, ok := offer.Holder()
 	if !ok || holding.Address == "" {
@@ -228,7 +228,7 @@
 			p.releaseOffer(candidate, best)
 			ask.Held = p.prefixHolder(best)
 		case jayv1.PlacementOffer_OUTCOME_NO_ROOM:
-			err = routing.ErrNoRoom
+			err = routing.ErrNoFreeMemory
 		}
 		if best != nil && routing.GoodOffer(float64(best.GetQueueMs()), float64(best.GetMemoryMs())) {
 			break
@@ -255,7 +255,7 @@
 		ask.Tried = append(ask.Tried, nameHash(id))
 	}
 	if ask.Model != "" {
-		ask.Wall = request.Wall
+		ask.Wall = request.IsolatedWorkspace
 		ask.Tokens, ask.OutputTokens = uint32(request.Tokens), uint32(request.OutputTokens) //nolint:gosec // sizes
 		ask.MemoryPercent = uint32(request.MemoryShare * percent)
 		for _, part := range request.Prefix {
@@ -266,7 +266,7 @@
 	if !s.shards.MayAsk(now) {
 		return ask, nil
 	}
-	return ask, s.divisionLocked(now, j.service.Name).OwnersFor(request.HomeKey(s.weights.Newest(ask.Model)))
+	return ask, s.divisionLocked(now, j.service.Name).OwnersFor(request.RendezvousKey(s.weights.Newest(ask.Model)))
 }
 
 // acceptOffer places the request at the offered server and counts it there. It
@@ -293,9 +293,9 @@
 		return routing.DirectChoice{}, false
 	}
 	request := j.routingRequest(s)
-	choice := s.router.Adopt(now, &request, &routing.Offer{
-		Server: server, FetchFrom: offer.GetFetchFrom(), SaveTo: offer.GetSaveTo(), Source: routing.SourceOfCode(offer.GetSource()),
-		QueueMS: float64(offer.GetQueueMs()), MemoryMS: float64(offer.GetMemoryMs()), ReadMS: float64(offer.GetReadMs()),
+	choice := s.router.AcceptOffer(now, &request, &routing.Offer{
+		Server: server, FetchFrom: offer.GetFetchFrom(), SaveTo: offer.GetSaveTo(), Source: routing.SourceFromCode(offer.GetSource()),
+		QueueMS: float64(offer.GetQueueMs()), MemoryMS: float64(offer.GetMemoryMs()), PrefillMS: float64(offer.GetReadMs()),
 	})
 	j.offer = offer
 	return choice, true
@@ -309,7 +309,7 @@
 		return j.place(mayWait)
 	}
 	best, err := j.bestOffer(mayWait)
-	if errors.Is(err, routing.ErrNoRoom) {
+	if errors.Is(err, routing.ErrNoFreeMemory) {
 		return routing.DirectChoice{}, err
 	}
 	if err == nil {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -62,7 +62,7 @@
 	waitQueue *waitroom.Queue
 	waiters   map[string]*waiter
 	// kvStores are the KV cache stores as seen from engines of type kvStoresEngine.
-	kvStores       []routing.KeptStore
+	kvStores       []routing.KVCacheStore
 	kvStoresEngine *routetable.Engine
 	// kvStoresDown holds the addresses of the KV cache stores that do not answer.
 	kvStoresDown map[string]bool
@@ -98,7 +98,7 @@
 			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin,
 		}),
 		shardRouter: routing.NewDirect(routing.DirectOptions{
-			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin, Sole: true,
+			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin, ExclusiveServers: true,
 		}),
 		shards:   shard.NewMap(),
 		versions: map[versionKey]uint64{},
@@ -176,7 +176,7 @@
 // cacheClearedLocked records that a server's prefix cache is empty.
 func (s *state) cacheClearedLocked(server string) {
 	for _, router := range s.routers() {
-		router.Emptied(server)
+		router.ForgetCache(server)
 	}
 }
 
@@ -300,7 +300,7 @@
 
 // kvStoresLocked returns the KV cache stores that an engine can use. The slice must not be
 // changed; it is rebuilt for each configuration and engine type.
-func (s *state) kvStoresLocked(table *routetable.Table, engine *routetable.Engine) []routing.KeptStore {
+func (s *state) kvStoresLocked(table *routetable.Table, engine *routetable.Engine) []routing.KVCacheStore {
 	if s.kvStoresEngine == engine {
 		return s.kvStores
 	}
@@ -313,7 +313,7 @@
 		if engine.TokenBytes > 0 {
 			perSecond = store.LinkBytes / float64(engine.TokenBytes)
 		}
-		s.kvStores = append(s.kvStores, routing.NewKeptStore(store.Address, store.DataCentre, perSecond))
+		s.kvStores = append(s.kvStores, routing.NewKVCacheStore(store.Address, store.DataCentre, perSecond))
 	}
 	return s.kvStores
 }
@@ -375,7 +375,7 @@
 		return
 	}
 	if answer.HasLoad {
-		s.router.Told(now, server, answer.Load)
+		s.router.UpdateLoad(now, server, answer.Load)
 	}
 	if model != "" && answer.Version > 0 {
 		s.observeVersionLocked(server, model, answer.Version, "answer")
--- a/internal/gateway/stores.go
+++ b/internal/gateway/stores.go
@@ -99,7 +99,7 @@
 
 func (s *state) kvStoresClearedLocked() {
 	for _, router := range s.routers() {
-		router.StoresEmptied()
+		router.ForgetStoredParts()
 	}
 }
 
@@ -108,12 +108,12 @@
 		return
 	}
 	now := time.Now()
-	store := routing.NewKeptStore(address, "", 0)
+	store := routing.NewKVCacheStore(address, "", 0)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, part := range parts {
 		for _, router := range s.routers() {
-			router.StoreChanged(now, &store, part.Salt, part.Part, !part.Dropped)
+			router.UpdateStoredPart(now, &store, part.Salt, part.Part, !part.Dropped)
 		}
 	}
 }
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -80,7 +80,7 @@
 		w.asking, w.askedAt = true, now
 		go w.askOwners()
 	}
-	return routing.DirectChoice{}, routing.ErrNoRoom
+	return routing.DirectChoice{}, routing.ErrNoFreeMemory
 }
 
 // waitForMemory waits until a server has memory for the request.
@@ -167,7 +167,7 @@
 		w := s.waiters[id]
 		// A stopping process has no time to wait.
 		choice, err := w.placeLocked(now, force || g.stopping.Load())
-		if errors.Is(err, routing.ErrNoRoom) {
+		if errors.Is(err, routing.ErrNoFreeMemory) {
 			return false
 		}
 		delete(s.waiters, id)
--- a/internal/routing/backend.go
+++ b/internal/routing/backend.go
@@ -8,48 +8,50 @@
 )
 
 const (
-	// stateFades is the age at which half of a reported queue is replaced by
-	// the average of all: an old report says little of a queue that turns over
-	// in less.
-	stateFades = 3 * time.Second
-	// verdictExpires is how long a report keeps a server out by itself. A
-	// server without work sends no new report, so that a verdict that stayed
-	// would never be taken back; the agent still refuses by itself.
-	verdictExpires = 2 * time.Second
-	// defaultPrefillRate in tokens a second, until one is declared or heard.
+	// reportHalfLife is the age at which a reported queue counts half and the
+	// average of all servers the other half: queues change within seconds.
+	reportHalfLife = 3 * time.Second
+	// exclusionTimeout is how long a report excludes a server. An idle server
+	// sends no new report, so that an exclusion without timeout would be
+	// permanent; the agent can still refuse an offer.
+	exclusionTimeout = 2 * time.Second
+	// defaultPrefillRate in tokens per second, until one is declared or
+	// reported.
 	defaultPrefillRate = 10000
-	// defaultSurvival of a cached block until an agent has told its own.
-	defaultSurvival = 10 * time.Second
-	// slownessFades halves what was learned of a server's slowness.
-	slownessFades = 10 * time.Second
-	slownessGain  = 0.1
-	maxSlowness   = 16
-	// commonGain is slower, so that one slow server hardly moves what counts
-	// as common to all.
-	commonGain = 0.005
-	// slownessNoise is the ratio, and lateNoise in milliseconds the lateness
-	// beyond what is common to all, that first tokens have without any fault:
-	// requests of a higher class overtake, blocks are evicted in the queue.
-	slownessNoise = 1.5
-	lateNoise     = 50
-	// slownessFloor in milliseconds: below it a ratio of times says nothing.
-	slownessFloor = 20
+	// defaultRetention of an unused cached block, until an agent reported one.
+	defaultRetention = 10 * time.Second
+	// latenessHalfLife of a server's observed lateness; latenessGain is the
+	// weight of one first token.
+	latenessHalfLife = 10 * time.Second
+	latenessGain     = 0.1
+	maxLatenessRatio = 16
+	// commonLatenessGain is much smaller than latenessGain, so that one slow
+	// server hardly changes the mean of all.
+	commonLatenessGain = 0.005
+	// latenessNoiseRatio and latenessNoiseMS are the relative and absolute
+	// lateness, beyond the common one, that healthy servers have: requests of a
+	// higher class overtake, blocks are evicted while the request is queued.
+	latenessNoiseRatio = 1.5
+	latenessNoiseMS    = 50
+	// ratioFloorMS is added to times before a ratio of them is taken or applied:
+	// ratios of very short times say nothing.
+	ratioFloorMS = 20
 )
 
 // backend is what this process knows of one backend server.
 type backend struct {
-	name      string
-	signals   Signals
-	byteMS    float64 // milliseconds a prompt byte takes to prefill, as last scored
-	offeredMS float64 // own prefill work offered since signals.At
-	inFlight  int     // own requests handed over and not finished
-	tardy     tardiness
-	tardyAt   time.Time
+	name       string
+	signals    Signals
+	byteMS     float64 // prefill time of one prompt byte, as last scored
+	offeredMS  float64 // prefill work of this process offered since signals.At
+	inFlight   int     // requests of this process handed off and not finished
+	lateness   lateness
+	latenessAt time.Time
 }
 
-func (b *backend) learn(now time.Time, state *jayv1.AgentState) bool {
-	if b.heard() && state.GetIncarnation() < b.signals.Incarnation {
-		// An answer that was delayed past a restart of the engine.
+func (b *backend) update(now time.Time, state *jayv1.AgentState) bool {
+	if b.hasState() && state.GetIncarnation() < b.signals.Incarnation {
+		// The answer was delayed past a restart of the engine.
 		return false
 	}
 	b.signals = Signals{
@@ -62,34 +64,34 @@
 		Queued:                 int(state.GetQueued()),
 		Slots:                  int(state.GetSlots()),
 		PrefillTokensPerSecond: state.GetPrefillTokensPerSecond(),
-		CacheSurvival:          time.Duration(state.GetCacheSurvivalMs() * float64(time.Millisecond)),
-		Leaving:                state.GetLeaving(),
+		CacheRetention:         time.Duration(state.GetCacheSurvivalMs() * float64(time.Millisecond)),
+		Draining:               state.GetLeaving(),
 		Ready:                  state.GetReady(),
 	}
 	b.offeredMS = 0
 	return true
 }
 
-func (b *backend) heard() bool { return !b.signals.At.IsZero() }
+func (b *backend) hasState() bool { return !b.signals.At.IsZero() }
 
-// queueMS is the prefill work expected to stand before a new request: what was
-// reported less what has drained since, fading into the average of all servers
-// as the report ages, and the own work that the report could not know of.
+// queueMS is the prefill work expected ahead of a new request: the reported
+// queue less what was processed since, replaced by the average of all servers
+// as the report ages, plus the work that this process offered since the report.
 func (b *backend) queueMS(now time.Time, average float64) float64 {
-	if !b.heard() {
+	if !b.hasState() {
 		return average + b.offeredMS
 	}
 	age := now.Sub(b.signals.At)
 	reported := max(0, b.signals.QueueMS-milliseconds(age))
-	trust := math.Exp2(-float64(age) / float64(stateFades))
+	weight := math.Exp2(-float64(age) / float64(reportHalfLife))
 	own := max(0, b.offeredMS-milliseconds(age))
-	return reported*trust + average*(1-trust) + own
+	return reported*weight + average*(1-weight) + own
 }
 
-// rate is the tokens that the server prefills a second. A declared rate goes
-// first: a server that never got work reports a guess, and a guess that is too
-// low would keep it without work. A server slower than declared shows in its
-// first tokens.
+// rate returns the server's prefill rate in tokens per second. A declared rate
+// takes precedence: a server without work reports only an initial estimate, and
+// one that is too low would keep it without work. If the server is slower than
+// declared, its late first tokens raise its penalty.
 func (b *backend) rate(policy *PoolPolicy) float64 {
 	switch {
 	case policy.PrefillTokensPerSecond > 0:
@@ -100,61 +102,61 @@
 	return defaultPrefillRate
 }
 
-// survival is how long an untouched block stays cached there.
-func (b *backend) survival() time.Duration {
-	if b.signals.CacheSurvival > 0 {
-		return b.signals.CacheSurvival
+// retention returns how long an unused block stays cached at the server.
+func (b *backend) retention() time.Duration {
+	if b.signals.CacheRetention > 0 {
+		return b.signals.CacheRetention
 	}
-	return defaultSurvival
+	return defaultRetention
 }
 
-// tardiness is how first tokens compare with what was promised.
-type tardiness struct {
-	ratio  float64 // observed over promised, 1 when as promised
-	lateMS float64 // observed less promised
+// lateness compares first tokens with the expected times.
+type lateness struct {
+	ratio  float64 // observed over expected time; 1: on time
+	lateMS float64 // observed less expected time
 }
 
-func (t tardiness) toward(seen tardiness, gain float64) tardiness {
-	return tardiness{
+func (t lateness) toward(seen lateness, gain float64) lateness {
+	return lateness{
 		ratio:  t.ratio + gain*(seen.ratio-t.ratio),
 		lateMS: t.lateMS + gain*(seen.lateMS-t.lateMS),
 	}
 }
 
-func tardinessOf(promisedMS, observedMS float64) tardiness {
-	ratio := (observedMS + slownessFloor) / (promisedMS + slownessFloor)
-	return tardiness{ratio: min(ratio, maxSlowness), lateMS: max(0, observedMS-promisedMS)}
+func latenessOf(expectedMS, observedMS float64) lateness {
+	ratio := (observedMS + ratioFloorMS) / (expectedMS + ratioFloorMS)
+	return lateness{ratio: min(ratio, maxLatenessRatio), lateMS: max(0, observedMS-expectedMS)}
 }
 
-// observe takes in a first token of the server.
-func (b *backend) observe(now time.Time, seen tardiness) {
-	b.tardy = b.tardyNow(now).toward(seen, slownessGain)
-	b.tardyAt = now
+// observeFirstToken records the lateness of one of the server's first tokens.
+func (b *backend) observeFirstToken(now time.Time, seen lateness) {
+	b.lateness = b.latenessNow(now).toward(seen, latenessGain)
+	b.latenessAt = now
 }
 
-// tardyNow fades toward none, so that a server that was slow and therefore
-// gets no work is tried again.
-func (b *backend) tardyNow(now time.Time) tardiness {
-	if b.tardyAt.IsZero() {
-		return tardiness{ratio: 1}
+// latenessNow decays toward no lateness, so that a server that was slow and
+// therefore gets no work is tried again.
+func (b *backend) latenessNow(now time.Time) lateness {
+	if b.latenessAt.IsZero() {
+		return lateness{ratio: 1}
 	}
-	share := math.Exp2(-float64(now.Sub(b.tardyAt)) / float64(slownessFades))
-	return tardiness{ratio: 1 + (b.tardy.ratio-1)*share, lateMS: b.tardy.lateMS * share}
+	share := math.Exp2(-float64(now.Sub(b.latenessAt)) / float64(latenessHalfLife))
+	return lateness{ratio: 1 + (b.lateness.ratio-1)*share, lateMS: b.lateness.lateMS * share}
 }
 
-// excessMS is how much later than it says the server is expected to be, beyond
-// what is common to all and beyond noise.
-func (b *backend) excessMS(now time.Time, common tardiness, saidMS float64) float64 {
-	own := b.tardyNow(now)
-	excess := max(0, own.lateMS-2*common.lateMS-lateNoise)
-	if ratio := own.ratio / max(1, common.ratio); ratio > slownessNoise {
-		excess = max(excess, saidMS*(ratio-1))
+// excessMS is the expected lateness of the server beyond the common lateness
+// and the noise.
+func (b *backend) excessMS(now time.Time, common lateness, expectedMS float64) float64 {
+	own := b.latenessNow(now)
+	excess := max(0, own.lateMS-2*common.lateMS-latenessNoiseMS)
+	if ratio := own.ratio / max(1, common.ratio); ratio > latenessNoiseRatio {
+		excess = max(excess, expectedMS*(ratio-1))
 	}
 	return excess
 }
 
-// load is the requests at the server: as last reported, or as this process has
-// in flight there if that is more.
+// load returns the number of requests at the server: as last reported, or those
+// of this process if they are more.
 func (b *backend) load() int {
 	return max(b.signals.Running+b.signals.Queued, b.inFlight)
 }
--- a/internal/routing/direct_prefix.go
+++ b/internal/routing/direct_prefix.go
@@ -5,39 +5,42 @@
 	"time"
 )
 
-// PrefixSource says where a server gets a prompt's shared prefix from.
+// PrefixSource says where a server gets a prompt's shared prefix from. The
+// numbers are sent to other entries.
 type PrefixSource int
 
 // The sources.
 const (
-	// SourceNone: it is in no place known to us, and not the server's to hold.
+	// SourceNone: no known server or store has it, and the server is not the
+	// preferred one for it.
 	SourceNone PrefixSource = iota
-	// SourceHeld: the server itself, by one of our requests.
+	// SourceHeld: the server itself holds it or is prefilling it.
 	SourceHeld
 	// SourceHolder: another server that holds it.
 	SourceHolder
-	// SourceComing: another server reads it just now.
-	SourceComing
-	// SourceStore: a store of kept cache.
+	// SourcePending: another server is prefilling it.
+	SourcePending
+	// SourceStore: a KV cache store.
 	SourceStore
-	// SourceHome: the server is first in the prefix's order.
-	SourceHome
+	// SourcePreferred: no known server or store has it, but the server is the
+	// preferred one for it.
+	SourcePreferred
 )
 
 var sourceNames = [...]string{"none", "held", "holder", "coming", "store", "home"}
 
-// String is the word for logs.
+// String returns the source's name in logs.
 func (s PrefixSource) String() string { return sourceNames[s] }
 
 // prefixPlan is what one decision knows of the request's prefix, for each
-// version of the weights that a candidate has.
+// version of the weights among the candidates.
 type prefixPlan struct {
 	tokens   int
 	versions []versionPlan
 }
 
-// byVer returns the plan of a version; there are few.
-func (p *prefixPlan) byVer(version uint64) *versionPlan {
+// forVersion returns the plan of a version; nil when there is none.
+func (p *prefixPlan) forVersion(version uint64) *versionPlan {
 	for i := range p.versions {
 		if p.versions[i].version == version {
 			return &p.versions[i]
@@ -46,41 +49,45 @@
 	return nil
 }
 
-// near tells whether the server is one of the first in the prefix's order, or
-// holds part of it.
+// near reports whether the server is one of the two that rank first for the
+// prefix, or holds it.
 func (p *prefixPlan) near(s *DirectServer) bool {
-	v := p.byVer(s.Version)
-	if v.home == s || v.second == s {
+	v := p.forVersion(s.Version)
+	if v.preferred == s || v.second == s {
 		return true
 	}
-	return len(v.levels) > 0 && holds(v.levels[len(v.levels)-1].holders, s.ID)
+	return len(v.levels) > 0 && holdsPrefix(v.levels[len(v.levels)-1].holders, s.ID)
 }
 
-// sourceOf a prefix at one server.
-type sourceOf struct {
+// sourcePlan says how one server gets the prefix.
+type sourcePlan struct {
 	kind    PrefixSource
 	address string
-	// fetched and missing tokens: from another server, and to be read; of these,
-	// twice are those that another server reads just now.
-	fetched, missing, twice int
+	// fetched tokens come from another server or a store, missing ones must be
+	// prefilled. duplicated are the missing tokens that another server is
+	// prefilling.
+	fetched, missing, duplicated int
 }
 
-// versionPlan is the prefix under one salt.
+// versionPlan is the prefix under the salt of one version.
 type versionPlan struct {
 	version uint64
 	salt    string
-	// levels of the prefix, outermost first; each is held only with those before.
+	// levels of the prefix, outermost first; each includes those before it.
 	levels []levelPlan
-	// home is the first candidate of the rendezvous order of the deepest level,
-	// second the one behind it: every entry sends the first request there.
-	home, second *DirectServer
-	// last server that held the whole prefix; it may have dropped it.
-	last holding
-	// store of the prefix, nil without; stored tokens of the prefix it should have.
-	store        *KeptStore
-	stored       int
-	homeWeight   uint64
-	secondWeight uint64
+	// preferred and second are the candidates that rank first for the deepest
+	// level. Every entry sends the first request with the prefix to the
+	// preferred one.
+	preferred, second *DirectServer
+	// last is the server that used the deepest level last; it may have evicted
+	// it.
+	last holderRecord
+	// store of the prefix, nil without one; storedTokens of the prefix should
+	// be there.
+	store           *KVCacheStore
+	storedTokens    int
+	preferredWeight uint64
+	secondWeight    uint64
 }
 
 // levelPlan is one nested part of the prefix.
@@ -88,38 +95,40 @@
 	key uint32
 	// part is the hash of the level's own part.
 	part uint64
-	// tokens of the prefix up to and with this level.
+	// tokens of the prefix up to and including this level.
 	tokens  int
-	holders []holding
-	// kept names the level's own part at the prefix's store.
-	kept uint32
+	holders []holderRecord
+	// storeKey is the key of the level's own part at the prefix's store.
+	storeKey uint32
 }
 
-// deepest returns the key of the whole prefix; 0 when there is none.
-func (v *versionPlan) deepest() uint32 {
+// deepestKey returns the key of the complete prefix; 0 when there is none.
+func (v *versionPlan) deepestKey() uint32 {
 	if len(v.levels) == 0 {
 		return 0
 	}
 	return v.levels[len(v.levels)-1].key
 }
 
-// heldBy counts the tokens that the server is believed to hold.
+// heldBy returns the number of prefix tokens that the server should hold,
+// including those that it is prefilling.
 func (v *versionPlan) heldBy(server string) int {
 	for i := len(v.levels) - 1; i >= 0; i-- {
-		if holds(v.levels[i].holders, server) {
+		if holdsPrefix(v.levels[i].holders, server) {
 			return v.levels[i].tokens
 		}
 	}
 	return 0
 }
 
-// best returns the last used holder of the deepest level that another server
-// holds ready, and how many tokens it has; 0 when none is known.
-func (v *versionPlan) best(now time.Time, server string) (holding, int) {
+// readyHolder returns the most recently used holder, other than server, from
+// which the deepest level can be fetched, and the number of tokens that it has;
+// 0 when none is known.
+func (v *versionPlan) readyHolder(now time.Time, server string) (holderRecord, int) {
 	for i := len(v.levels) - 1; i >= 0; i-- {
-		var found holding
+		var found holderRecord
 		for _, one := range v.levels[i].holders {
-			if one.ready(now) && one.server != server && one.at.After(found.at) {
+			if one.ready(now) && one.server != server && one.usedAt.After(found.usedAt) {
 				found = one
 			}
 		}
@@ -127,12 +136,12 @@
 			return found, v.levels[i].tokens
 		}
 	}
-	return holding{}, 0
+	return holderRecord{}, 0
 }
 
-// comingTokens counts the tokens of the prefix that another server reads just
-// now: they can't be fetched yet, and would be read twice here.
-func (v *versionPlan) comingTokens(now time.Time, server string) int {
+// pendingTokens returns the number of prefix tokens that another server is
+// prefilling: they can't be fetched yet, and would be prefilled twice here.
+func (v *versionPlan) pendingTokens(now time.Time, server string) int {
 	for i := len(v.levels) - 1; i >= 0; i-- {
 		for _, one := range v.levels[i].holders {
 			if !one.ready(now) && one.server != server {
@@ -143,7 +152,7 @@
 	return 0
 }
 
-// plan returns nil for a request without a prompt.
+// plan returns the prefix plan of a request; nil when it has no prompt.
 func (d *Direct) plan(now time.Time, req *DirectRequest, servers []DirectServer, usable []int32) *prefixPlan {
 	if req.Tokens == 0 {
 		return nil
@@ -154,7 +163,7 @@
 	}
 	for _, index := range usable {
 		s := &servers[index]
-		v := p.byVer(s.Version)
+		v := p.forVersion(s.Version)
 		if v == nil {
 			p.versions = append(p.versions, d.versionPlan(now, req, s.Version))
 			v = &p.versions[len(p.versions)-1]
@@ -164,20 +173,20 @@
 	return p
 }
 
-// rank places a candidate in the rendezvous order.
+// rank updates preferred and second with a candidate.
 func (v *versionPlan) rank(s *DirectServer) {
-	w := Rendezvous(uint64(v.deepest()), s.Hash)
+	w := Rendezvous(uint64(v.deepestKey()), s.Hash)
 	switch {
-	case v.home == nil || w > v.homeWeight:
-		v.second, v.secondWeight = v.home, v.homeWeight
-		v.home, v.homeWeight = s, w
+	case v.preferred == nil || w > v.preferredWeight:
+		v.second, v.secondWeight = v.preferred, v.preferredWeight
+		v.preferred, v.preferredWeight = s, w
 	case v.second == nil || w > v.secondWeight:
 		v.second, v.secondWeight = s, w
 	}
 }
 
 func (d *Direct) versionPlan(now time.Time, req *DirectRequest, version uint64) versionPlan {
-	v := versionPlan{version: version, salt: Salt(version, req.Wall)}
+	v := versionPlan{version: version, salt: Salt(version, req.IsolatedWorkspace)}
 	salt := hashOf(v.salt)
 	tokens, chain := 0, salt
 	for _, part := range req.Prefix {
@@ -185,7 +194,7 @@
 		hash := hashOf(part.ID)
 		chain = Rendezvous(chain, hash)
 		key := levelKey(chain)
-		live, last := d.prefixes.live(now, key)
+		live, last := d.prefixes.lookup(now, key)
 		v.levels = append(v.levels, levelPlan{key: key, part: hash, tokens: tokens, holders: live})
 		v.last = last
 	}
@@ -193,115 +202,119 @@
 	return v
 }
 
-// levelKey of a chain of parts under their salt; 0 is kept for none.
+// levelKey returns the key of a chain of parts under their salt; never 0, which
+// means none.
 func levelKey(chain uint64) uint32 { return uint32(chain) | 1 } //nolint:gosec // the low half of a hash
 
-// planStore finds out what the prefix's store should have of it.
-func (d *Direct) planStore(now time.Time, stores []KeptStore, salt uint64, v *versionPlan) {
-	if v.store = storeOf(stores, v.deepest()); v.store == nil {
+// planStore sets the prefix's store and how much of the prefix it should have.
+func (d *Direct) planStore(now time.Time, stores []KVCacheStore, salt uint64, v *versionPlan) {
+	if v.store = storeFor(stores, v.deepestKey()); v.store == nil {
 		return
 	}
 	for i := range v.levels {
 		level := &v.levels[i]
-		level.kept = keptKey(v.store, salt, level.part)
-		if d.kept.holds(now, level.kept) {
-			v.stored = level.tokens
+		level.storeKey = storedPartKey(v.store, salt, level.part)
+		if d.stores.holds(now, level.storeKey) {
+			v.storedTokens = level.tokens
 		}
 	}
 }
 
-// Salt under which engines keep parts. Parts made under other weights, or by
-// an isolated workspace, stand under another salt: a fetch or a store that
-// checks neither can then hand out nothing wrong.
-func Salt(version uint64, wall string) string {
+// Salt returns the salt under which engines cache a prompt's parts. Parts
+// computed with other weights, or for an isolated workspace, have a different
+// salt, so that an engine or store that does not check either can't return a
+// wrong part.
+func Salt(version uint64, isolatedWorkspace string) string {
 	salt := "v" + strconv.FormatUint(version, 10)
-	if wall != "" {
-		salt += "/" + wall
+	if isolatedWorkspace != "" {
+		salt += "/" + isolatedWorkspace
 	}
 	return salt
 }
 
-// scorePrefix weighs what the server must read, fetch or copy of the prompt.
+// scorePrefix sets the terms for what the server must prefill, fetch or copy of
+// the prompt.
 func (d *Direct) scorePrefix(now time.Time, req *DirectRequest, s *DirectServer, p *prefixPlan, t *DirectTerms) {
-	t.ReadMS = float64(max(0, req.Tokens-p.tokens)) / tokensPerMS
+	t.PrefillMS = float64(max(0, req.Tokens-p.tokens)) / prefillTokensPerMS
 	if p.tokens == 0 {
 		return
 	}
-	from := p.source(now, p.byVer(s.Version), s)
+	from := p.source(now, p.forVersion(s.Version), s)
 	if from.kind == SourceStore {
-		t.ReadMS += p.byVer(s.Version).store.fetchMS(from.fetched, s.DataCentre)
+		t.PrefillMS += p.forVersion(s.Version).store.fetchMS(from.fetched, s.DataCentre)
 	} else {
-		t.ReadMS += float64(from.fetched) * fetchMSPerToken
+		t.PrefillMS += float64(from.fetched) * fetchMSPerToken
 	}
-	t.ReadMS += float64(from.missing) / tokensPerMS
-	t.RereadMS = float64(from.fetched) * copyMSPerToken
+	t.PrefillMS += float64(from.missing) / prefillTokensPerMS
+	t.RecomputeMS = float64(from.fetched) * copyMSPerToken
 	if from.kind == SourceNone {
-		from.twice = from.missing
+		from.duplicated = from.missing
 	}
-	t.RereadMS += float64(from.twice) * rereadMSPerToken
+	t.RecomputeMS += float64(from.duplicated) * recomputeMSPerToken
 }
 
-// source finds out where the server gets the prefix from.
-func (p *prefixPlan) source(now time.Time, v *versionPlan, s *DirectServer) sourceOf {
+// source returns how the server gets the prefix.
+func (p *prefixPlan) source(now time.Time, v *versionPlan, s *DirectServer) sourcePlan {
 	held := v.heldBy(s.ID)
 	if held == p.tokens {
-		// It fetches nothing that it has: the store stands in for what it dropped.
-		// Without that worth fell by 0.008.
-		return sourceOf{kind: SourceHeld, address: v.storeAddress(p.tokens)}
+		// The server fetches only what it lacks: the store is the fallback if
+		// it has evicted the prefix.
+		return sourcePlan{kind: SourceHeld, address: v.storeAddress(p.tokens)}
 	}
 	from := v.elsewhere(now, s.ID, held)
 	from.missing = p.tokens - held - from.fetched
-	from.twice = max(0, v.comingTokens(now, s.ID)-held-from.fetched)
+	from.duplicated = max(0, v.pendingTokens(now, s.ID)-held-from.fetched)
 	switch {
 	case from.missing == 0:
 		return from
-	case from.twice == from.missing:
-		// It is being read elsewhere just now: nothing can be fetched yet.
-		from.kind = SourceComing
-	case s == v.home:
-		from.kind = SourceHome
+	case from.duplicated == from.missing:
+		// Nothing can be fetched until that prefill ends.
+		from.kind = SourcePending
+	case s == v.preferred:
+		from.kind = SourcePreferred
 		if from.address == "" && v.second != nil {
 			from.address = v.second.Address
 		}
 	default:
-		// Another entry may have sent it to its home.
-		from.kind, from.address = SourceNone, v.home.Address
+		// Another entry may have sent the prefix to the preferred server.
+		from.kind, from.address = SourceNone, v.preferred.Address
 	}
 	if v.last.server != "" && v.last.server != s.ID {
-		// It may have dropped the prefix by now; asking costs a millisecond.
+		// It may have evicted the prefix; a failed fetch costs a millisecond.
 		from.address = v.last.address
 	}
 	return from
 }
 
-// elsewhere finds the other server or the store that has most of the prefix
-// beyond what the server holds. Servers drop what they hold within seconds, so
-// that the store is asked rather than one that used it some time ago.
-func (v *versionPlan) elsewhere(now time.Time, server string, held int) sourceOf {
-	other, theirs := v.best(now, server)
-	sure := theirs > 0 && now.Sub(other.at) <= sureFor
-	if v.stored > theirs || v.stored == theirs && !sure {
-		theirs = v.stored
+// elsewhere returns the other server or the store that has most of the prefix
+// beyond what the server holds. Servers evict prefixes within seconds, so that
+// the store is preferred to a server that has not used the prefix recently.
+func (v *versionPlan) elsewhere(now time.Time, server string, held int) sourcePlan {
+	other, theirs := v.readyHolder(now, server)
+	recent := theirs > 0 && now.Sub(other.usedAt) <= holderTrustPeriod
+	if v.storedTokens > theirs || v.storedTokens == theirs && !recent {
+		theirs = v.storedTokens
 		if theirs > held {
-			return sourceOf{kind: SourceStore, address: v.store.Address, fetched: theirs - held}
+			return sourcePlan{kind: SourceStore, address: v.store.Address, fetched: theirs - held}
 		}
-		return sourceOf{}
+		return sourcePlan{}
 	}
 	if theirs > held {
-		return sourceOf{kind: SourceHolder, address: other.address, fetched: theirs - held}
+		return sourcePlan{kind: SourceHolder, address: other.address, fetched: theirs - held}
 	}
-	return sourceOf{}
+	return sourcePlan{}
 }
 
-// storeAddress of the prefix's store if it should have so many tokens of it.
+// storeAddress returns the address of the prefix's store if it should have that
+// many tokens of the prefix; else empty.
 func (v *versionPlan) storeAddress(tokens int) string {
-	if v.store == nil || v.stored < tokens {
+	if v.store == nil || v.storedTokens < tokens {
 		return ""
 	}
 	return v.store.Address
 }
 
-func holds(all []holding, server string) bool {
+func holdsPrefix(all []holderRecord, server string) bool {
 	for i := range all {
 		if all[i].server == server {
 			return true
--- a/internal/routing/filter.go
+++ b/internal/routing/filter.go
@@ -6,43 +6,44 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// Reasons of the filter, as told in explanations.
+// Reasons to exclude a server, by their names in explanations.
 const (
 	filteredRefused    = "refused this request"
 	filteredMembership = "not usable"
-	filteredLeaving    = "leaving"
+	filteredDraining   = "leaving"
 	filteredNotReady   = "not ready"
 	filteredVersion    = "version not loaded"
 	filteredAdapter    = "adapter not loaded"
 	filteredDataCentre = "data centre not allowed"
 )
 
-// filter takes out the servers that may not serve a request.
+// filter excludes servers that may not serve a request.
 type filter struct {
 	membership Membership
 }
 
-// reason returns why the server may not serve the request, "" when it may.
+// reason returns why the server may not serve the request; "" when it may.
 func (f filter) reason(c *choice, index int32) string {
-	server, b := &c.view.set.servers[index], c.view.backends[index]
+	server, b := &c.bound.set.servers[index], c.bound.backends[index]
 	switch {
 	case len(c.req.DataCentres) > 0 && !slices.Contains(c.req.DataCentres, server.DataCentre):
 		return filteredDataCentre
-	case refused(c.tried, b.name):
+	case refused(c.refusals, b.name):
 		return filteredRefused
 	case f.membership != nil && !f.membership.Usable(b.name):
 		return filteredMembership
-	case b.heard() && c.now.Sub(b.signals.At) <= verdictExpires:
+	case b.hasState() && c.now.Sub(b.signals.At) <= exclusionTimeout:
 		return reported(&b.signals, c.req)
 	}
 	return ""
 }
 
-// reported returns why the server's own last report keeps it out.
+// reported returns why the server's last report excludes it; "" when it does
+// not.
 func reported(signals *Signals, req *Request) string {
 	switch {
-	case signals.Leaving:
-		return filteredLeaving
+	case signals.Draining:
+		return filteredDraining
 	case !signals.Ready:
 		return filteredNotReady
 	case missing(signals.VersionDigests, req.VersionDigest):
@@ -57,10 +58,11 @@
 	return wanted != "" && !slices.Contains(loaded, wanted)
 }
 
-// refused tells whether the server refused the request for another reason than cost.
-func refused(tried []Tried, server string) bool {
-	for i := range tried {
-		if tried[i].Server == server && tried[i].Refusal != jayv1.Refusal_REFUSAL_COST {
+// refused reports whether the server refused the request for a reason other
+// than cost.
+func refused(refusals []RefusedOffer, server string) bool {
+	for i := range refusals {
+		if refusals[i].Server == server && refusals[i].Refusal != jayv1.Refusal_REFUSAL_COST {
 			return true
 		}
 	}
--- a/internal/routing/holders.go
+++ b/internal/routing/holders.go
@@ -7,88 +7,90 @@
 )
 
 const (
-	// rememberedPrefixes bounds the prefixes whose holders are known.
-	rememberedPrefixes = 1 << 13
-	// maxHolders kept of one prefix; the oldest word goes first.
+	// maxPrefixes bounds the prefixes whose holders are recorded.
+	maxPrefixes = 1 << 13
+	// maxHolders bounds the holders of one prefix; the oldest record is dropped
+	// first.
 	maxHolders = 6
-	// heldAtMost and heldAtLeast bound how long a holder is believed without
-	// being used; between them the engines' memory and the traffic decide.
-	heldAtMost  = 20 * time.Second
-	heldAtLeast = 1500 * time.Millisecond
-	// comingFor bounds how long a prefix may take to be read.
-	comingFor = 5 * time.Second
+	// minRetention and maxRetention bound how long a holder counts after its
+	// last use; within them the retention is estimated from the engines' memory
+	// and the traffic.
+	maxRetention = 20 * time.Second
+	minRetention = 1500 * time.Millisecond
+	// pendingTimeout is how long a prefix counts as being prefilled.
+	pendingTimeout = 5 * time.Second
 )
 
-// holding is the belief that a server holds a prefix, from our own requests.
-type holding struct {
+// holderRecord says that a server holds a prefix or is prefilling it.
+type holderRecord struct {
 	server  string
 	address string
-	// at of the last use.
-	at time.Time
-	// readyAt is when the prefix has been read there, so that it can be fetched:
-	// with the first token of our own request, or as another entry expects.
+	// usedAt is the time of the last request with the prefix.
+	usedAt time.Time
+	// readyAt is when the prefix can be fetched: at the first token of this
+	// router's request, or when another entry expects it.
 	readyAt time.Time
 }
 
-func (h *holding) ready(now time.Time) bool { return !h.readyAt.After(now) }
+func (h *holderRecord) ready(now time.Time) bool { return !h.readyAt.After(now) }
 
-// never is the readyAt of a prefix whose reading has not shown its end.
+// never is the readyAt of a prefix whose prefill has not ended.
 var never = time.Unix(1<<40, 0)
 
-// holders remembers where prefixes were sent.
-type holders struct {
-	of *simplelru.LRU[uint32, []holding]
-	// survival is how long engines keep what is not used, about.
-	survival time.Duration
+// prefixHolders records which servers hold a prefix, by the prefix's key.
+type prefixHolders struct {
+	records *simplelru.LRU[uint32, []holderRecord]
+	// retention estimates how long engines keep an unused prefix.
+	retention time.Duration
 }
 
-func newHolders() *holders {
-	return &holders{of: newLRU[uint32, []holding](rememberedPrefixes), survival: heldAtMost}
+func newPrefixHolders() *prefixHolders {
+	return &prefixHolders{records: newLRU[uint32, []holderRecord](maxPrefixes), retention: maxRetention}
 }
 
-// live returns who is believed to hold or read the prefix, and who held it
-// last but may have dropped it since.
-func (h *holders) live(now time.Time, key uint32) (live []holding, last holding) {
-	all, _ := h.of.Get(key)
+// lookup returns the servers that should hold or be prefilling the prefix, and
+// the one that used it last, which may have evicted it.
+func (h *prefixHolders) lookup(now time.Time, key uint32) (live []holderRecord, last holderRecord) {
+	all, _ := h.records.Get(key)
 	for _, one := range all {
-		if one.at.After(last.at) && one.ready(now) {
+		if one.usedAt.After(last.usedAt) && one.ready(now) {
 			last = one
 		}
-		age := now.Sub(one.at)
-		if one.ready(now) && age < h.survival || !one.ready(now) && age < comingFor {
+		age := now.Sub(one.usedAt)
+		if one.ready(now) && age < h.retention || !one.ready(now) && age < pendingTimeout {
 			live = append(live, one)
 		}
 	}
 	return live, last
 }
 
-// coming notes that a request that reads the prefix was sent to a server. It
-// tells whether that is new.
-func (h *holders) coming(now time.Time, key uint32, server, address string, readyAt time.Time) bool {
-	all, _ := h.live(now, key)
+// add records that a request with the prefix was sent to a server. It reports
+// whether the server was not recorded yet.
+func (h *prefixHolders) add(now time.Time, key uint32, server, address string, readyAt time.Time) bool {
+	all, _ := h.lookup(now, key)
 	for i := range all {
 		if all[i].server == server {
-			all[i].at = now
+			all[i].usedAt = now
 			if readyAt.Before(all[i].readyAt) {
 				all[i].readyAt = readyAt
 			}
-			h.of.Add(key, all)
+			h.records.Add(key, all)
 			return false
 		}
 	}
 	if len(all) >= maxHolders {
 		all = all[1:]
 	}
-	h.of.Add(key, append(all, holding{server: server, address: address, at: now, readyAt: readyAt}))
+	h.records.Add(key, append(all, holderRecord{server: server, address: address, usedAt: now, readyAt: readyAt}))
 	return true
 }
 
-// held notes that a server has read the prefix.
-func (h *holders) held(now time.Time, key uint32, server string) {
-	all, _ := h.of.Get(key)
+// markReady records that a server has prefilled the prefix.
+func (h *prefixHolders) markReady(now time.Time, key uint32, server string) {
+	all, _ := h.records.Get(key)
 	for i := range all {
 		if all[i].server == server {
-			all[i].at = now
+			all[i].usedAt = now
 			if !all[i].ready(now) {
 				all[i].readyAt = now
 			}
@@ -96,31 +98,31 @@
 	}
 }
 
-// lost notes that a request ended before its prompt was read.
-func (h *holders) lost(now time.Time, key uint32, server string) {
-	all, ok := h.of.Get(key)
+// removePending records that a request ended before its prompt was prefilled.
+func (h *prefixHolders) removePending(now time.Time, key uint32, server string) {
+	all, ok := h.records.Get(key)
 	if !ok {
 		return
 	}
-	var kept []holding
+	var kept []holderRecord
 	for _, one := range all {
 		if one.server != server || one.ready(now) {
 			kept = append(kept, one)
 		}
 	}
-	h.of.Add(key, kept)
+	h.records.Add(key, kept)
 }
 
-// forget drops a server from all prefixes.
-func (h *holders) forget(server string) {
-	for _, key := range h.of.Keys() {
-		all, _ := h.of.Peek(key)
-		var kept []holding
+// removeServer drops a server from all prefixes.
+func (h *prefixHolders) removeServer(server string) {
+	for _, key := range h.records.Keys() {
+		all, _ := h.records.Peek(key)
+		var kept []holderRecord
 		for _, one := range all {
 			if one.server != server {
 				kept = append(kept, one)
 			}
 		}
-		h.of.Add(key, kept)
+		h.records.Add(key, kept)
 	}
 }
--- a/internal/routing/levels.go
+++ b/internal/routing/levels.go
@@ -9,88 +9,93 @@
 )
 
 const (
-	// levelEntries bounds the shared prefixes whose order and width are kept.
-	levelEntries = 1 << 13
-	// defaultSharedLevel is the message boundary used when none is declared.
+	// maxSharedPrefixes bounds the shared prefixes whose ranking and width are
+	// kept.
+	maxSharedPrefixes = 1 << 13
+	// defaultSharedLevel is the message boundary that ends the shared prefix
+	// when the pool declares none; 1 is the end of the first message.
 	defaultSharedLevel = 2
-	// spillGain weighs one request in the share of requests that left the set.
-	spillGain = 0.05
-	// widenAbove and narrowBelow are shares of requests that were better
-	// served outside the prefix's own set.
+	// outsideShareGain is the weight of one request in the share of requests
+	// that were placed outside the prefix's set.
+	outsideShareGain = 0.05
+	// widenAbove and narrowBelow are the shares of requests placed outside the
+	// prefix's set at which the set grows and shrinks.
 	widenAbove  = 0.25
 	narrowBelow = 0.05
-	// widthHolds is the least time between two changes of width.
-	widthHolds = time.Second
-	// maxWidth leaves room in the order for the servers behind the set.
-	maxWidth = orderLength - 4
+	// widthChangeInterval is the shortest time between two changes of width.
+	widthChangeInterval = time.Second
+	// maxWidth leaves ranked servers beyond the set as candidates.
+	maxWidth = maxRanked - 4
 )
 
-// The fixed offsets in bytes that stand for levels in prompts of one message.
-var offsetLevels = [...]uint32{4096, 16384}
+// sharedOffsets are the sizes in bytes of the shared prefixes of a prompt that
+// consists of a single message.
+var sharedOffsets = [...]uint32{4096, 16384}
 
-// level is a shared prefix: its rendezvous order in the set and how many
-// servers of the order hold it at its present rate.
-type level struct {
-	set       *Set
-	order     order
-	width     int
-	least     int
-	spill     float64
-	changedAt time.Time
+// sharedPrefix is the rendezvous ranking of the servers for a prefix that
+// requests share. The first width servers of the ranking are the prefix's set:
+// they should hold the prefix at its present request rate.
+type sharedPrefix struct {
+	set          *Set
+	ranking      ranking
+	width        int
+	minWidth     int
+	outsideShare float64
+	changedAt    time.Time
 }
 
-// levels keeps the shared prefixes that are in use.
-type levels struct {
-	entries *simplelru.LRU[uint64, *level]
-	// neighbours is the width of a prefix that is not hot.
-	neighbours int
+// sharedPrefixes holds the shared prefixes in use.
+type sharedPrefixes struct {
+	entries *simplelru.LRU[uint64, *sharedPrefix]
+	// minWidth is the width of a prefix whose request rate is low.
+	minWidth int
 }
 
-func newLevels(capacity, neighbours int) levels {
-	return levels{entries: newLRU[uint64, *level](capacity), neighbours: neighbours}
+func newSharedPrefixes(capacity, minWidth int) sharedPrefixes {
+	return sharedPrefixes{entries: newLRU[uint64, *sharedPrefix](capacity), minWidth: minWidth}
 }
 
-// of returns the level of a prefix point. The order is computed once a set,
-// so that hot prefixes cost no pass over the fleet.
-func (l levels) of(point uint64, set *Set) *level {
+// of returns the shared prefix of a prefix point. Its ranking is computed once
+// per set, so that frequent prefixes need no pass over all servers.
+func (l sharedPrefixes) of(point uint64, set *Set) *sharedPrefix {
 	entry, ok := l.entries.Get(point)
 	if !ok {
-		entry = &level{width: l.neighbours, least: l.neighbours}
+		entry = &sharedPrefix{width: l.minWidth, minWidth: l.minWidth}
 		l.entries.Add(point, entry)
 	}
 	if entry.set != set {
 		entry.set = set
-		set.rank(point, &entry.order)
+		set.rank(point, &entry.ranking)
 	}
 	return entry
 }
 
-// observe learns from a choice whether the set is wide enough. A prefix whose
-// requests keep being served better outside its set is too hot for it.
-func (l *level) observe(now time.Time, inside bool) {
-	left := 0.0
+// observe adapts the width to whether a request was placed inside the set: when
+// many requests are served better outside, the set is too small.
+func (l *sharedPrefix) observe(now time.Time, inside bool) {
+	outside := 0.0
 	if !inside {
-		left = 1
+		outside = 1
 	}
-	l.spill += spillGain * (left - l.spill)
-	if now.Sub(l.changedAt) < widthHolds {
+	l.outsideShare += outsideShareGain * (outside - l.outsideShare)
+	if now.Sub(l.changedAt) < widthChangeInterval {
 		return
 	}
 	switch {
-	case l.spill > widenAbove && l.width < min(maxWidth, l.order.length):
+	case l.outsideShare > widenAbove && l.width < min(maxWidth, l.ranking.length):
 		l.width++
-	case l.spill < narrowBelow && l.width > l.least && now.Sub(l.changedAt) > 10*widthHolds:
+	case l.outsideShare < narrowBelow && l.width > l.minWidth && now.Sub(l.changedAt) > 10*widthChangeInterval:
 		l.width--
 	default:
 		return
 	}
 	l.changedAt = now
-	l.spill = (widenAbove + narrowBelow) / 2
+	l.outsideShare = (widenAbove + narrowBelow) / 2
 }
 
-// holds tells whether the server is in the prefix's own set.
-func (l *level) holds(server int32) bool {
-	for _, member := range l.order.servers[:min(l.width, l.order.length)] {
+// includes reports whether the server is in the prefix's set.
+func (l *sharedPrefix) includes(server int32) bool {
+	for _, member := range l.ranking.servers[:min(l.width, l.ranking.length)] {
 		if member == server {
 			return true
 		}
@@ -98,8 +103,8 @@
 	return false
 }
 
-// sharedPoints returns the indexes into the chain of the levels that requests
-// share, the main one first; n of them count.
+// sharedPoints returns the indexes into the chain of the prefixes that requests
+// share, the main one first; only the first n are valid.
 func sharedPoints(req *Request, policy *PoolPolicy) (points [2]int, n int) {
 	if len(req.Chain) == 0 {
 		return points, 0
@@ -109,12 +114,12 @@
 		if declared <= 0 {
 			declared = defaultSharedLevel
 		}
-		// The last boundary is the whole prompt, which hardly two share.
+		// The last boundary ends the whole prompt, which is rarely shared.
 		at := min(declared, len(req.Levels)-1)
 		points[0] = req.Levels[at-1]
 		return points, 1
 	}
-	for _, offset := range offsetLevels {
+	for _, offset := range sharedOffsets {
 		if at, ok := pointAt(req.Chain, offset); ok {
 			points[n] = at
 			n++
--- a/internal/routing/policies.go
+++ b/internal/routing/policies.go
@@ -2,78 +2,88 @@
 
 import "slices"
 
-// Policies by name. PolicyAskInDoubt is the product's; the others are
-// baselines, earlier versions and bounds for experiments.
+// Names of the policies, as in settings. PolicyAskInDoubt is the default; the
+// others are baselines and bounds for experiments.
 const (
 	// PolicyRandom takes any usable server.
 	PolicyRandom = "random"
-	// PolicyLeastLoad takes the server with the fewest requests, as last reported.
+	// PolicyLeastLoad takes the server with the fewest requests, as last
+	// reported.
 	PolicyLeastLoad = "least-load"
-	// PolicyHashFirst takes the rendezvous server of the prompt's first block.
+	// PolicyHashFirst takes the preferred server of the prompt's first prefix
+	// point.
 	PolicyHashFirst = "hash-first"
-	// PolicyHashLevel takes the rendezvous server of the shared level.
+	// PolicyHashLevel takes the preferred server of the shared prefix.
 	PolicyHashLevel = "hash-level"
-	// PolicyBeliefs goes by what this process saw alone.
+	// PolicyBeliefs chooses among random servers and those that this process
+	// observed to hold a prefix of the request.
 	PolicyBeliefs = "beliefs"
-	// PolicyPresumption adds the rendezvous set and what it is presumed to hold.
+	// PolicyPresumption extends PolicyBeliefs with the servers of the shared
+	// prefix's rendezvous set, which are presumed to hold it.
 	PolicyPresumption = "presumption"
-	// PolicyOffers adds that agents may decline at once with their true cost.
+	// PolicyOffers extends PolicyPresumption: agents may refuse an offer with
+	// their actual cost.
 	PolicyOffers = "offers"
-	// PolicyAskFour asks four candidates for their true cost before it chooses.
+	// PolicyAskFour probes four candidates for their actual cost before it
+	// chooses.
 	PolicyAskFour = "ask-four"
-	// PolicyAskInDoubt asks four only when that may save time, and otherwise
-	// offers to a server that was seen to hold the prefix.
+	// PolicyAskInDoubt probes four candidates only when that may save time;
+	// otherwise it offers the request to a server that was seen to hold the
+	// prefix.
 	PolicyAskInDoubt = "ask-in-doubt"
-	// PolicyAskAll asks every server: full knowledge, a bound and not a product.
+	// PolicyAskAll probes every server: a bound for comparison, not for
+	// production.
 	PolicyAskAll = "ask-all"
 )
 
-// maxDeclines is how many refusals for cost a request may meet before its
-// offer can no longer be declined for cost.
+// maxDeclines is how many refusals for cost a request may receive before its
+// offer is final.
 const maxDeclines = 3
 
-// strategy is what a policy is made of.
+// strategy implements a policy.
 type strategy struct {
 	name    string
 	sources []source
-	// decide replaces scoring for the baselines that need none.
+	// decide chooses directly, for baselines that need no scores.
 	decide func(r *Router, c *choice)
-	// mayDecline lets agents refuse for cost.
+	// mayDecline lets agents refuse offers for cost.
 	mayDecline bool
-	// ask is the number of servers to probe first; askAll probes every one.
-	ask    int
-	askAll bool
-	// askAboveMS: no agent is asked when less than this can be saved. Negative:
-	// always ask.
-	askAboveMS float64
-	// neighbours is how many servers of a prefix's order hold it while it is
-	// not hot; 0 counts as 1.
-	neighbours int
+	// probes is the number of servers to probe first; probeAll probes every
+	// server.
+	probes   int
+	probeAll bool
+	// probeAboveMS is the time that probing must be able to save; negative:
+	// always probe.
+	probeAboveMS float64
+	// minWidth is the size of a prefix's set while its request rate is low; 0
+	// counts as 1.
+	minWidth int
 }
 
-// askAbove in milliseconds: a wait and a recomputation of a shared level that
-// are expected to stay below it are not worth the messages of four questions.
-const askAbove = 25
+// defaultProbeAboveMS: when the queue and the recomputation of the shared prefix
+// at the best candidate take less, probing is not worth its messages.
+const defaultProbeAboveMS = 25
 
-// neighbours of the asking policies. Copies of a prefix that is not
-// hot lie on these first servers of its order only, so that asking them finds
-// any copy, whichever process placed it; the choice among four keeps queues even.
-const neighbours = 4
+// probedServers is the number of servers that policies probe. It is also the
+// smallest size of a prefix's set: copies of a prefix with a low request rate
+// are only at these servers, so that probing them finds any copy, whichever
+// process placed it, and the choice among them keeps their queues even.
+const probedServers = 4
 
 var strategies = []strategy{
 	{name: PolicyRandom, decide: decideRandom},
 	{name: PolicyLeastLoad, decide: decideLeastLoad},
 	{name: PolicyHashFirst, decide: decideHashFirst},
 	{name: PolicyHashLevel, decide: decideHashLevel},
-	{name: PolicyBeliefs, sources: []source{fromRandom, fromBeliefs}},
-	{name: PolicyPresumption, sources: []source{fromRendezvous, fromRandom, fromBeliefs, presume}},
-	{name: PolicyOffers, sources: []source{fromRefusals, fromRendezvous, fromRandom, fromBeliefs, presume}, mayDecline: true},
-	{name: PolicyAskFour, sources: []source{fromProbes, fromRendezvous, fromRandom, fromBeliefs, presume}, ask: neighbours, askAboveMS: -1, neighbours: neighbours},
-	{name: PolicyAskInDoubt, sources: []source{fromRefusals, fromProbes, fromRendezvous, fromRandom, fromBeliefs, presume}, mayDecline: true, ask: neighbours, askAboveMS: askAbove, neighbours: neighbours},
-	{name: PolicyAskAll, sources: []source{fromProbes}, askAll: true},
+	{name: PolicyBeliefs, sources: []source{fromRandom, fromObservations}},
+	{name: PolicyPresumption, sources: []source{fromRendezvous, fromRandom, fromObservations, presume}},
+	{name: PolicyOffers, sources: []source{fromRefusals, fromRendezvous, fromRandom, fromObservations, presume}, mayDecline: true},
+	{name: PolicyAskFour, sources: []source{fromProbes, fromRendezvous, fromRandom, fromObservations, presume}, probes: probedServers, probeAboveMS: -1, minWidth: probedServers},
+	{name: PolicyAskInDoubt, sources: []source{fromRefusals, fromProbes, fromRendezvous, fromRandom, fromObservations, presume}, mayDecline: true, probes: probedServers, probeAboveMS: defaultProbeAboveMS, minWidth: probedServers},
+	{name: PolicyAskAll, sources: []source{fromProbes}, probeAll: true},
 }
 
-// Policies lists the names of all policies.
+// Policies returns the names of all policies.
 func Policies() []string {
 	names := make([]string, len(strategies))
 	for i := range strategies {
@@ -93,8 +103,8 @@
 	return &strategies[at], true
 }
 
-// take makes the server the choice.
-func (c *choice) take(index int32, source string) {
+// choose makes the server the choice.
+func (c *choice) choose(index int32, source string) {
 	c.add(index, source)
 	c.best = c.n - 1
 }
@@ -103,21 +113,21 @@
 	r.fallback(c, sourceRandom)
 }
 
-// decideLeastLoad looks at every server: a baseline, not meant for large sets.
+// decideLeastLoad looks at every server: a baseline, not for large sets.
 func decideLeastLoad(r *Router, c *choice) {
 	best, bestLoad := int32(-1), 0
-	offset := r.random.IntN(c.view.set.Len())
-	for i := range c.view.set.Len() {
-		index := int32((i + offset) % c.view.set.Len())
+	offset := r.random.IntN(c.bound.set.Len())
+	for i := range c.bound.set.Len() {
+		index := int32((i + offset) % c.bound.set.Len())
 		if r.filter.reason(c, index) != "" {
 			continue
 		}
-		if load := c.view.backends[index].load(); best < 0 || load < bestLoad {
+		if load := c.bound.backends[index].load(); best < 0 || load < bestLoad {
 			best, bestLoad = index, load
 		}
 	}
 	if best >= 0 {
-		c.take(best, sourceLoad)
+		c.choose(best, sourceLoad)
 	}
 }
 
@@ -132,10 +142,10 @@
 
 func (r *Router) decideHash(c *choice, point int) {
 	if point < len(c.req.Chain) {
-		level := r.levels.of(c.req.Chain[point].GetHash(), c.view.set)
-		for _, index := range level.order.servers[:level.order.length] {
+		shared := r.shared.of(c.req.Chain[point].GetHash(), c.bound.set)
+		for _, index := range shared.ranking.servers[:shared.ranking.length] {
 			if r.filter.reason(c, index) == "" {
-				c.take(index, sourceRendezvous)
+				c.choose(index, sourceRendezvous)
 				return
 			}
 		}
@@ -143,21 +153,21 @@
 	r.fallback(c, sourceFallback)
 }
 
-// fallback takes the first usable server after a random one.
+// fallback chooses the first usable server from a random position on.
 func (r *Router) fallback(c *choice, source string) {
-	offset := r.random.IntN(c.view.set.Len())
-	for i := range c.view.set.Len() {
-		index := int32((i + offset) % c.view.set.Len())
+	offset := r.random.IntN(c.bound.set.Len())
+	for i := range c.bound.set.Len() {
+		index := int32((i + offset) % c.bound.set.Len())
 		if r.filter.reason(c, index) == "" {
-			c.take(index, source)
+			c.choose(index, source)
 			return
 		}
 	}
 }
 
-func neighboursOf(s *strategy) int {
+func minWidthOf(s *strategy) int {
 	if s == nil {
 		return 1
 	}
-	return max(1, s.neighbours)
+	return max(1, s.minWidth)
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -55,9 +55,9 @@
 	return routing.Options{Policy: policy, DataCentre: "hall-0", Region: "north", Seed: seed}
 }
 
-// A caller's request goes to a server that is leaving, that lost the version,
-// or that just refused it, although another could serve: the request fails or
-// waits for nothing. Here any policy must leave out what the filter excludes.
+// A request sent to a server that is draining, lacks the version or just
+// refused it fails or waits in vain: no policy may choose a server that the
+// filter excludes.
 func TestNoPolicyChoosesAnExcludedServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := servers(rapid.IntRange(1, 30).Draw(t, "servers"))
@@ -68,7 +68,7 @@
 		options.Membership = out
 		r := routing.New(options)
 		set := routing.NewSet("p", list)
-		var tried []routing.Tried
+		var tried []routing.RefusedOffer
 		for _, server := range list {
 			switch rapid.IntRange(0, 6).Draw(t, "fault") {
 			case 0:
@@ -76,23 +76,23 @@
 			case 1:
 				leaving := state(1, 0)
 				leaving.Leaving = true
-				r.Learn(epoch, server.Name, leaving)
+				r.UpdateState(epoch, server.Name, leaving)
 				excluded[server.Name] = true
 			case 2:
-				tried = append(tried, routing.Tried{Server: server.Name, Refusal: jayv1.Refusal_REFUSAL_QUEUE_FULL})
+				tried = append(tried, routing.RefusedOffer{Server: server.Name, Refusal: jayv1.Refusal_REFUSAL_QUEUE_FULL})
 				excluded[server.Name] = true
 			case 3:
-				r.Learn(epoch, server.Name, &jayv1.AgentState{Incarnation: 1})
+				r.UpdateState(epoch, server.Name, &jayv1.AgentState{Incarnation: 1})
 				excluded[server.Name] = true
 			default:
-				r.Learn(epoch, server.Name, state(1, rapid.Float64Range(0, 500).Draw(t, "queue")))
-				r.Saw(epoch, server.Name, document(1, 1), 1<<20, 1)
+				r.UpdateState(epoch, server.Name, state(1, rapid.Float64Range(0, 500).Draw(t, "queue")))
+				r.ObserveCache(epoch, server.Name, document(1, 1), 1<<20, 1)
 			}
 		}
 		decision, err := r.Choose(epoch, document(1, 1), pool, set, tried)
-		if len(decision.Ask) > 0 {
+		if len(decision.ProbeServers) > 0 {
 			req := document(1, 1)
-			for _, server := range decision.Ask {
+			for _, server := range decision.ProbeServers {
 				req.Probes = append(req.Probes, routing.Probe{Server: server, CostMS: 1})
 			}
 			decision, err = r.Choose(epoch, req, pool, set, tried)
@@ -106,36 +106,34 @@
 	})
 }
 
-// An engine crashes and comes back cold under the same name. A router that
-// still believes its old cache sends it prompts that must be computed anew,
-// while the caller waits; the belief's incarnation shows that it is dead.
-func TestBeliefOfADeadIncarnationIsNotUsed(t *testing.T) {
+// An engine that restarted under the same name has an empty cache: observations
+// of an earlier incarnation must not count, also when an answer arrives late.
+func TestObservationOfEarlierIncarnationIsNotUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := routing.New(option(routing.PolicyBeliefs, rapid.Uint64().Draw(t, "seed")))
 		set := routing.NewSet("p", servers(rapid.IntRange(1, 20).Draw(t, "servers")))
-		believed := uint64(rapid.IntRange(1, 3).Draw(t, "believed"))
+		observed := uint64(rapid.IntRange(1, 3).Draw(t, "observed"))
 		current := uint64(rapid.IntRange(1, 3).Draw(t, "current"))
-		late := uint64(rapid.IntRange(1, 3).Draw(t, "late"))
+		delayed := uint64(rapid.IntRange(1, 3).Draw(t, "delayed"))
 		for _, server := range servers(set.Len()) {
-			r.Learn(epoch, server.Name, state(believed, 0))
-			r.Saw(epoch, server.Name, document(1, 1), 1<<20, believed)
-			r.Learn(epoch, server.Name, state(current, 0))
-			r.Learn(epoch, server.Name, state(late, 0))
+			r.UpdateState(epoch, server.Name, state(observed, 0))
+			r.ObserveCache(epoch, server.Name, document(1, 1), 1<<20, observed)
+			r.UpdateState(epoch, server.Name, state(current, 0))
+			r.UpdateState(epoch, server.Name, state(delayed, 0))
 		}
 		decision, err := r.Choose(epoch, document(1, 1), pool, set, nil)
 		require.NoError(t, err)
-		alive := max(believed, current, late) == believed
-		relied := false
+		alive := max(observed, current, delayed) == observed
+		used := false
 		for _, candidate := range decision.Candidates {
-			relied = relied || candidate.GetCachedBytes() > 0
+			used = used || candidate.GetCachedBytes() > 0
 		}
-		assert.Equal(t, alive, relied)
+		assert.Equal(t, alive, used)
 	})
 }
 
-// All entries restart at once. If each then spreads the hot prefixes in its
-// own way, every cache is filled anew and first tokens are late for a while;
-// they must agree by the rendezvous order alone.
+// When all entries restart at once they must choose the same servers by the
+// rendezvous ranking alone; otherwise every cache is filled anew.
 func TestColdRoutersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := servers(rapid.IntRange(1, 60).Draw(t, "servers"))
@@ -152,8 +150,8 @@
 		second, err := two.Choose(epoch, req, pool, routing.NewSet("p", list), nil)
 		require.NoError(t, err)
 		assert.Equal(t, first.Server, second.Server)
-		assert.ElementsMatch(t, first.Ask, second.Ask)
-		assert.Equal(t, len(list) == 1 || !strings.HasPrefix(policy, "ask"), len(first.Ask) == 0)
+		assert.ElementsMatch(t, first.ProbeServers, second.ProbeServers)
+		assert.Equal(t, len(list) == 1 || !strings.HasPrefix(policy, "ask"), len(first.ProbeServers) == 0)
 	})
 }
 
@@ -168,20 +166,20 @@
 			decision, err := r.Choose(now, req, pool, set, nil)
 			require.NoError(t, err)
 			assert.LessOrEqual(t, len(decision.Candidates), bound)
-			r.Learn(now, decision.Server, state(1, float64(i%50)))
-			r.HandedOver(now, decision.Server, req, decision.ExpectedMS)
+			r.UpdateState(now, decision.Server, state(1, float64(i%50)))
+			r.HandedOff(now, decision.Server, req, decision.ExpectedMS)
 			r.Finished(now, decision.Server, req, 10)
 		}
 	}
 }
 
-// A believed cache that nobody has touched for longer than blocks survive has
-// been evicted: the caller would wait for a prefill that nobody reckoned with.
-func TestBeliefEndsWithTheCachesSurvivalTime(t *testing.T) {
+// A prefix that was not observed for longer than the server's cache retention
+// has most likely been evicted.
+func TestObservationExpiresWithCacheRetention(t *testing.T) {
 	r := routing.New(option(routing.PolicyBeliefs, 1))
 	set := routing.NewSet("p", servers(1))
-	r.Learn(epoch, "runner-0", state(1, 0))
-	r.Saw(epoch, "runner-0", document(1, 1), 1<<20, 1)
+	r.UpdateState(epoch, "runner-0", state(1, 0))
+	r.ObserveCache(epoch, "runner-0", document(1, 1), 1<<20, 1)
 	for after, want := range map[time.Duration]string{4 * time.Second: "seen", 6 * time.Second: "none"} {
 		decision, err := r.Choose(epoch.Add(after), document(1, 1), pool, set, nil)
 		require.NoError(t, err)
@@ -189,10 +187,10 @@
 	}
 }
 
-func TestDeclinesKeepTheServerInTheChoiceAndEndInAFinalOffer(t *testing.T) {
+func TestCostRefusalsKeepServerAndEndInFinalOffer(t *testing.T) {
 	r := routing.New(option(routing.PolicyOffers, 1))
 	set := routing.NewSet("p", servers(12))
-	var tried []routing.Tried
+	var tried []routing.RefusedOffer
 	for offers := 1; ; offers++ {
 		decision, err := r.Choose(epoch, document(1, 1), pool, set, tried)
 		require.NoError(t, err)
@@ -201,24 +199,23 @@
 			return
 		}
 		require.Greater(t, decision.NextBestMS, decision.ExpectedMS)
-		tried = append(tried, routing.Tried{
+		tried = append(tried, routing.RefusedOffer{
 			Server: decision.Server, Refusal: jayv1.Refusal_REFUSAL_COST, CostMS: 10000 + float64(offers),
 		})
 	}
 }
 
-// A server promises early first tokens and delivers them late: a slow engine,
-// or an agent whose report is wrong. Requests keep going there and wait,
-// unless what it delivered counts against what it promised.
-func TestServerThatBreaksItsPromisesLosesWork(t *testing.T) {
+// A server that delivers first tokens later than expected, because the engine
+// is slow or its agent reports wrong values, must get less work.
+func TestLateServerLosesWork(t *testing.T) {
 	r := routing.New(option(routing.PolicyOffers, 1))
 	set := routing.NewSet("p", servers(3))
 	req := document(1, 1)
 	before, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
 	for range 10 {
-		r.Learn(epoch, before.Server, state(1, 0))
-		r.HandedOver(epoch, before.Server, req, 50)
+		r.UpdateState(epoch, before.Server, state(1, 0))
+		r.HandedOff(epoch, before.Server, req, 50)
 		r.Finished(epoch, before.Server, req, 2000)
 	}
 	after, err := r.Choose(epoch, req, pool, set, nil)
@@ -226,37 +223,37 @@
 	assert.NotEqual(t, before.Server, after.Server)
 }
 
-// Asking costs messages and a round trip: a server that was just seen to hold
-// the prefix and has no queue is offered the request at once.
-func TestAgentsAreAskedOnlyInDoubt(t *testing.T) {
+// Probing costs messages and a round trip: a server that was seen to hold the
+// prefix and has no queue is offered the request at once.
+func TestAgentsAreProbedOnlyWhenUncertain(t *testing.T) {
 	r := routing.New(option("", 1))
 	set := routing.NewSet("p", servers(12))
 	req := document(1, 1)
 	cold, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
-	require.Len(t, cold.Ask, 4)
-	holder := cold.Ask[2]
-	r.Learn(epoch, holder, state(1, 0))
-	r.Saw(epoch, holder, req, req.PromptBytes, 1)
+	require.Len(t, cold.ProbeServers, 4)
+	holder := cold.ProbeServers[2]
+	r.UpdateState(epoch, holder, state(1, 0))
+	r.ObserveCache(epoch, holder, req, req.PromptBytes, 1)
 	seen, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
 	assert.Equal(t, holder, seen.Server)
 	assert.False(t, seen.Final, "the agent may still decline")
-	for _, neighbour := range cold.Ask {
+	for _, neighbour := range cold.ProbeServers {
 		if neighbour != holder {
-			r.Learn(epoch, neighbour, state(1, 0))
-			r.Saw(epoch, neighbour, req, 0, 1)
+			r.UpdateState(epoch, neighbour, state(1, 0))
+			r.ObserveCache(epoch, neighbour, req, 0, 1)
 		}
 	}
-	r.Learn(epoch, holder, state(1, 100))
+	r.UpdateState(epoch, holder, state(1, 100))
 	busy, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
-	assert.Len(t, busy.Ask, 4, "its queue is worth a question although it is the best known")
+	assert.Len(t, busy.ProbeServers, 4, "the queue of the best candidate justifies probing")
 }
 
-// An entry presumes that a prefix's own servers hold it, and one of them says
-// that it does not: the next request must not count on it again.
-func TestPresumptionEndsWithAnAnswer(t *testing.T) {
+// A server is presumed to hold the prefixes of which it is a preferred server
+// until its agent reports that it does not.
+func TestPresumedCacheEndsWithAnswer(t *testing.T) {
 	r := routing.New(option(routing.PolicyPresumption, 1))
 	set := routing.NewSet("p", servers(12))
 	req := document(1, 1)
@@ -273,27 +270,27 @@
 		return ""
 	}
 	assert.Equal(t, "presumed", evidence())
-	r.Learn(epoch, first.Server, state(1, 0))
-	r.Saw(epoch, first.Server, req, 0, 1)
+	r.UpdateState(epoch, first.Server, state(1, 0))
+	r.ObserveCache(epoch, first.Server, req, 0, 1)
 	assert.Equal(t, "none", evidence())
 }
 
 // The agents' exact answers decide: here the holder of the prefix has a queue
-// that costs more than computing it anew next door.
-func TestAnswersOfAskedAgentsDecide(t *testing.T) {
+// that costs more than prefill at another server.
+func TestProbeAnswersDecide(t *testing.T) {
 	r := routing.New(option("", 1))
 	set := routing.NewSet("p", servers(12))
 	req := document(1, 1)
 	cold, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
-	for i, server := range cold.Ask {
-		r.Learn(epoch, server, state(1, 0))
+	for i, server := range cold.ProbeServers {
+		r.UpdateState(epoch, server, state(1, 0))
 		req.Probes = append(req.Probes, routing.Probe{Server: server, CostMS: 900 - 200*float64(i)})
 	}
 	req.Probes[0].CachedBytes = req.PromptBytes
 	decision, err := r.Choose(epoch, req, pool, set, nil)
 	require.NoError(t, err)
-	assert.Equal(t, cold.Ask[3], decision.Server)
+	assert.Equal(t, cold.ProbeServers[3], decision.Server)
 	assert.True(t, decision.Final)
 }
 
@@ -302,8 +299,8 @@
 	require.ErrorIs(t, err, routing.ErrUnknownPolicy)
 }
 
-// BenchmarkChoose measures a decision over a warm router: hot prefixes, and
-// for cold=1 a shared prefix that was never seen, whose order must be computed.
+// BenchmarkChoose measures a decision of a warm router: frequent prefixes, and
+// for cold=1 a new shared prefix whose ranking must be computed.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{318, 1000, 3500, 7000} {
 		set := routing.NewSet("p", servers(n))
@@ -331,18 +328,18 @@
 func warm(n int, set *routing.Set) (*routing.Router, []*routing.Request) {
 	r := routing.New(option("", 1))
 	for _, server := range servers(n) {
-		r.Learn(epoch, server.Name, state(1, 5))
+		r.UpdateState(epoch, server.Name, state(1, 5))
 	}
 	requests := make([]*routing.Request, 256)
 	for i := range requests {
 		requests[i] = document(i%16, i)
 		decision, _ := r.Choose(epoch, requests[i], pool, set, nil)
-		r.Saw(epoch, decision.Server, requests[i], requests[i].PromptBytes, 1)
+		r.ObserveCache(epoch, decision.Server, requests[i], requests[i].PromptBytes, 1)
 	}
 	return r, requests
 }
 
-// fresh is a request whose chain nobody has seen, made without hashing text.
+// fresh returns a request with a new chain, made without hashing text.
 func fresh(i int) *routing.Request {
 	chain := make([]*jayv1.PrefixPoint, 20)
 	for p := range chain {
@@ -351,8 +348,8 @@
 	return &routing.Request{ID: "fresh", Chain: chain, Levels: []int{2, 10, 19}, PromptBytes: 20480}
 }
 
-// BenchmarkBeliefMemory reports the memory of one remembered prefix point when
-// the table is full, in bytes.
+// BenchmarkBeliefMemory reports the memory of one observed prefix point in
+// bytes when the table is full.
 func BenchmarkBeliefMemory(b *testing.B) {
 	const points = 1 << 16
 	var before, after runtime.MemStats
@@ -361,7 +358,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range points / 20 {
-			r.Saw(epoch, "runner-0", fresh(i), 1<<20, 1)
+			r.ObserveCache(epoch, "runner-0", fresh(i), 1<<20, 1)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/routing/sources.go
+++ b/internal/routing/sources.go
@@ -7,47 +7,48 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// How many candidates each source gives.
+// Number of candidates from each source.
 const (
 	rendezvousCandidates = 4
-	beliefCandidates     = 3
+	observedCandidates   = 3
 	randomCandidates     = 2
 	probeCandidates      = maxCandidates - 4
 )
 
-// source finds candidates. Each gives a constant number at most.
+// source adds candidates, a bounded number, or completes what is known of those
+// present.
 type source func(r *Router, c *choice)
 
-// fromRendezvous gives the servers that every process with the same set finds
-// for the prompt's shared levels: an order that needs no state, so that a
-// process that just started agrees with the others.
+// fromRendezvous adds the servers that rank first for the prompt's shared
+// prefixes. The ranking needs no state, so that a restarted process agrees with
+// the others.
 func fromRendezvous(r *Router, c *choice) {
 	points, n := sharedPoints(c.req, c.policy)
 	for i := range n {
-		level := r.levels.of(c.req.Chain[points[i]].GetHash(), c.view.set)
+		shared := r.shared.of(c.req.Chain[points[i]].GetHash(), c.bound.set)
 		if i == 0 {
-			c.level, c.levelPoint = level, points[0]
-			level.candidates(c, r.filter, rendezvousCandidates)
+			c.shared, c.sharedPoint = shared, points[0]
+			shared.candidates(c, r.filter, rendezvousCandidates)
 			continue
 		}
-		level.candidates(c, r.filter, 1)
+		shared.candidates(c, r.filter, 1)
 	}
 }
 
-// candidates adds the servers of the prefix's set that the rest of the prompt
-// prefers, then those behind the set, where it would widen to.
-func (l *level) candidates(c *choice, f filter, count int) {
+// candidates adds the servers of the prefix's set that rank first for the next
+// prefix point, then servers ranked after the set, into which it would grow.
+func (l *sharedPrefix) candidates(c *choice, f filter, count int) {
 	added := 0
-	width := min(l.width, l.order.length)
-	key := c.req.Chain[min(c.levelPoint+1, len(c.req.Chain)-1)].GetHash()
-	var taken [orderLength]bool
-	for range min(width, max(l.least, count-1)) {
+	width := min(l.width, l.ranking.length)
+	key := c.req.Chain[min(c.sharedPoint+1, len(c.req.Chain)-1)].GetHash()
+	var taken [maxRanked]bool
+	for range min(width, max(l.minWidth, count-1)) {
 		best := -1
-		for i, index := range l.order.servers[:width] {
+		for i, index := range l.ranking.servers[:width] {
 			if taken[i] || f.reason(c, index) != "" {
 				continue
 			}
-			if best < 0 || Rendezvous(key, c.view.set.hashes[index]) > Rendezvous(key, c.view.set.hashes[l.order.servers[best]]) {
+			if best < 0 || Rendezvous(key, c.bound.set.hashes[index]) > Rendezvous(key, c.bound.set.hashes[l.ranking.servers[best]]) {
 				best = i
 			}
 		}
@@ -55,10 +56,10 @@
 			break
 		}
 		taken[best] = true
-		c.add(l.order.servers[best], sourceRendezvous)
+		c.add(l.ranking.servers[best], sourceRendezvous)
 		added++
 	}
-	for _, index := range l.order.servers[width:l.order.length] {
+	for _, index := range l.ranking.servers[width:l.ranking.length] {
 		if added >= count {
 			return
 		}
@@ -69,24 +70,24 @@
 	}
 }
 
-// fromRandom gives servers picked at random, so that no server is forgotten
-// and an idle one is found.
+// fromRandom adds random servers, so that idle ones are found.
 func fromRandom(r *Router, c *choice) {
 	for range randomCandidates {
-		c.add(int32(r.random.IntN(c.view.set.Len())), sourceRandom)
+		c.add(int32(r.random.IntN(c.bound.set.Len())), sourceRandom)
 	}
 }
 
-// fromRefusals keeps servers that declined for cost in the choice.
+// fromRefusals adds the servers that refused the request for cost.
 func fromRefusals(_ *Router, c *choice) {
-	for i := range c.tried {
-		if c.tried[i].Refusal == jayv1.Refusal_REFUSAL_COST {
-			c.asked(c.tried[i].Server, c.tried[i].CostMS, c.tried[i].CachedBytes)
+	for i := range c.refusals {
+		if c.refusals[i].Refusal == jayv1.Refusal_REFUSAL_COST {
+			c.addProbed(c.refusals[i].Server, c.refusals[i].CostMS, c.refusals[i].CachedBytes)
 		}
 	}
 }
 
-// fromProbes takes the cheapest of the servers that were asked on a decision's order.
+// fromProbes adds the servers that were probed, the cheapest if they are too
+// many.
 func fromProbes(_ *Router, c *choice) {
 	probes := c.req.Probes
 	if len(probes) > probeCandidates {
@@ -95,12 +96,12 @@
 		probes = probes[:probeCandidates]
 	}
 	for i := range probes {
-		c.asked(probes[i].Server, probes[i].CostMS, probes[i].CachedBytes)
+		c.addProbed(probes[i].Server, probes[i].CostMS, probes[i].CachedBytes)
 	}
 }
 
-func (c *choice) asked(server string, costMS float64, cachedBytes int) {
-	index, ok := c.view.set.byName[server]
+func (c *choice) addProbed(server string, costMS float64, cachedBytes int) {
+	index, ok := c.bound.set.byName[server]
 	if !ok {
 		return
 	}
@@ -109,23 +110,24 @@
 	}
 }
 
-// fromBeliefs walks the chain from its deepest point, adds the servers that
-// were seen to hold it and tells all candidates what they are believed to hold.
-func fromBeliefs(r *Router, c *choice) {
-	believers := 0
+// fromObservations adds the servers that were observed to hold the request's
+// prefix, deepest point first, and sets the cached bytes of all candidates by
+// the observations.
+func fromObservations(r *Router, c *choice) {
+	added := 0
 	for i := len(c.req.Chain) - 1; i >= 0; i-- {
 		point := c.req.Chain[i]
-		for _, h := range r.beliefs.holders(point.GetHash()) {
-			if h.absent || !h.valid(c.now) {
+		for _, h := range r.cacheView.observations(point.GetHash()) {
+			if h.absent || !h.current(c.now) {
 				continue
 			}
-			index, ok := c.view.set.byName[h.server.name]
-			if !ok || c.view.backends[index] != h.server {
+			index, ok := c.bound.set.byName[h.server.name]
+			if !ok || c.bound.backends[index] != h.server {
 				continue
 			}
 			cand := c.find(h.server)
-			if cand == nil && believers < beliefCandidates && r.filter.reason(c, index) == "" {
-				believers++
+			if cand == nil && added < observedCandidates && r.filter.reason(c, index) == "" {
+				added++
 				cand = c.add(index, sourceBelief)
 			}
 			if cand != nil && cand.evidence == evidenceNone {
@@ -135,30 +137,32 @@
 	}
 }
 
-// presume gives the servers of a prefix's own set the shared level until an
-// answer says otherwise: other processes sent it there as well.
+// presume assumes that the servers of the prefix's set hold the shared prefix,
+// as other processes send requests with it there as well, unless an agent
+// reported otherwise.
 func presume(r *Router, c *choice) {
-	if c.level == nil {
+	if c.shared == nil {
 		return
 	}
-	point := c.req.Chain[c.levelPoint]
+	point := c.req.Chain[c.sharedPoint]
 	for i := range c.candidates[:c.n] {
 		cand := &c.candidates[i]
 		shallower := cand.evidence == evidenceSeen && cand.cachedBytes < int(point.GetBytes())
 		if cand.evidence != evidenceNone && !shallower {
 			continue
 		}
-		if !c.level.holds(cand.index) || r.saidAbsent(c, cand.backend, point.GetHash()) {
+		if !c.shared.includes(cand.index) || r.observedAbsent(c, cand.backend, point.GetHash()) {
 			continue
 		}
 		cand.evidence, cand.cachedBytes = evidencePresumed, int(point.GetBytes())
 	}
 }
 
-// saidAbsent tells whether the server lately answered that it lacks the point.
-func (r *Router) saidAbsent(c *choice, b *backend, point uint64) bool {
-	for _, h := range r.beliefs.holders(point) {
-		if h.server == b && h.absent && h.valid(c.now) {
+// observedAbsent reports whether the server's agent recently reported the point
+// as not cached.
+func (r *Router) observedAbsent(c *choice, b *backend, point uint64) bool {
+	for _, h := range r.cacheView.observations(point) {
+		if h.server == b && h.absent && h.current(c.now) {
 			return true
 		}
 	}
