--- a/internal/admission/rate.go
+++ b/internal/admission/rate.go
@@ -23,8 +23,8 @@
 // NewRateMeter returns a meter that gives the guess until it has measured.
 func NewRateMeter(guess float64) *RateMeter { return &RateMeter{guess: guess} }
 
-// SetGuess changes what is given until something was measured.
-func (m *RateMeter) SetGuess(tokensPerSecond float64) { m.guess = tokensPerSecond }
+// SetInitialRate changes what is given until something was measured.
+func (m *RateMeter) SetInitialRate(tokensPerSecond float64) { m.guess = tokensPerSecond }
 
 // Begin tells that a prompt goes to the engine.
 func (m *RateMeter) Begin(now time.Time) {
--- a/internal/agent/schedule.go
+++ b/internal/agent/schedule.go
@@ -86,7 +86,7 @@
 func (s *schedule) setGuess(tokensPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rate.SetGuess(tokensPerSecond)
+	s.rate.SetInitialRate(tokensPerSecond)
 }
 
 func (s *schedule) prefillRate() float64 {
--- a/internal/catalogstore/store_test.go
+++ b/internal/catalogstore/store_test.go
@@ -102,7 +102,7 @@
 	p := platformtest.New()
 	store := catalogstore.New(p, p, catalogstore.Options{})
 	p.OnCommit(func(platform.Txn) platformtest.Fault {
-		p.SetDownLater()
+		p.SetDownAfterCommit()
 		return platformtest.LostAnswer
 	})
 	_, err := store.Accept(t.Context(), put("a", "claims-portal", 3))
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -33,9 +33,9 @@
 	})
 }
 
-// SilenceLogs drops the logs of processes that run inside a program which
+// DiscardLogs drops the logs of processes that run inside a program which
 // breaks them by the hundred and prints a report of its own.
-func SilenceLogs() {
+func DiscardLogs() {
 	flags := flag.NewFlagSet("klog", flag.ExitOnError)
 	klog.InitFlags(flags)
 	_ = flags.Parse([]string{"-logtostderr=false", "-stderrthreshold=FATAL", "-legacy_stderr_threshold_behavior=false"})
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -21,7 +21,7 @@
 	if !w.nonRepeatable || w.key == "" {
 		return nil
 	}
-	claim, err := e.ledger.Take(ctx, w.workspace.GetName(), w.claimKey(), w.id)
+	claim, err := e.ledger.Acquire(ctx, w.workspace.GetName(), w.claimKey(), w.id)
 	var duplicate *ledger.DuplicateError
 	switch {
 	case err == nil:
@@ -72,7 +72,7 @@
 		release := e.streams.hold()
 		go func() {
 			defer release()
-			if err := e.ledger.Done(e.ctx, w.claim); err != nil {
+			if err := e.ledger.Complete(e.ctx, w.claim); err != nil {
 				klog.V(1).InfoS("claim not marked as done", "request", w.id, "cause", err)
 			}
 		}()
@@ -86,7 +86,7 @@
 // There is no lease: two that think so at once only do the work twice.
 func (e *Entry) trimClaims(ctx context.Context) {
 	const day = 24 * time.Hour
-	trimmer := ledger.NewTrimmer(e.platform, time.Duration(e.settings.Ledger.KeepDays)*day)
+	trimmer := ledger.NewPruner(e.platform, time.Duration(e.settings.Ledger.KeepDays)*day)
 	ticker := time.NewTicker(ms(e.settings.Ledger.TrimMS))
 	defer ticker.Stop()
 	for {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -113,7 +113,7 @@
 	}
 	e.platform = platformOf(settings)
 	e.ledger = ledger.New(e.platform, ledger.Options{
-		Window: ms(settings.Ledger.WindowMS), InFlight: settings.Ledger.InFlight, Settle: ms(settings.Ledger.SettleMS),
+		Window: ms(settings.Ledger.WindowMS), InFlight: settings.Ledger.InFlight, Timeout: ms(settings.Ledger.SettleMS),
 	})
 	e.serving.Store(true)
 	e.ctx, e.cancel = context.WithCancel(context.WithoutCancel(ctx))
--- a/internal/entry/handover_test.go
+++ b/internal/entry/handover_test.go
@@ -155,7 +155,7 @@
 	}
 	require.Eventually(t, func() bool { return send() > 0 }, 3*time.Second, time.Millisecond)
 	table.SetVMs([]platform.VM{
-		{Name: "b1", Role: "backend", State: platform.VMLeaving}, {Name: "e1", Role: "entry", State: platform.VMLive},
+		{Name: "b1", Role: "backend", State: platform.VMDraining}, {Name: "e1", Role: "entry", State: platform.VMLive},
 	})
 	said := time.Now()
 	require.Eventually(t, func() bool { return time.Since(said) >= 3*time.Second }, 4*time.Second, 10*time.Millisecond)
--- a/internal/entry/picker.go
+++ b/internal/entry/picker.go
@@ -175,7 +175,7 @@
 func (p *picker) vms(now time.Time, list platform.VMList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if list.Whole {
+	if list.Complete {
 		clear(p.listed)
 	}
 	for _, vm := range list.VMs {
--- a/internal/entry/startup.go
+++ b/internal/entry/startup.go
@@ -28,21 +28,21 @@
 
 func newStartup(settings Settings) *startup {
 	return &startup{gate: warmup.NewGate(warmup.Limits{
-		Waiting:  settings.Limits.WarmupRequests,
-		Patience: ms(settings.Timeouts.WarmupMS),
+		MaxWaiting: settings.Limits.WarmupRequests,
+		Timeout:    ms(settings.Timeouts.WarmupMS),
 	})}
 }
 
-func (s *startup) arrive(search warmup.Search) warmup.Verdict {
+func (s *startup) arrive(search warmup.ConfigState) warmup.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.gate.Arrive(search)
+	return s.gate.Admit(search)
 }
 
-func (s *startup) again(search warmup.Search, waited time.Duration) warmup.Verdict {
+func (s *startup) again(search warmup.ConfigState, waited time.Duration) warmup.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.gate.Again(search, waited)
+	return s.gate.Recheck(search, waited)
 }
 
 func (s *startup) leave() {
@@ -74,7 +74,7 @@
 	waited := time.Since(arrived)
 	e.metrics.Time(metricWarmupWait, e.settings.Name, waited)
 	klog.V(1).InfoS("request before the first configuration", "request", id, "waited", waited,
-		"served", verdict == warmup.Serve, "full", verdict == warmup.TurnAwayFull)
+		"served", verdict == warmup.Serve, "full", verdict == warmup.RejectFull)
 	if verdict == warmup.Serve {
 		return e.holder.Current(), nil
 	}
@@ -84,7 +84,7 @@
 
 // waitConfigured waits until the gate has a verdict, the caller leaves or the
 // entry stops.
-func (e *Entry) waitConfigured(ctx context.Context, arrived time.Time) warmup.Verdict {
+func (e *Entry) waitConfigured(ctx context.Context, arrived time.Time) warmup.Decision {
 	patience := time.NewTimer(ms(e.settings.Timeouts.WarmupMS))
 	defer patience.Stop()
 	for {
@@ -98,15 +98,15 @@
 		case <-e.spread.Loaded():
 		case <-patience.C:
 		case <-ctx.Done():
-			return warmup.TurnAwayUnknown
+			return warmup.RejectUnconfigured
 		case <-e.ctx.Done():
-			return warmup.TurnAwayUnknown
+			return warmup.RejectUnconfigured
 		}
 	}
 }
 
 // search tells how far the entry has come in finding its first configuration.
-func (e *Entry) search() warmup.Search {
+func (e *Entry) search() warmup.ConfigState {
 	loaded := false
 	select {
 	case <-e.spread.Loaded():
@@ -115,11 +115,11 @@
 	}
 	switch {
 	case e.holder.Current().Generation() > 0:
-		return warmup.Found
+		return warmup.Loaded
 	case loaded:
-		return warmup.Fruitless
+		return warmup.NotFound
 	}
-	return warmup.Running
+	return warmup.Loading
 }
 
 // watchStart logs and measures when the entry knows its first configuration:
--- a/internal/ledger/core.go
+++ b/internal/ledger/core.go
@@ -46,29 +46,29 @@
 	Version uint64
 	// Value to write; nil deletes the row.
 	Value []byte
-	// Tries that the table refused without carrying anything out.
-	Tries int
+	// Attempts that the table refused without carrying anything out.
+	Attempts int
 }
 
-// Verdict is how an operation ended.
-type Verdict int
+// Outcome is how an operation ended.
+type Outcome int
 
 // The verdicts.
 const (
 	// Written: the row is as the operation says.
-	Written Verdict = iota + 1
+	Written Outcome = iota + 1
 	// Conflict: the row has another version; Row is what stands there.
 	Conflict
-	// NotDone: the table did not carry it out.
-	NotDone
-	// Unsettled: it may or may not have been carried out, or may still be.
-	Unsettled
+	// NotApplied: the table did not carry it out.
+	NotApplied
+	// Indeterminate: it may or may not have been carried out, or may still be.
+	Indeterminate
 )
 
 // Result of an operation.
 type Result struct {
 	Op      Op
-	Verdict Verdict
+	Outcome Outcome
 	Row     platform.Row
 }
 
@@ -120,8 +120,8 @@
 // Add puts an operation in the queue.
 func (c *Core) Add(op Op) { c.waiting = append(c.waiting, op) }
 
-// Waiting is the number of operations in no batch yet.
-func (c *Core) Waiting() int { return len(c.waiting) }
+// Pending is the number of operations in no batch yet.
+func (c *Core) Pending() int { return len(c.waiting) }
 
 // Next takes the next batch, nil when nothing can go.
 func (c *Core) Next() *Batch {
@@ -153,10 +153,10 @@
 	c.waiting = kept
 }
 
-// Answered takes the table's answer to a batch. An operation whose condition
+// HandleResult takes the table's answer to a batch. An operation whose condition
 // failed is a conflict; the rest of its batch, which failed only with it, goes
 // back to the front of the queue.
-func (c *Core) Answered(batch *Batch, answer platform.TxnResult) []Result {
+func (c *Core) HandleResult(batch *Batch, answer platform.TxnResult) []Result {
 	c.release(batch)
 	if answer.Committed {
 		return verdicts(batch, Written, func(op Op) platform.Row {
@@ -175,9 +175,9 @@
 		case conflict && owns(op, row):
 			// An earlier try of this very operation, whose answer was lost,
 			// had taken effect.
-			results = append(results, Result{Op: op, Verdict: Written, Row: row})
+			results = append(results, Result{Op: op, Outcome: Written, Row: row})
 		case conflict:
-			results = append(results, Result{Op: op, Verdict: Conflict, Row: row})
+			results = append(results, Result{Op: op, Outcome: Conflict, Row: row})
 		default:
 			again = append(again, op)
 		}
@@ -186,37 +186,37 @@
 	return results
 }
 
-// Unavailable takes in that the table carried nothing of the batch out: it is
+// HandleUnavailable takes in that the table carried nothing of the batch out: it is
 // down, or its rate is used up. Sending again is safe and done a few times.
-func (c *Core) Unavailable(batch *Batch) []Result {
+func (c *Core) HandleUnavailable(batch *Batch) []Result {
 	c.release(batch)
 	var results []Result
 	var again []Op
 	for _, op := range batch.Ops {
-		op.Tries++
-		if op.Tries < maxTries {
+		op.Attempts++
+		if op.Attempts < maxTries {
 			again = append(again, op)
 			continue
 		}
-		results = append(results, Result{Op: op, Verdict: NotDone, Row: noRow(op)})
+		results = append(results, Result{Op: op, Outcome: NotApplied, Row: noRow(op)})
 	}
 	c.waiting = append(again, c.waiting...)
 	return results
 }
 
-// Lost takes in that the answer to a batch was lost and that its rows could
+// HandleLost takes in that the answer to a batch was lost and that its rows could
 // not be read either.
-func (c *Core) Lost(batch *Batch) []Result {
+func (c *Core) HandleLost(batch *Batch) []Result {
 	c.release(batch)
-	return verdicts(batch, Unsettled, noRow)
+	return verdicts(batch, Indeterminate, noRow)
 }
 
-// Read takes the rows of a batch whose answer was lost. The batch was applied
+// HandleRows takes the rows of a batch whose answer was lost. The batch was applied
 // whole or not at all, but others may have written since. A row that shows the
 // operation's own value settles it; one that shows another's is a conflict. A
 // row that shows neither proves nothing, because the write may still arrive:
 // it is sent again under the same condition, which holds at most once.
-func (c *Core) Read(batch *Batch, rows []platform.Row) []Result {
+func (c *Core) HandleRows(batch *Batch, rows []platform.Row) []Result {
 	c.release(batch)
 	found := map[string]platform.Row{}
 	for _, row := range rows {
@@ -229,9 +229,9 @@
 		row.Key = op.Key
 		switch {
 		case owns(op, row):
-			results = append(results, Result{Op: op, Verdict: Written, Row: row})
+			results = append(results, Result{Op: op, Outcome: Written, Row: row})
 		case row.Version != op.Version:
-			results = append(results, Result{Op: op, Verdict: Conflict, Row: row})
+			results = append(results, Result{Op: op, Outcome: Conflict, Row: row})
 		default:
 			again = append(again, op)
 		}
@@ -257,10 +257,10 @@
 
 func noRow(op Op) platform.Row { return platform.Row{Key: op.Key} }
 
-func verdicts(batch *Batch, verdict Verdict, row func(Op) platform.Row) []Result {
+func verdicts(batch *Batch, verdict Outcome, row func(Op) platform.Row) []Result {
 	results := make([]Result, len(batch.Ops))
 	for i, op := range batch.Ops {
-		results[i] = Result{Op: op, Verdict: verdict, Row: row(op)}
+		results[i] = Result{Op: op, Outcome: verdict, Row: row(op)}
 	}
 	return results
 }
--- a/internal/ledger/core_test.go
+++ b/internal/ledger/core_test.go
@@ -28,12 +28,12 @@
 	batch := core.Next()
 	require.Len(t, batch.Ops, 40)
 	row := platform.Row{Key: "k7", Value: []byte("someone"), Version: 3}
-	results := core.Answered(batch, platform.TxnResult{Failed: []platform.Row{row}})
-	require.Equal(t, []ledger.Result{{Op: insert(7, "k7"), Verdict: ledger.Conflict, Row: row}}, results)
+	results := core.HandleResult(batch, platform.TxnResult{Failed: []platform.Row{row}})
+	require.Equal(t, []ledger.Result{{Op: insert(7, "k7"), Outcome: ledger.Conflict, Row: row}}, results)
 	again := core.Next()
 	require.Len(t, again.Ops, 39)
-	for _, result := range core.Answered(again, platform.TxnResult{Committed: true, Commit: 9}) {
-		assert.Equal(t, ledger.Written, result.Verdict)
+	for _, result := range core.HandleResult(again, platform.TxnResult{Committed: true, Commit: 9}) {
+		assert.Equal(t, ledger.Written, result.Outcome)
 		assert.EqualValues(t, 9, result.Row.Version)
 	}
 }
@@ -45,7 +45,7 @@
 	first := core.Next()
 	assert.Len(t, first.Ops, 1)
 	assert.Nil(t, core.Next())
-	core.Answered(first, platform.TxnResult{Committed: true, Commit: 1})
+	core.HandleResult(first, platform.TxnResult{Committed: true, Commit: 1})
 	assert.Len(t, core.Next().Ops, 1)
 }
 
@@ -58,21 +58,21 @@
 	core.Add(insert(2, "theirs"))
 	core.Add(insert(3, "absent"))
 	batch := core.Next()
-	results := core.Read(batch, []platform.Row{
+	results := core.HandleRows(batch, []platform.Row{
 		{Key: "mine", Value: []byte("token-1"), Version: 5},
 		{Key: "theirs", Value: []byte("token-9"), Version: 4},
 	})
 	require.Len(t, results, 2)
-	assert.Equal(t, ledger.Written, results[0].Verdict)
+	assert.Equal(t, ledger.Written, results[0].Outcome)
 	assert.EqualValues(t, 5, results[0].Row.Version)
-	assert.Equal(t, ledger.Conflict, results[1].Verdict)
+	assert.Equal(t, ledger.Conflict, results[1].Outcome)
 
 	again := core.Next()
 	require.Equal(t, []string{"absent"}, again.Keys())
 	late := platform.Row{Key: "absent", Value: []byte("token-3"), Version: 6}
-	results = core.Answered(again, platform.TxnResult{Failed: []platform.Row{late}})
+	results = core.HandleResult(again, platform.TxnResult{Failed: []platform.Row{late}})
 	require.Len(t, results, 1)
-	assert.Equal(t, ledger.Written, results[0].Verdict, "the first write arrived after all")
+	assert.Equal(t, ledger.Written, results[0].Outcome, "the first write arrived after all")
 }
 
 // modelTable is a table that applies batches, loses answers and delays lost
@@ -120,7 +120,7 @@
 		written := map[string]ledger.OpID{}
 		note := func(results []ledger.Result) {
 			for _, r := range results {
-				if r.Verdict != ledger.Written {
+				if r.Outcome != ledger.Written {
 					continue
 				}
 				if first, ok := written[r.Op.Key]; ok && first != r.Op.ID {
@@ -142,17 +142,17 @@
 			switch rapid.IntRange(0, 5).Draw(t, "fault") {
 			case 0: // Answer lost, the row is read.
 				table.apply(batch.Txn())
-				note(core.Read(batch, table.read(batch.Keys())))
+				note(core.HandleRows(batch, table.read(batch.Keys())))
 			case 1: // Request delayed: read before it arrives.
 				table.delayed = append(table.delayed, batch.Txn())
-				note(core.Read(batch, table.read(batch.Keys())))
+				note(core.HandleRows(batch, table.read(batch.Keys())))
 			case 2: // Answer lost and nothing read.
 				table.apply(batch.Txn())
-				note(core.Lost(batch))
+				note(core.HandleLost(batch))
 			case 3:
-				note(core.Unavailable(batch))
+				note(core.HandleUnavailable(batch))
 			default:
-				note(core.Answered(batch, table.apply(batch.Txn())))
+				note(core.HandleResult(batch, table.apply(batch.Txn())))
 			}
 			if len(table.delayed) > 0 && rapid.Bool().Draw(t, "arrive") {
 				table.apply(table.delayed[0])
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -40,9 +40,9 @@
 	InFlight int
 	// MaxRows bounds the operations of a transaction.
 	MaxRows int
-	// Settle bounds one call of the ledger.
-	Settle time.Duration
-	Now    platform.Clock
+	// Timeout bounds one call of the ledger.
+	Timeout time.Duration
+	Now     platform.Clock
 }
 
 const (
@@ -70,8 +70,8 @@
 	if o.MaxRows == 0 || o.MaxRows > platform.MaxTxnRows {
 		o.MaxRows = platform.MaxTxnRows
 	}
-	if o.Settle == 0 {
-		o.Settle = defaultSettle
+	if o.Timeout == 0 {
+		o.Timeout = defaultSettle
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -125,10 +125,10 @@
 	version uint64
 }
 
-// Take claims the key of the workspace for the request. *DuplicateError: it
+// Acquire claims the key of the workspace for the request. *DuplicateError: it
 // was claimed before; ErrUnavailable: it was not taken. Only after a nil error
 // may the call be made.
-func (l *Ledger) Take(ctx context.Context, workspace, key, requestID string) (*Claim, error) {
+func (l *Ledger) Acquire(ctx context.Context, workspace, key, requestID string) (*Claim, error) {
 	token := make([]byte, tokenBytes)
 	_, _ = rand.Read(token)
 	claim := &Claim{key: rowKey(workspace, key), record: Record{
@@ -139,7 +139,7 @@
 	if err != nil {
 		return nil, err
 	}
-	switch result.Verdict {
+	switch result.Outcome {
 	case Written:
 		claim.version = result.Row.Version
 		return claim, nil
@@ -161,8 +161,8 @@
 	return l.change(ctx, claim, nil)
 }
 
-// Done notes that the call ran to its end, for those who ask with the same key.
-func (l *Ledger) Done(ctx context.Context, claim *Claim) error {
+// Complete notes that the call ran to its end, for those who ask with the same key.
+func (l *Ledger) Complete(ctx context.Context, claim *Claim) error {
 	record := claim.record
 	record.State = StateDone
 	return l.change(ctx, claim, &record)
@@ -170,7 +170,7 @@
 
 func (l *Ledger) change(ctx context.Context, claim *Claim, record *Record) error {
 	result, err := l.write(ctx, claim.key, claim.version, record)
-	if err == nil && result.Verdict != Written {
+	if err == nil && result.Outcome != Written {
 		err = eris.Wrapf(ErrUnavailable, "row %s not changed", claim.key)
 	}
 	return err
@@ -191,7 +191,7 @@
 		}
 		op.Value = value
 	}
-	ctx, cancel := context.WithTimeout(ctx, l.options.Settle)
+	ctx, cancel := context.WithTimeout(ctx, l.options.Timeout)
 	defer cancel()
 	done := make(chan Result, 1)
 	op.ID = l.enqueue(op, done)
@@ -264,7 +264,7 @@
 	defer l.mu.Unlock()
 	l.core.Retain(func(id OpID) bool { return l.waiters[id] != nil })
 	batch := l.core.Next()
-	if batch != nil && l.core.Waiting() > 0 {
+	if batch != nil && l.core.Pending() > 0 {
 		l.signal()
 	}
 	return batch
@@ -272,16 +272,16 @@
 
 // commit sends a batch and takes in what became of it.
 func (l *Ledger) commit(batch *Batch) {
-	ctx, cancel := context.WithTimeout(l.ctx, l.options.Settle)
+	ctx, cancel := context.WithTimeout(l.ctx, l.options.Timeout)
 	defer cancel()
 	answer, err := l.table.Commit(ctx, batch.Txn())
 	switch {
 	case err == nil:
 		l.adapt(windowShrink)
-		l.settle(func() []Result { return l.core.Answered(batch, answer) })
+		l.settle(func() []Result { return l.core.HandleResult(batch, answer) })
 	case errors.Is(err, platform.ErrUnavailable):
 		l.adapt(windowGrowth)
-		l.settle(func() []Result { return l.core.Unavailable(batch) })
+		l.settle(func() []Result { return l.core.HandleUnavailable(batch) })
 		l.wait(l.pace())
 	default:
 		l.read(ctx, batch)
@@ -293,11 +293,11 @@
 	for l.wait(lostPause) && ctx.Err() == nil {
 		rows, err := l.table.Get(ctx, batch.Keys()...)
 		if err == nil {
-			l.settle(func() []Result { return l.core.Read(batch, rows) })
+			l.settle(func() []Result { return l.core.HandleRows(batch, rows) })
 			return
 		}
 	}
-	l.settle(func() []Result { return l.core.Lost(batch) })
+	l.settle(func() []Result { return l.core.HandleLost(batch) })
 }
 
 // settle runs a step of the core and hands the results out.
@@ -307,7 +307,7 @@
 	for _, result := range step() {
 		l.handOut(result)
 	}
-	if l.core.Waiting() > 0 {
+	if l.core.Pending() > 0 {
 		l.signal()
 	}
 }
@@ -323,7 +323,7 @@
 		delete(l.waiters, op.ID)
 		return
 	}
-	taken := op.Version == 0 && op.Value != nil && result.Verdict == Written
+	taken := op.Version == 0 && op.Value != nil && result.Outcome == Written
 	if taken {
 		l.nextID++
 		l.waiters[l.nextID] = make(chan Result, 1)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -19,7 +19,7 @@
 
 func newLedger(t testing.TB, table platform.Table) *ledger.Ledger {
 	t.Helper()
-	l := ledger.New(table, ledger.Options{Settle: 500 * time.Millisecond})
+	l := ledger.New(table, ledger.Options{Timeout: 500 * time.Millisecond})
 	t.Cleanup(l.Close)
 	return l
 }
@@ -27,18 +27,18 @@
 func TestAKeyIsClaimedOnceAndTellsOfTheFirst(t *testing.T) {
 	table := platformtest.New()
 	l := newLedger(t, table)
-	claim, err := l.Take(t.Context(), "quarry", "k\x00/1", "r1")
+	claim, err := l.Acquire(t.Context(), "quarry", "k\x00/1", "r1")
 	require.NoError(t, err)
-	_, err = newLedger(t, table).Take(t.Context(), "quarry", "k\x00/1", "r2")
+	_, err = newLedger(t, table).Acquire(t.Context(), "quarry", "k\x00/1", "r2")
 	var duplicate *ledger.DuplicateError
 	require.ErrorAs(t, err, &duplicate)
 	assert.Equal(t, "r1", duplicate.First.RequestID)
 	assert.Equal(t, ledger.StateClaimed, duplicate.First.State)
-	_, err = l.Take(t.Context(), "other", "k\x00/1", "r3")
+	_, err = l.Acquire(t.Context(), "other", "k\x00/1", "r3")
 	require.NoError(t, err, "keys of another workspace are others")
 
-	require.NoError(t, l.Done(t.Context(), claim))
-	_, err = l.Take(t.Context(), "quarry", "k\x00/1", "r4")
+	require.NoError(t, l.Complete(t.Context(), claim))
+	_, err = l.Acquire(t.Context(), "quarry", "k\x00/1", "r4")
 	require.ErrorAs(t, err, &duplicate)
 	assert.Equal(t, ledger.StateDone, duplicate.First.State)
 	require.Error(t, l.Release(t.Context(), claim), "what is done is not released")
@@ -46,10 +46,10 @@
 
 func TestAReleasedKeyMayBeClaimedAgain(t *testing.T) {
 	l := newLedger(t, platformtest.New())
-	claim, err := l.Take(t.Context(), "quarry", "k", "r1")
+	claim, err := l.Acquire(t.Context(), "quarry", "k", "r1")
 	require.NoError(t, err)
 	require.NoError(t, l.Release(t.Context(), claim))
-	_, err = l.Take(t.Context(), "quarry", "k", "r2")
+	_, err = l.Acquire(t.Context(), "quarry", "k", "r2")
 	require.NoError(t, err)
 }
 
@@ -60,12 +60,12 @@
 	table.SetDown(true)
 	l := newLedger(t, table)
 	began := time.Now()
-	_, err := l.Take(t.Context(), "quarry", "k", "r1")
+	_, err := l.Acquire(t.Context(), "quarry", "k", "r1")
 	require.ErrorIs(t, err, ledger.ErrUnavailable)
 	assert.Less(t, time.Since(began), 400*time.Millisecond)
 	table.SetDown(false)
 	require.Eventually(t, func() bool {
-		_, err := l.Take(t.Context(), "quarry", "k", "r2")
+		_, err := l.Acquire(t.Context(), "quarry", "k", "r2")
 		return err == nil
 	}, time.Second, time.Millisecond, "what was refused did not leave a claim behind")
 }
@@ -76,11 +76,11 @@
 func TestAClaimTakenAfterItsCallWasRefusedIsGivenBack(t *testing.T) {
 	table := &slowTable{Table: platformtest.New(), hold: make(chan struct{})}
 	l := newLedger(t, table)
-	_, err := l.Take(t.Context(), "quarry", "k", "r1")
+	_, err := l.Acquire(t.Context(), "quarry", "k", "r1")
 	require.ErrorIs(t, err, ledger.ErrUnavailable)
 	close(table.hold)
 	require.Eventually(t, func() bool {
-		_, err := l.Take(t.Context(), "quarry", "k", "r2")
+		_, err := l.Acquire(t.Context(), "quarry", "k", "r2")
 		return err == nil
 	}, 2*time.Second, 5*time.Millisecond)
 }
@@ -142,7 +142,7 @@
 			wg.Go(func() {
 				for n := 0; ctx.Err() == nil; n++ {
 					id := fmt.Sprintf("%d-%d-%d", e, c, n)
-					if _, err := l.Take(t.Context(), "quarry", id, id); err != nil {
+					if _, err := l.Acquire(t.Context(), "quarry", id, id); err != nil {
 						failed.Add(1)
 						continue
 					}
--- a/internal/ledger/trim.go
+++ b/internal/ledger/trim.go
@@ -15,26 +15,26 @@
 // trimRows bounds the rows that one transaction deletes: each has a condition.
 const trimRows = platform.MaxTxnRows / 2
 
-// Trimmer deletes claims that are older than they must be kept. It reads a page
+// Pruner deletes claims that are older than they must be kept. It reads a page
 // at a step, so that a table of any size is gone over with few reads a second.
 // Two trimmers at once do no harm: every delete is bound to the version that
 // was read. Not safe for concurrent use.
-type Trimmer struct {
+type Pruner struct {
 	table platform.Table
 	keep  time.Duration
 	after string
 }
 
-// NewTrimmer makes a trimmer that keeps claims for the duration. A key that is
+// NewPruner makes a trimmer that keeps claims for the duration. A key that is
 // repeated later runs again, so it is far longer than any caller repeats.
-func NewTrimmer(table platform.Table, keep time.Duration) *Trimmer {
-	return &Trimmer{table: table, keep: keep}
+func NewPruner(table platform.Table, keep time.Duration) *Pruner {
+	return &Pruner{table: table, keep: keep}
 }
 
 // Step looks at the next page and returns the claims deleted. After the last
 // page it starts again at the first. A transaction that does not commit, since
 // a claim was changed meanwhile, is left to the next round.
-func (t *Trimmer) Step(ctx context.Context, now time.Time) (int, error) {
+func (t *Pruner) Step(ctx context.Context, now time.Time) (int, error) {
 	rows, err := t.table.Range(ctx, keyPrefix, t.after, trimPage)
 	if err != nil {
 		return 0, eris.Wrap(err, "read claims")
@@ -67,7 +67,7 @@
 
 // due tells whether a claim is old enough. A row that can't be read stays: it
 // may stand for a call that ran.
-func (t *Trimmer) due(now time.Time, row platform.Row) bool {
+func (t *Pruner) due(now time.Time, row platform.Row) bool {
 	record, err := decode(row.Value)
 	if err != nil {
 		return false
--- a/internal/ledger/trim_test.go
+++ b/internal/ledger/trim_test.go
@@ -24,16 +24,16 @@
 	defer book.Close()
 	const old = 700
 	for i := range old {
-		_, err := book.Take(t.Context(), "w", fmt.Sprint("old-", i), "r")
+		_, err := book.Acquire(t.Context(), "w", fmt.Sprint("old-", i), "r")
 		require.NoError(t, err)
 	}
 	clock = clock.Add(40 * 24 * time.Hour)
-	_, err := book.Take(t.Context(), "w", "young", "r")
+	_, err := book.Acquire(t.Context(), "w", "young", "r")
 	require.NoError(t, err)
 	_, err = memory.Commit(t.Context(), platform.Txn{Puts: []platform.Put{{Key: "claim/w/unreadable", Value: []byte("?")}}})
 	require.NoError(t, err)
 
-	trimmer := ledger.NewTrimmer(memory, 30*24*time.Hour)
+	trimmer := ledger.NewPruner(memory, 30*24*time.Hour)
 	deleted := 0
 	for range 4 {
 		n, err := trimmer.Step(t.Context(), clock)
@@ -44,7 +44,7 @@
 	rows, err := memory.Range(context.Background(), "claim/", "", 10)
 	require.NoError(t, err)
 	assert.Len(t, rows, 2)
-	_, err = book.Take(t.Context(), "w", "young", "r2")
+	_, err = book.Acquire(t.Context(), "w", "young", "r2")
 	var duplicate *ledger.DuplicateError
 	require.ErrorAs(t, err, &duplicate)
 }
@@ -52,6 +52,6 @@
 func TestTrimmingWaitsOutAnOutage(t *testing.T) {
 	memory := platformtest.New()
 	memory.SetDown(true)
-	_, err := ledger.NewTrimmer(memory, time.Hour).Step(t.Context(), time.Unix(0, 0))
+	_, err := ledger.NewPruner(memory, time.Hour).Step(t.Context(), time.Unix(0, 0))
 	require.ErrorIs(t, err, platform.ErrUnavailable)
 }
--- a/internal/membership/facts.go
+++ b/internal/membership/facts.go
@@ -32,7 +32,7 @@
 }
 
 func (f *facts) draining() bool {
-	return f.operatorDraining || f.agentDraining || f.peerDraining || f.vm == platform.VMLeaving
+	return f.operatorDraining || f.agentDraining || f.peerDraining || f.vm == platform.VMDraining
 }
 
 // gone does not rely on the platform's list alone, which lags: a request that
@@ -109,7 +109,7 @@
 			m.applyFacts(now, b)
 		}
 	}
-	if !list.Whole {
+	if !list.Complete {
 		return
 	}
 	for _, b := range m.members {
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -48,10 +48,10 @@
 			m.ReceivePeerUpdates(start, []*jayv1.MemberNews{{Name: "b00", State: membership.StateDraining, AgeMs: 500}})
 		},
 		"VM list by name": func(m *membership.Members) {
-			m.ReceiveVMs(start, platform.VMList{VMs: []platform.VM{{Name: "b00", State: platform.VMLeaving}}})
+			m.ReceiveVMs(start, platform.VMList{VMs: []platform.VM{{Name: "b00", State: platform.VMDraining}}})
 		},
 		"VM list by address": func(m *membership.Members) {
-			m.ReceiveVMs(start, platform.VMList{VMs: []platform.VM{{Name: "vm-7", Address: "10.0.0.0", State: platform.VMLeaving}}})
+			m.ReceiveVMs(start, platform.VMList{VMs: []platform.VM{{Name: "vm-7", Address: "10.0.0.0", State: platform.VMDraining}}})
 		},
 		"operator": func(m *membership.Members) {
 			m.SetServers(start, []membership.Server{{Name: "b00", Group: "pool/p", Draining: true}})
@@ -75,7 +75,7 @@
 	m, _ := pool(3)
 	m.ReceiveAgentState(start, "b00", &jayv1.AgentState{Incarnation: 4, Leaving: true})
 	m.ReceiveAgentState(start.Add(time.Second), "b00", &jayv1.AgentState{Incarnation: 4})
-	m.ReceiveVMs(start.Add(time.Second), platform.VMList{Whole: true, VMs: []platform.VM{{Name: "b00", State: platform.VMLive}}})
+	m.ReceiveVMs(start.Add(time.Second), platform.VMList{Complete: true, VMs: []platform.VM{{Name: "b00", State: platform.VMLive}}})
 	assert.False(t, m.Usable("b00"))
 
 	m.ReceiveAgentState(start.Add(2*time.Second), "b00", &jayv1.AgentState{Incarnation: 5})
@@ -93,8 +93,8 @@
 // or gives its name to another VM.
 func TestAServerThatAnswersIsNotGoneByTheListAlone(t *testing.T) {
 	m, _ := pool(3)
-	m.ReceiveVMs(start, platform.VMList{Whole: true, VMs: []platform.VM{{Name: "b00", State: platform.VMLive}}})
-	m.ReceiveVMs(start.Add(time.Second), platform.VMList{Whole: true, VMs: []platform.VM{{Name: "b09", State: platform.VMLive}}})
+	m.ReceiveVMs(start, platform.VMList{Complete: true, VMs: []platform.VM{{Name: "b00", State: platform.VMLive}}})
+	m.ReceiveVMs(start.Add(time.Second), platform.VMList{Complete: true, VMs: []platform.VM{{Name: "b09", State: platform.VMLive}}})
 	assert.Equal(t, membership.StateGone, m.State("b00"))
 	assert.True(t, m.Usable("b01"), "a server whose VM was never listed is not gone")
 	m.Succeeded(start.Add(2*time.Second), "b00")
@@ -202,7 +202,7 @@
 			case 2:
 				m.ReceiveAgentState(now, name, &jayv1.AgentState{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "agent incarnation"), Leaving: rapid.Bool().Draw(t, "leaving")})
 			case 3:
-				state := rapid.SampledFrom([]platform.VMState{platform.VMLive, platform.VMLeaving, platform.VMGone}).Draw(t, "vm")
+				state := rapid.SampledFrom([]platform.VMState{platform.VMLive, platform.VMDraining, platform.VMGone}).Draw(t, "vm")
 				m.ReceiveVMs(now, platform.VMList{VMs: []platform.VM{{Name: name, State: state, Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation")}}})
 			case 4:
 				m.ReceivePeerUpdates(now, []*jayv1.MemberNews{{Name: name, State: membership.StateDraining}})
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -88,9 +88,9 @@
 
 // The states of a VM in the platform's list.
 const (
-	VMLive    VMState = "live"
-	VMLeaving VMState = "leaving"
-	VMGone    VMState = "gone"
+	VMLive     VMState = "live"
+	VMDraining VMState = "leaving"
+	VMGone     VMState = "gone"
 )
 
 // VM is one entry of the platform's list.
@@ -109,9 +109,9 @@
 // VMList is a part of the list.
 type VMList struct {
 	Revision uint64 `json:"revision"`
-	// Whole: VMs holds the whole list, not only the changes since the revision asked for.
-	Whole bool `json:"whole"`
-	VMs   []VM `json:"vms"`
+	// Complete: VMs holds the whole list, not only the changes since the revision asked for.
+	Complete bool `json:"whole"`
+	VMs      []VM `json:"vms"`
 }
 
 // VMs is the platform's list of live and leaving VMs. It lags, by seconds as a
--- a/internal/platform/platformtest/memory.go
+++ b/internal/platform/platformtest/memory.go
@@ -56,8 +56,8 @@
 	m.down = down
 }
 
-// SetDownLater starts an outage after the commit under way; for use in a fault.
-func (m *Memory) SetDownLater() {
+// SetDownAfterCommit starts an outage after the commit under way; for use in a fault.
+func (m *Memory) SetDownAfterCommit() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.downLater = true
@@ -82,7 +82,7 @@
 func (m *Memory) SetVMs(vms []platform.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.vms = platform.VMList{Revision: m.vms.Revision + 1, Whole: true, VMs: vms}
+	m.vms = platform.VMList{Revision: m.vms.Revision + 1, Complete: true, VMs: vms}
 }
 
 // Get implements platform.Table.
--- a/internal/settings/describe.go
+++ b/internal/settings/describe.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Entry is one setting as the operators' page shows it.
-type Entry struct {
+// Setting is one setting as the operators' page shows it.
+type Setting struct {
 	// Key is dotted, as in the file's tables.
 	Key     string
 	Unit    string
@@ -20,12 +20,12 @@
 
 // Describe lists the settings of a struct that holds the defaults, in the
 // order of its fields. Fields without a toml name are not settings.
-func Describe(defaults any) []Entry {
+func Describe(defaults any) []Setting {
 	return describe("", reflect.Indirect(reflect.ValueOf(defaults)))
 }
 
-func describe(table string, value reflect.Value) []Entry {
-	var entries []Entry
+func describe(table string, value reflect.Value) []Setting {
+	var entries []Setting
 	for i := range value.NumField() {
 		field := value.Type().Field(i)
 		name := strings.Split(field.Tag.Get("toml"), ",")[0]
@@ -37,7 +37,7 @@
 			entries = append(entries, describe(key, value.Field(i))...)
 			continue
 		}
-		entries = append(entries, Entry{
+		entries = append(entries, Setting{
 			Key: key, Unit: field.Tag.Get("unit"), Default: defaultText(value.Field(i)),
 			Rule: field.Tag.Get("validate"), Doc: field.Tag.Get("doc"),
 		})
--- a/internal/spread/exchange.go
+++ b/internal/spread/exchange.go
@@ -245,7 +245,7 @@
 		klog.V(1).InfoS("VM list not read", "process", s.options.Self.String(), "err", err)
 		return
 	}
-	if len(list.VMs) == 0 && !list.Whole {
+	if len(list.VMs) == 0 && !list.Complete {
 		return
 	}
 	s.mu.Lock()
@@ -265,7 +265,7 @@
 		return
 	}
 	s.vmsRev = list.Revision
-	if list.Whole {
+	if list.Complete {
 		clear(s.vms)
 	}
 	for _, vm := range list.VMs {
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -140,9 +140,9 @@
 	p.SetVM(platform.VM{Name: "b", State: platform.VMLive})
 	list, err := client.List(ctx, 0)
 	require.NoError(t, err)
-	require.True(t, list.Whole)
+	require.True(t, list.Complete)
 	require.Len(t, list.VMs, 2)
-	p.SetVM(platform.VM{Name: "b", State: platform.VMLeaving})
+	p.SetVM(platform.VM{Name: "b", State: platform.VMDraining})
 	p.SetFaults(standin.Faults{VMLagMS: 3_600_000})
 	late, err := client.List(ctx, list.Revision)
 	require.NoError(t, err)
@@ -150,8 +150,8 @@
 	p.SetFaults(standin.Faults{})
 	delta, err := client.List(ctx, list.Revision)
 	require.NoError(t, err)
-	assert.False(t, delta.Whole)
-	assert.Equal(t, []platform.VM{{Name: "b", State: platform.VMLeaving}}, delta.VMs)
+	assert.False(t, delta.Complete)
+	assert.Equal(t, []platform.VM{{Name: "b", State: platform.VMDraining}}, delta.VMs)
 }
 
 func TestFaultsBySwitchAreStrict(t *testing.T) {
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -172,7 +172,7 @@
 			merged[change.vm.Name] = change.vm
 		}
 	}
-	return platform.VMList{Revision: shown, Whole: whole, VMs: sortedVMs(merged)}
+	return platform.VMList{Revision: shown, Complete: whole, VMs: sortedVMs(merged)}
 }
 
 func sortedVMs(merged map[string]platform.VM) []platform.VM {
--- a/internal/testsources/testsources.go
+++ b/internal/testsources/testsources.go
@@ -14,13 +14,13 @@
 // dirs hold all that the programs are built from, below the repository's root.
 var dirs = []string{"cmd", "internal", "platform", "charts", "api/gen"}
 
-// Note looks at all sources, once. The go command keeps a test's result until a
+// TrackSources looks at all sources, once. The go command keeps a test's result until a
 // file changes that the running test looked at; an import of the program's
 // packages is not enough: what the linker takes out of the test's own binary, a
 // constant for one, changes nothing there, and a test passed from the cache that
 // failed in fact. It must be called from a test: what is looked at before the
 // first one starts does not count.
-func Note(t testing.TB, root string) {
+func TrackSources(t testing.TB, root string) {
 	t.Helper()
 	once.Do(func() {
 		for _, dir := range dirs {
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -13,37 +13,37 @@
 
 // Limits of the wait.
 type Limits struct {
-	// Waiting is the number of requests that wait at once. Nothing is known yet
+	// MaxWaiting is the number of requests that wait at once. Nothing is known yet
 	// by which to tell a caller from a stranger, so only their number bounds the
 	// memory that they take.
-	Waiting int
-	// Patience is the longest wait of one request.
-	Patience time.Duration
+	MaxWaiting int
+	// Timeout is the longest wait of one request.
+	Timeout time.Duration
 }
 
-// Search is how far the process has come in finding its first configuration.
-type Search int
+// ConfigState is how far the process has come in finding its first configuration.
+type ConfigState int
 
-// The states of a search. It ends Found or Fruitless; a configuration that
-// comes after a fruitless search makes it Found.
+// The states of a search. It ends Loaded or NotFound; a configuration that
+// comes after a fruitless search makes it Loaded.
 const (
-	Running Search = iota
-	Found
-	Fruitless
+	Loading ConfigState = iota
+	Loaded
+	NotFound
 )
 
-// Verdict is what becomes of a request.
-type Verdict int
+// Decision is what becomes of a request.
+type Decision int
 
 // The verdicts. A request that waits asks again when the search has moved on or
 // its patience is over.
 const (
-	Serve Verdict = iota
+	Serve Decision = iota
 	Wait
-	// TurnAwayUnknown: the search has found nothing, so that a wait would be in vain.
-	TurnAwayUnknown
-	// TurnAwayFull: as many wait as may.
-	TurnAwayFull
+	// RejectUnconfigured: the search has found nothing, so that a wait would be in vain.
+	RejectUnconfigured
+	// RejectFull: as many wait as may.
+	RejectFull
 )
 
 // Gate counts the requests that wait.
@@ -55,27 +55,27 @@
 // NewGate returns a gate with nobody waiting.
 func NewGate(limits Limits) *Gate { return &Gate{limits: limits} }
 
-// Arrive judges a request that just came. One that waits is counted until Leave.
-func (g *Gate) Arrive(search Search) Verdict {
+// Admit judges a request that just came. One that waits is counted until Leave.
+func (g *Gate) Admit(search ConfigState) Decision {
 	switch {
-	case search == Found:
+	case search == Loaded:
 		return Serve
-	case search == Fruitless:
-		return TurnAwayUnknown
-	case g.waiting >= g.limits.Waiting:
-		return TurnAwayFull
+	case search == NotFound:
+		return RejectUnconfigured
+	case g.waiting >= g.limits.MaxWaiting:
+		return RejectFull
 	}
 	g.waiting++
 	return Wait
 }
 
-// Again judges a request that has waited for so long.
-func (g *Gate) Again(search Search, waited time.Duration) Verdict {
+// Recheck judges a request that has waited for so long.
+func (g *Gate) Recheck(search ConfigState, waited time.Duration) Decision {
 	switch {
-	case search == Found:
+	case search == Loaded:
 		return Serve
-	case search == Fruitless, waited >= g.limits.Patience:
-		return TurnAwayUnknown
+	case search == NotFound, waited >= g.limits.Timeout:
+		return RejectUnconfigured
 	}
 	return Wait
 }
@@ -86,5 +86,5 @@
 // Waiting is the number of requests that wait now.
 func (g *Gate) Waiting() int { return g.waiting }
 
-// Patience is the longest wait of one request.
-func (g *Gate) Patience() time.Duration { return g.limits.Patience }
+// Timeout is the longest wait of one request.
+func (g *Gate) Timeout() time.Duration { return g.limits.Timeout }
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -8,41 +8,41 @@
 )
 
 func TestVerdicts(t *testing.T) {
-	limits := Limits{Waiting: 2, Patience: time.Second}
+	limits := Limits{MaxWaiting: 2, Timeout: time.Second}
 	arrivals := []struct {
 		name    string
-		search  Search
+		search  ConfigState
 		waiting int
-		want    Verdict
+		want    Decision
 	}{
-		{"configuration known", Found, 0, Serve},
-		{"known while others still leave", Found, 2, Serve},
-		{"still searching", Running, 0, Wait},
-		{"the last place", Running, 1, Wait},
-		{"no place", Running, 2, TurnAwayFull},
-		{"nothing found", Fruitless, 0, TurnAwayUnknown},
+		{"configuration known", Loaded, 0, Serve},
+		{"known while others still leave", Loaded, 2, Serve},
+		{"still searching", Loading, 0, Wait},
+		{"the last place", Loading, 1, Wait},
+		{"no place", Loading, 2, RejectFull},
+		{"nothing found", NotFound, 0, RejectUnconfigured},
 	}
 	for _, tt := range arrivals {
 		t.Run(tt.name, func(t *testing.T) {
 			g := NewGate(limits)
 			g.waiting = tt.waiting
-			assert.Equal(t, tt.want, g.Arrive(tt.search))
+			assert.Equal(t, tt.want, g.Admit(tt.search))
 		})
 	}
 	waits := []struct {
 		name   string
-		search Search
+		search ConfigState
 		waited time.Duration
-		want   Verdict
+		want   Decision
 	}{
-		{"found", Found, 2 * time.Second, Serve},
-		{"nothing yet", Running, 999 * time.Millisecond, Wait},
-		{"patience over", Running, time.Second, TurnAwayUnknown},
-		{"search over", Fruitless, time.Millisecond, TurnAwayUnknown},
+		{"found", Loaded, 2 * time.Second, Serve},
+		{"nothing yet", Loading, 999 * time.Millisecond, Wait},
+		{"patience over", Loading, time.Second, RejectUnconfigured},
+		{"search over", NotFound, time.Millisecond, RejectUnconfigured},
 	}
 	for _, tt := range waits {
 		t.Run(tt.name, func(t *testing.T) {
-			assert.Equal(t, tt.want, NewGate(limits).Again(tt.search, tt.waited))
+			assert.Equal(t, tt.want, NewGate(limits).Recheck(tt.search, tt.waited))
 		})
 	}
 }
@@ -57,7 +57,7 @@
 		flood     = 40 * perSecond
 		search    = 1500 * time.Millisecond
 	)
-	limits := Limits{Waiting: 1000, Patience: 2 * time.Second}
+	limits := Limits{MaxWaiting: 1000, Timeout: 2 * time.Second}
 	for _, tt := range []struct {
 		name string
 		rate int
@@ -68,14 +68,14 @@
 			step := time.Second / time.Duration(tt.rate)
 			turnedAway := 0
 			for at := time.Duration(0); at < search; at += step {
-				if g.Arrive(Running) != Wait {
+				if g.Admit(Loading) != Wait {
 					turnedAway++
 				}
 			}
-			assert.LessOrEqual(t, g.Waiting(), limits.Waiting)
+			assert.LessOrEqual(t, g.Waiting(), limits.MaxWaiting)
 			assert.Equal(t, tt.full, turnedAway > 0)
 			for g.Waiting() > 0 {
-				assert.Equal(t, Serve, g.Again(Found, search))
+				assert.Equal(t, Serve, g.Recheck(Loaded, search))
 				g.Leave()
 			}
 		})
--- a/test/history/ledger_test.go
+++ b/test/history/ledger_test.go
@@ -73,7 +73,7 @@
 	if kill == killedBeforeClaim {
 		return heardNothing
 	}
-	claim, err := l.Take(w.t.Context(), "quarry", key, request)
+	claim, err := l.Acquire(w.t.Context(), "quarry", key, request)
 	var duplicate *ledger.DuplicateError
 	switch {
 	case errors.As(err, &duplicate) && duplicate.First.State == ledger.StateDone:
@@ -92,7 +92,7 @@
 	if kill == killedAfterRun {
 		return heardNothing
 	}
-	_ = l.Done(w.t.Context(), claim)
+	_ = l.Complete(w.t.Context(), claim)
 	if kill == killedAfterDone {
 		return heardNothing
 	}
@@ -118,7 +118,7 @@
 	w.table.OnCommit(faults(seed))
 	var ledgers []*ledger.Ledger
 	for range entries {
-		l := ledger.New(w.table, ledger.Options{Window: time.Millisecond, Settle: 200 * time.Millisecond})
+		l := ledger.New(w.table, ledger.Options{Window: time.Millisecond, Timeout: 200 * time.Millisecond})
 		defer l.Close()
 		ledgers = append(ledgers, l)
 	}
--- a/test/scenario/main_test.go
+++ b/test/scenario/main_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestScenarios(t *testing.T) {
-	testsources.Note(t, "../..")
+	testsources.TrackSources(t, "../..")
 	slots := make(chan struct{}, scriptsAtOnce)
 	testscript.Run(t, testscript.Params{
 		Dir:             "testdata",
--- a/tools/recovery/main.go
+++ b/tools/recovery/main.go
@@ -76,7 +76,7 @@
 func main() {
 	rounds := flag.Int("rounds", 5, "times that each failure is caused")
 	flag.Parse()
-	cli.SilenceLogs()
+	cli.DiscardLogs()
 	if err := measure(*rounds); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
--- a/tools/slopes/agent.go
+++ b/tools/slopes/agent.go
@@ -123,7 +123,7 @@
 	for worker := range claimants {
 		wg.Go(func() {
 			for i := worker; i < n; i += claimants {
-				if _, err := book.Take(context.Background(), "w", fmt.Sprint("key-", i), "request"); err != nil {
+				if _, err := book.Acquire(context.Background(), "w", fmt.Sprint("key-", i), "request"); err != nil {
 					faults <- err
 					return
 				}
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -32,7 +32,7 @@
 	seed := flag.Uint64("seed", 1, "seed of faults and callers")
 	callers := flag.Int("callers", 24, "callers at once")
 	flag.Parse()
-	cli.SilenceLogs()
+	cli.DiscardLogs()
 	faults, err := run(*length, *seed, *callers)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
