--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -2,35 +2,42 @@
 
 import "sort"
 
-// classQueue holds the waiting requests of one class, one flow a workspace.
+// classQueue holds the waiting requests of one class, with one flow per
+// workspace. It implements weighted fair queueing: virtual time is counted in
+// tokens served per unit of weight.
 type classQueue struct {
 	flows map[string]*flow
-	// count of waiting requests.
+	// count is the number of waiting requests.
 	count int
-	// virtual time: tokens per weight that the furthest served flow has had.
+	// virtual is the virtual time of the class: the highest virtual time at
+	// which a flow was served.
 	virtual float64
-	// owed is the work, in tokens, that the class may start out of its rank.
-	owed float64
+	// credit is the work, in tokens, that the class may start ahead of higher
+	// classes.
+	credit float64
 }
 
-// burstRequests is how many requests a workspace that was idle may start ahead
-// of workspaces that are always waiting.
+// burstRequests is the number of requests that a previously idle workspace may
+// start ahead of workspaces that always have requests waiting.
 const burstRequests = 16
 
-// idleFlows may be kept without being looked at.
-const idleFlows = 64
+// maxIdleFlows is the number of flows without requests that is tolerated before
+// idle flows are dropped.
+const maxIdleFlows = 64
 
-// flow is one workspace's part of a class: its requests in order of arrival
-// and the tokens per weight that it has been served.
+// flow holds the requests of one workspace in a class, in order of arrival.
 type flow struct {
-	weight  float64
+	weight float64
+	// virtual is the flow's virtual time: the tokens per unit of weight that it
+	// has been served.
 	virtual float64
-	// burst is the head start of the latest request to join.
+	// burst is the burst allowance, in virtual time, of the request that last
+	// joined the empty flow.
 	burst float64
-	queue []*waiter
+	queue []*waitingRequest
 }
 
-func (c *classQueue) push(w *waiter) {
+func (c *classQueue) push(w *waitingRequest) {
 	f := c.flows[w.Workspace]
 	if f == nil {
 		f = &flow{}
@@ -38,22 +45,22 @@
 	}
 	f.weight = float64(w.Weight)
 	if len(f.queue) == 0 {
-		f.virtual = max(f.virtual, c.joinAt(w))
-		f.burst = c.virtual - c.joinAt(w)
+		f.virtual = max(f.virtual, c.joinTime(w))
+		f.burst = c.virtual - c.joinTime(w)
 	}
 	f.queue = append(f.queue, w)
 	c.count++
 }
 
-// joinAt is the virtual time at which a workspace that had nothing waiting
-// joins: a burst of requests ahead of those that are always waiting, so that a
-// workspace below its share need not queue behind one above it. It does not
-// save up more than that while it is idle.
-func (c *classQueue) joinAt(w *waiter) float64 {
+// joinTime returns the virtual time at which a workspace without waiting
+// requests joins: burstRequests ahead of the class, so that a workspace below
+// its share does not queue behind one above it. An idle workspace saves up no
+// more than this burst.
+func (c *classQueue) joinTime(w *waitingRequest) float64 {
 	return c.virtual - burstRequests*w.Tokens/float64(w.Weight)
 }
 
-func (c *classQueue) remove(w *waiter) {
+func (c *classQueue) remove(w *waitingRequest) {
 	c.count--
 	f := c.flows[w.Workspace]
 	for i, candidate := range f.queue {
@@ -64,9 +71,10 @@
 	}
 }
 
-// next returns the first ready request of the flow that has had the least.
-func (c *classQueue) next() *waiter {
-	var best *waiter
+// next returns the first ready request of the flow with the lowest virtual
+// time, nil if no request is ready.
+func (c *classQueue) next() *waitingRequest {
+	var best *waitingRequest
 	var bestVirtual float64
 	for _, f := range c.flows {
 		w := f.firstReady()
@@ -82,19 +90,21 @@
 	return best
 }
 
-// served charges a request that starts to its workspace.
-func (c *classQueue) served(w *waiter) {
+// charge adds the cost of a starting request to its flow and takes it from the
+// credit of the class.
+func (c *classQueue) charge(w *waitingRequest) {
 	f := c.flows[w.Workspace]
 	c.virtual = max(c.virtual, f.virtual)
 	f.virtual += w.Tokens / f.weight
-	c.owed = max(0, c.owed-w.Tokens)
-	c.forgetIdle()
+	c.credit = max(0, c.credit-w.Tokens)
+	c.dropIdle()
 }
 
-// forgetIdle drops flows without requests that say no more than a new one:
-// they would join where it does. Flows are looked at when there are many.
-func (c *classQueue) forgetIdle() {
-	if len(c.flows) < 2*c.count+idleFlows {
+// dropIdle deletes flows without requests whose virtual time is so far behind
+// that a new flow would join at the same point. It scans the flows only if
+// there are many.
+func (c *classQueue) dropIdle() {
+	if len(c.flows) < 2*c.count+maxIdleFlows {
 		return
 	}
 	for name, f := range c.flows {
@@ -104,46 +114,47 @@
 	}
 }
 
-// last returns the request that would start last, and its place in virtual time.
-func (c *classQueue) last() (*waiter, float64) {
-	var worst *waiter
-	var worstPlace float64
+// last returns the request that would start last and the virtual time at which
+// it would start, nil if no request waits.
+func (c *classQueue) last() (*waitingRequest, float64) {
+	var latest *waitingRequest
+	var latestStart float64
 	for _, f := range c.flows {
 		if len(f.queue) == 0 {
 			continue
 		}
 		w := f.queue[len(f.queue)-1]
-		place := f.place() - w.Tokens/f.weight
-		tie := worst != nil && place == worstPlace && before(worst, w)
-		if worst == nil || place > worstPlace || tie {
-			worst, worstPlace = w, place
+		start := f.finishTime() - w.Tokens/f.weight
+		tie := latest != nil && start == latestStart && before(latest, w)
+		if latest == nil || start > latestStart || tie {
+			latest, latestStart = w, start
 		}
 	}
-	return worst, worstPlace
+	return latest, latestStart
 }
 
-// placeOf is the virtual time at which the request would start.
-func (c *classQueue) placeOf(w *waiter) float64 {
+// startTime returns the virtual time at which a new request would start.
+func (c *classQueue) startTime(w *waitingRequest) float64 {
 	f := c.flows[w.Workspace]
 	if f == nil {
-		return c.joinAt(w)
+		return c.joinTime(w)
 	}
 	if len(f.queue) == 0 {
-		return max(f.virtual, c.joinAt(w))
+		return max(f.virtual, c.joinTime(w))
 	}
-	return f.place()
+	return f.finishTime()
 }
 
-// place is the flow's virtual time once all that waits in it was served.
-func (f *flow) place() float64 {
-	place := f.virtual
+// finishTime returns the flow's virtual time after all its waiting requests.
+func (f *flow) finishTime() float64 {
+	finish := f.virtual
 	for _, w := range f.queue {
-		place += w.Tokens / f.weight
+		finish += w.Tokens / f.weight
 	}
-	return place
+	return finish
 }
 
-func (f *flow) firstReady() *waiter {
+func (f *flow) firstReady() *waitingRequest {
 	for _, w := range f.queue {
 		if w.ready {
 			return w
@@ -153,8 +164,8 @@
 }
 
 // all returns the waiting requests in order of arrival.
-func (c *classQueue) all() []*waiter {
-	var all []*waiter
+func (c *classQueue) all() []*waitingRequest {
+	var all []*waitingRequest
 	for _, f := range c.flows {
 		all = append(all, f.queue...)
 	}
@@ -162,9 +173,9 @@
 	return all
 }
 
-// before orders requests that are equal otherwise, so that decisions do not
-// depend on the order of a map.
-func before(a, b *waiter) bool {
+// before orders requests by arrival, then by ID. It breaks ties, so that
+// decisions do not depend on the iteration order of a map.
+func before(a, b *waitingRequest) bool {
 	if !a.offered.Equal(b.offered) {
 		return a.offered.Before(b.offered)
 	}
--- a/internal/admission/load_test.go
+++ b/internal/admission/load_test.go
@@ -15,26 +15,27 @@
 	"github.com/jayproxy/jayproxy/internal/admission"
 )
 
-// source is an open-loop stream of requests of one workspace.
+// source is an open-loop arrival process of requests of one workspace. every is
+// the mean time between arrivals.
 type source struct {
 	workspace string
 	class     jayv1.Class
 	every     time.Duration
 }
 
-type happening struct {
+type event struct {
 	at     time.Time
-	source int // -1: the running request id ends
+	source int // index of the source that sends a request; -1 if the request id ends
 	id     string
 }
 
-type happenings []happening
+type eventHeap []event
 
-func (h happenings) Len() int           { return len(h) }
-func (h happenings) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
-func (h happenings) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)        { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
+func (h eventHeap) Len() int           { return len(h) }
+func (h eventHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h eventHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)        { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -43,22 +44,22 @@
 
 const serviceTime = 100 * time.Millisecond
 
-// simulate runs sources against a queue in virtual time and returns the waits
-// of started requests and the number of refusals, by workspace.
+// simulate runs sources against a queue in simulated time and returns the waits
+// of started requests in milliseconds and the number of refusals, by workspace.
 func simulate(options admission.Options, length time.Duration, sources ...source) (waits map[string][]float64, refused map[string]int) {
 	random := rand.New(rand.NewPCG(1, 2))
 	q := admission.New(options)
 	waits, refused = map[string][]float64{}, map[string]int{}
 	owner := map[string]string{}
-	var todo happenings
+	var events eventHeap
 	gap := func(mean time.Duration) time.Duration { return time.Duration(random.ExpFloat64() * float64(mean)) }
 	for i, s := range sources {
-		heap.Push(&todo, happening{at: epoch.Add(gap(s.every)), source: i})
+		heap.Push(&events, event{at: epoch.Add(gap(s.every)), source: i})
 	}
 	count := 0
-	for len(todo) > 0 {
-		now := todo[0].at
-		next := heap.Pop(&todo).(happening)
+	for len(events) > 0 {
+		now := events[0].at
+		next := heap.Pop(&events).(event)
 		if now.After(epoch.Add(length)) {
 			break
 		}
@@ -67,7 +68,7 @@
 			actions = q.Done(now, next.id)
 		} else {
 			s := sources[next.source]
-			heap.Push(&todo, happening{at: now.Add(gap(s.every)), source: next.source})
+			heap.Push(&events, event{at: now.Add(gap(s.every)), source: next.source})
 			count++
 			id := fmt.Sprint(count)
 			owner[id] = s.workspace
@@ -84,7 +85,7 @@
 				continue
 			}
 			waits[workspace] = append(waits[workspace], float64(action.Waited)/float64(time.Millisecond))
-			heap.Push(&todo, happening{at: now.Add(gap(serviceTime)), source: -1, id: action.ID})
+			heap.Push(&events, event{at: now.Add(gap(serviceTime)), source: -1, id: action.ID})
 		}
 	}
 	return waits, refused
@@ -95,9 +96,9 @@
 	return values[int(float64(len(values)-1)*p)]
 }
 
-// One workspace sends ten times its share. The foreman of another would wait
-// behind it, although nothing about his own traffic has changed.
-func TestGreedyWorkspaceDoesNotMoveTheOthersWaits(t *testing.T) {
+// Guards against a workspace that sends ten times its share and delays the
+// requests of other workspaces.
+func TestGreedyWorkspaceDoesNotDelayOthers(t *testing.T) {
 	const slots = 8
 	capacity := serviceTime / slots // mean time between ends when all slots are busy
 	load := func(times time.Duration) float64 {
@@ -116,9 +117,9 @@
 		return percentile(others, 0.99)
 	}
 	modest, greedy := load(1), load(10)
-	t.Logf("p99 wait of the others: %.0f ms with the greedy one at its share, %.0f ms at 10 times", modest, greedy)
-	// Without preemption a saturated server costs the others the time until a
-	// slot is free, whatever the order. Plain fair queueing gave 384 ms here.
+	t.Logf("p99 wait of other workspaces: %.0f ms with the greedy one at its share, %.0f ms at 10 times its share", modest, greedy)
+	// Running requests are not preempted, so on a saturated server the others
+	// wait somewhat longer for a free slot, whatever the order.
 	assert.Less(t, greedy, modest*1.35)
 }
 
@@ -138,10 +139,10 @@
 	assert.Greater(t, float64(len(waits["batch"])), 0.05*float64(total))
 }
 
-// A caller that was told to come back in two seconds is turned away again
-// then: the figure must be the rate at which the queue really drains.
-func TestRetryAfterIsTheMeasuredDrain(t *testing.T) {
-	const slots, length = 4, 9 // too short to keep places for lower classes
+// Guards against a retry delay that is shorter than the queue takes to drain,
+// after which the caller would be refused again.
+func TestRetryAfterMatchesTheDrainRate(t *testing.T) {
+	const slots, length = 4, 9 // too short for reserved places of lower classes
 	q := admission.New(admission.Options{Slots: slots, Length: length})
 	var running []string
 	add := func(now time.Time, id string) {
@@ -156,7 +157,7 @@
 		done := running[0]
 		running = append(running[1:], started(q.Done(now, done))...)
 	}
-	for i := range 30 { // a steady state: one ends, one comes
+	for i := range 30 { // steady state: one request ends, one arrives
 		finish()
 		add(now, fmt.Sprint("s", i))
 	}
@@ -167,7 +168,7 @@
 		finish()
 	}
 	took := now.Sub(began)
-	t.Logf("told %v, the queue took %v", decision.RetryAfter, took)
+	t.Logf("retry after %v, the queue took %v to drain", decision.RetryAfter, took)
 	assert.InEpsilon(t, took.Seconds(), decision.RetryAfter.Seconds(), 0.15)
 }
 
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -6,19 +6,20 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// makeRoom sheds requests that are worth less than the newcomer until it fits.
-// False: it does not fit, and nothing was shed.
+// shedFor sheds waiting requests until the incoming one fits. It returns false
+// if that is not possible; then nothing was shed.
 //
-// Worth less is a lower class beyond its kept places, or in the same class the last request of a
-// workspace that waits with more than its share. The first keeps a flood of
-// batch work from turning breakdown calls away, the second keeps one greedy
-// workspace from filling the queue before the others arrive.
-func (q *Queue) makeRoom(now time.Time, newcomer *waiter) ([]Action, bool) {
-	var victims []*waiter
-	for q.taken(newcomer.rank) >= q.options.Length || q.bytes+newcomer.Bytes > q.options.Bytes {
-		victim := q.victim(newcomer)
+// Requests of a lower class beyond its reserved places are shed first, so that
+// a flood of batch requests does not cause interactive ones to be refused.
+// Then, in the same class, the last request of a workspace that uses more than
+// its share, so that one workspace does not fill the queue before others
+// arrive.
+func (q *Queue) shedFor(now time.Time, incoming *waitingRequest) ([]Action, bool) {
+	var victims []*waitingRequest
+	for q.unavailablePlaces(incoming.rank) >= q.options.Length || q.bytes+incoming.Bytes > q.options.Bytes {
+		victim := q.victim(incoming)
 		if victim == nil {
-			q.putBack(victims)
+			q.restore(victims)
 			return nil, false
 		}
 		q.remove(victim)
@@ -31,57 +32,59 @@
 	return actions, true
 }
 
-// taken counts the places that a newcomer of the rank can't have: those taken
-// and those kept for lower classes. The floor of the work would be worth
-// nothing to a class whose requests never get a place in a full queue.
-func (q *Queue) taken(rank int) int {
+// unavailablePlaces returns the number of places that a new request of the rank
+// cannot take: those in use and those reserved for lower classes. Without the
+// reservation a lower class would get no place in a full queue and could not
+// use its minimum share of the work.
+func (q *Queue) unavailablePlaces(rank int) int {
 	taken := 0
 	for r := range q.classes {
 		places := q.classes[r].count
 		if r > rank {
-			places = max(places, q.kept())
+			places = max(places, q.reservedPlaces())
 		}
 		taken += places
 	}
 	return taken
 }
 
-// kept is the number of places that each lower class has for itself.
-func (q *Queue) kept() int { return int(q.options.Floor * float64(q.options.Length)) }
+// reservedPlaces returns the number of places reserved for each lower class.
+func (q *Queue) reservedPlaces() int { return int(q.options.Floor * float64(q.options.Length)) }
 
-// putBack undoes the removal of victims. Each was the last of its workspace
-// when it was taken, so the reverse order restores the queue.
-func (q *Queue) putBack(victims []*waiter) {
+// restore adds removed victims to the queue again. Each was the last request of
+// its workspace when it was removed, so adding them in reverse order restores
+// the original order.
+func (q *Queue) restore(victims []*waitingRequest) {
 	for i := len(victims) - 1; i >= 0; i-- {
 		q.push(victims[i])
 	}
 }
 
-// victim returns the waiting request that is worth least, nil when none is
-// worth less than the newcomer.
-func (q *Queue) victim(newcomer *waiter) *waiter {
-	for rank := len(q.classes) - 1; rank > newcomer.rank; rank-- {
-		if q.classes[rank].count <= q.kept() {
+// victim returns the waiting request to shed first for the incoming one, nil if
+// there is none.
+func (q *Queue) victim(incoming *waitingRequest) *waitingRequest {
+	for rank := len(q.classes) - 1; rank > incoming.rank; rank-- {
+		if q.classes[rank].count <= q.reservedPlaces() {
 			continue
 		}
 		if w, _ := q.classes[rank].last(); w != nil {
 			return w
 		}
 	}
-	class := &q.classes[newcomer.rank]
-	w, place := class.last()
-	if w == nil || w.Workspace == newcomer.Workspace {
+	class := &q.classes[incoming.rank]
+	w, start := class.last()
+	if w == nil || w.Workspace == incoming.Workspace {
 		return nil
 	}
-	if place <= class.placeOf(newcomer) {
+	if start <= class.startTime(incoming) {
 		return nil
 	}
 	return w
 }
 
-// QueueMS is the expected wait of a new request of the class, in milliseconds:
-// the longer of the prefill work ahead and the wait for a slot. Both run at
-// the same time, as engines compute prompts beside the answers under way.
+// QueueMS returns the expected wait of a new request of the class, in
+// milliseconds: the longer of the prefill work ahead and the wait for a slot.
+// They overlap, because engines compute prompts while they generate answers.
 func (q *Queue) QueueMS(now time.Time, class jayv1.Class) float64 {
 	ahead, tokens := q.ahead(rankOf(class))
 	prefill := 0.0
@@ -96,7 +99,8 @@
 	return max(prefill, toMilliseconds(slot))
 }
 
-// CostMS is the expected time to the first token of a new request.
+// CostMS returns the expected time to the first token of a new request, in
+// milliseconds.
 func (q *Queue) CostMS(now time.Time, class jayv1.Class, tokens float64) float64 {
 	cost := q.QueueMS(now, class)
 	if q.tokensPerSecond > 0 {
@@ -105,8 +109,9 @@
 	return cost
 }
 
-// ahead counts the waiting requests that would start before a new one of the
-// rank, and the tokens to compute before it, those of running requests included.
+// ahead returns the number of waiting requests of the rank or higher, which
+// would start before a new one, and the tokens to compute before it, including
+// those of running requests.
 func (q *Queue) ahead(rank int) (requests int, tokens float64) {
 	for _, w := range q.waiting {
 		if w.rank <= rank {
@@ -122,55 +127,58 @@
 	return requests, tokens
 }
 
-// retryAfter is the time that the queue needs to serve what stands before a
-// request of the rank, at the rate it is measured to drain at.
+// retryAfter returns the time that the queue needs, at its measured drain rate,
+// to serve the requests ahead of a new one of the rank.
 func (q *Queue) retryAfter(now time.Time, rank int) time.Duration {
 	ahead, _ := q.ahead(rank)
 	wait := time.Duration(float64(ahead+1) * float64(q.drain.interval(now, q.options.Slots)))
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// drainMeter measures how long a busy backend server takes from one finished
-// request to the next.
+// drainMeter measures the interval between finished requests of a busy backend
+// server.
 type drainMeter struct {
-	// mean interval between ends while all slots were busy; 0: not seen yet.
-	mean float64
-	// service is the mean time in a slot, for the time before that.
-	service  float64
-	lastDone time.Time
+	// meanInterval is the mean interval between finished requests while all
+	// slots were busy, in nanoseconds; 0 if not measured yet.
+	meanInterval float64
+	// meanService is the mean time in a slot, in nanoseconds. It is used until
+	// meanInterval is measured.
+	meanService float64
+	lastDone    time.Time
 }
 
 const (
 	millisecondsPerSecond = 1000.0
-	// drainWeight of a new value in the running means.
-	drainWeight = 0.1
-	// unknownService stands in until a first request has ended.
-	unknownService = time.Second
+	// meanWeight is the weight of a new value in the moving means.
+	meanWeight = 0.1
+	// defaultServiceTime is assumed until a first request has ended.
+	defaultServiceTime = time.Second
 )
 
-// done counts an end. busy: all slots are taken again after it.
+// done records the end of a request. busy is true if all slots are in use again
+// after it.
 func (d *drainMeter) done(now time.Time, service time.Duration, busy bool) {
-	d.service = blend(d.service, float64(service))
+	d.meanService = movingMean(d.meanService, float64(service))
 	if !d.lastDone.IsZero() {
-		d.mean = blend(d.mean, float64(now.Sub(d.lastDone)))
+		d.meanInterval = movingMean(d.meanInterval, float64(now.Sub(d.lastDone)))
 	}
 	d.lastDone = now
 	if !busy {
-		// The pause until the next end will be a lack of work and say nothing.
+		// With free slots the next interval does not show the drain rate.
 		d.lastDone = time.Time{}
 	}
 }
 
-// interval is the expected time between two ends under load. An engine that
-// has stalled shows in the time since its last end, so that callers are not
-// told the rate of better times.
+// interval returns the expected time between two finished requests under load.
+// It is at least the time since the last one, so that the estimate grows while
+// the engine is stalled.
 func (d *drainMeter) interval(now time.Time, slots int) time.Duration {
-	mean := d.mean
-	if mean == 0 && d.service > 0 {
-		mean = d.service / float64(slots)
+	mean := d.meanInterval
+	if mean == 0 && d.meanService > 0 {
+		mean = d.meanService / float64(slots)
 	}
 	if mean == 0 {
-		mean = float64(unknownService) / float64(slots)
+		mean = float64(defaultServiceTime) / float64(slots)
 	}
 	if !d.lastDone.IsZero() {
 		mean = max(mean, float64(now.Sub(d.lastDone)))
@@ -178,13 +186,13 @@
 	return time.Duration(mean)
 }
 
-func blend(mean, value float64) float64 {
+func movingMean(mean, value float64) float64 {
 	if mean == 0 {
 		return value
 	}
-	return mean + drainWeight*(value-mean)
+	return mean + meanWeight*(value-mean)
 }
 
-func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func fromMilliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 func toMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -6,7 +6,8 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// ranks lists the classes from the first served to the first shed.
+// ranks lists the classes from the highest, which is served first, to the
+// lowest, which is shed first.
 var ranks = [...]jayv1.Class{
 	jayv1.Class_CLASS_INTERACTIVE,
 	jayv1.Class_CLASS_STANDARD,
@@ -26,38 +27,38 @@
 type Queue struct {
 	options Options
 	classes [len(ranks)]classQueue
-	waiting map[string]*waiter
-	running map[string]*runner
+	waiting map[string]*waitingRequest
+	running map[string]*runningRequest
 	bytes   int
 	drain   drainMeter
 	// tokensPerSecond is the engine's prefill rate; 0 while unknown.
 	tokensPerSecond float64
 }
 
-// waiter is a request that was accepted and has no slot yet.
-type waiter struct {
+// waitingRequest is an accepted request without a slot.
+type waitingRequest struct {
 	Request
 	rank    int
 	offered time.Time
-	// ready: the body is complete, so the request may start.
+	// ready is true once the body is complete and the request may start.
 	ready bool
 }
 
-// runner is a request in a slot.
-type runner struct {
+// runningRequest is a request in a slot.
+type runningRequest struct {
 	rank    int
 	tokens  float64
 	started time.Time
-	// prefilling until the first token came.
+	// prefilling is true until the engine returns the first token.
 	prefilling bool
 }
 
-// New makes a queue.
+// New returns an empty queue.
 func New(options Options) *Queue {
 	q := &Queue{
 		options: options.withDefaults(),
-		waiting: map[string]*waiter{},
-		running: map[string]*runner{},
+		waiting: map[string]*waitingRequest{},
+		running: map[string]*runningRequest{},
 	}
 	for rank := range q.classes {
 		q.classes[rank].flows = map[string]*flow{}
@@ -65,7 +66,8 @@
 	return q
 }
 
-// Configure changes slots and length; requests that run or wait stay.
+// Configure changes the number of slots and the queue length. Running and
+// waiting requests are kept, even if there are more of them than allowed.
 func (q *Queue) Configure(now time.Time, slots, length int) []Action {
 	if slots > 0 {
 		q.options.Slots = slots
@@ -76,10 +78,11 @@
 	return q.startReady(now)
 }
 
-// SetRate tells the engine's measured prompt tokens a second.
+// SetRate sets the engine's prefill rate in prompt tokens per second.
 func (q *Queue) SetRate(tokensPerSecond float64) { q.tokensPerSecond = tokensPerSecond }
 
-// Offer decides on a new request. Actions shed others to make room for it.
+// Offer decides whether to accept a new request. The returned actions refuse
+// waiting requests that are shed in its favour.
 func (q *Queue) Offer(now time.Time, req Request) (Decision, []Action) {
 	if req.Tokens < minTokens {
 		req.Tokens = minTokens
@@ -87,17 +90,17 @@
 	if req.Weight == 0 {
 		req.Weight = 1
 	}
-	w := &waiter{Request: req, rank: rankOf(req.Class), offered: now}
+	w := &waitingRequest{Request: req, rank: rankOf(req.Class), offered: now}
 	decision := Decision{CostMS: q.CostMS(now, req.Class, req.Tokens)}
 	if _, ok := q.waiting[req.ID]; ok || q.running[req.ID] != nil {
 		decision.Refusal = jayv1.Refusal_REFUSAL_DUPLICATE
 		return decision, nil
 	}
-	if decision.Refusal = q.judge(now, req, decision.CostMS); decision.Refusal != 0 {
+	if decision.Refusal = q.refusalFor(now, req, decision.CostMS); decision.Refusal != 0 {
 		decision.RetryAfter = q.retryAfter(now, w.rank)
 		return decision, nil
 	}
-	actions, ok := q.makeRoom(now, w)
+	actions, ok := q.shedFor(now, w)
 	if !ok {
 		decision.Refusal = jayv1.Refusal_REFUSAL_QUEUE_FULL
 		decision.RetryAfter = q.retryAfter(now, w.rank)
@@ -108,19 +111,20 @@
 	return decision, actions
 }
 
-// judge turns away what is not worth a place in the queue.
-func (q *Queue) judge(now time.Time, req Request, costMS float64) jayv1.Refusal {
-	if !req.Deadline.IsZero() && now.Add(milliseconds(costMS)).After(req.Deadline) {
+// refusalFor returns the reason to refuse a request that would miss its
+// deadline or costs too much here, 0 if there is none.
+func (q *Queue) refusalFor(now time.Time, req Request, costMS float64) jayv1.Refusal {
+	if !req.Deadline.IsZero() && now.Add(fromMilliseconds(costMS)).After(req.Deadline) {
 		return jayv1.Refusal_REFUSAL_DEADLINE
 	}
-	bound := req.NextBestMS*(1+q.options.CostMargin) + costSlackMS
+	bound := req.NextBestMS*(1+q.options.CostMargin) + costToleranceMS
 	if !req.Final && req.NextBestMS > 0 && costMS > bound {
 		return jayv1.Refusal_REFUSAL_COST
 	}
 	return 0
 }
 
-// Ready tells that the request's body is complete.
+// Ready reports that the request's body is complete.
 func (q *Queue) Ready(now time.Time, id string) []Action {
 	w, ok := q.waiting[id]
 	if !ok {
@@ -130,14 +134,15 @@
 	return q.startReady(now)
 }
 
-// FirstToken tells that the request's prompt is computed.
+// FirstToken reports that the request's prompt is computed.
 func (q *Queue) FirstToken(id string) {
 	if r, ok := q.running[id]; ok {
 		r.prefilling = false
 	}
 }
 
-// Done frees the slot of a request, whatever its end, or its place in the queue.
+// Done reports that a request ended for any reason, and frees its slot or its
+// place in the queue.
 func (q *Queue) Done(now time.Time, id string) []Action {
 	if w, ok := q.waiting[id]; ok {
 		q.remove(w)
@@ -153,7 +158,7 @@
 	return actions
 }
 
-// Tick refuses at once every waiting request whose deadline has passed.
+// Tick refuses every waiting request whose deadline has passed.
 func (q *Queue) Tick(now time.Time) []Action {
 	var actions []Action
 	for rank := range q.classes {
@@ -167,7 +172,8 @@
 	return append(actions, q.startReady(now)...)
 }
 
-// NextDeadline is when Tick is due; false when nothing waits with a deadline.
+// NextDeadline returns the time at which Tick must be called next, false if no
+// waiting request has a deadline.
 func (q *Queue) NextDeadline() (time.Time, bool) {
 	var next time.Time
 	for _, w := range q.waiting {
@@ -189,19 +195,19 @@
 	}
 }
 
-func (q *Queue) push(w *waiter) {
+func (q *Queue) push(w *waitingRequest) {
 	q.classes[w.rank].push(w)
 	q.waiting[w.ID] = w
 	q.bytes += w.Bytes
 }
 
-func (q *Queue) remove(w *waiter) {
+func (q *Queue) remove(w *waitingRequest) {
 	q.classes[w.rank].remove(w)
 	delete(q.waiting, w.ID)
 	q.bytes -= w.Bytes
 }
 
-func (q *Queue) refuse(now time.Time, w *waiter, refusal jayv1.Refusal) Action {
+func (q *Queue) refuse(now time.Time, w *waitingRequest, refusal jayv1.Refusal) Action {
 	return Action{
 		Kind: Refuse, ID: w.ID, Refusal: refusal,
 		RetryAfter: q.retryAfter(now, w.rank), Waited: now.Sub(w.offered),
@@ -211,41 +217,42 @@
 func (q *Queue) startReady(now time.Time) []Action {
 	var actions []Action
 	for len(q.running) < q.options.Slots {
-		w := q.pick()
+		w := q.nextToStart()
 		if w == nil {
 			break
 		}
 		q.remove(w)
-		q.running[w.ID] = &runner{rank: w.rank, tokens: w.Tokens, started: now, prefilling: true}
+		q.running[w.ID] = &runningRequest{rank: w.rank, tokens: w.Tokens, started: now, prefilling: true}
 		actions = append(actions, Action{Kind: Start, ID: w.ID, Waited: now.Sub(w.offered)})
 	}
 	return actions
 }
 
-// pick returns the request to start next, nil when none is ready.
+// nextToStart returns the request to start next, nil if none is ready.
 //
-// The highest class with ready work goes first, but a lower class that was
-// passed over is owed its floor of the work done meanwhile. Without the floor
-// a steady stream of the higher class would let the lower one wait for ever.
-func (q *Queue) pick() *waiter {
-	var best *waiter
+// The highest class with a ready request is served first. Whenever it is
+// served, each lower class with a ready request earns credit, and is served
+// first once its credit covers a request. Otherwise a steady stream of
+// requests of the higher class would starve the lower one.
+func (q *Queue) nextToStart() *waitingRequest {
+	var best *waitingRequest
 	for rank := range q.classes {
 		w := q.classes[rank].next()
 		if w == nil {
-			q.classes[rank].owed = 0
+			q.classes[rank].credit = 0
 			continue
 		}
-		if best == nil || q.classes[rank].owed >= w.Tokens {
+		if best == nil || q.classes[rank].credit >= w.Tokens {
 			best = w
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	q.classes[best.rank].served(best)
+	q.classes[best.rank].charge(best)
 	for rank := best.rank + 1; rank < len(q.classes); rank++ {
 		if q.classes[rank].next() != nil {
-			q.classes[rank].owed += q.options.Floor * best.Tokens
+			q.classes[rank].credit += q.options.Floor * best.Tokens
 		}
 	}
 	return best
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -39,8 +39,7 @@
 	return ids
 }
 
-// TestEveryRequestEndsOnceWithinTheBounds drives a queue by random steps and
-// follows what became of each request.
+// Runs random operations on a queue and compares its state with a model.
 func TestEveryRequestEndsOnceWithinTheBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		options := admission.Options{
@@ -87,7 +86,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond)
 				m.apply(t, q.Tick(now))
 				if next, ok := q.NextDeadline(); ok {
-					require.True(t, next.After(now), "a passed deadline is still waiting")
+					require.True(t, next.After(now), "a request still waits after its deadline")
 				}
 			},
 			"": func(t *rapid.T) {
@@ -122,14 +121,14 @@
 		}
 	}
 	if len(ids) == 1 {
-		t.Skip("none is " + state)
+		t.Skip("no request is " + state)
 	}
 	return rapid.SampledFrom(ids[1:]).Draw(t, "id")
 }
 
 func (m *model) apply(t *rapid.T, actions []admission.Action) {
 	for _, action := range actions {
-		require.Equal(t, "waiting", m.state[action.ID], "%s: second end", action.ID)
+		require.Equal(t, "waiting", m.state[action.ID], "%s: action on a request that does not wait", action.ID)
 		if action.Kind == admission.Start {
 			m.state[action.ID] = "running"
 			continue
@@ -151,8 +150,8 @@
 	assert.Equal(t, []string{"batch"}, started(q.Done(epoch, "standard")))
 }
 
-// A charity's month-end batch never ends: breakdown calls come so steadily
-// that there is always one to start before it.
+// Guards against a steady stream of interactive requests that starves a batch
+// request.
 func TestLowerClassIsNotStarved(t *testing.T) {
 	const floor = 0.1
 	q := admission.New(admission.Options{Slots: 1, Floor: floor})
@@ -161,7 +160,7 @@
 	running, starts := "first", 0
 	for running != "batch" {
 		starts++
-		require.LessOrEqual(t, starts, int(1/floor)+1, "the batch request waits for ever")
+		require.LessOrEqual(t, starts, int(1/floor)+1, "the batch request is starved")
 		put(t, q, epoch, request(fmt.Sprint("call", starts), "a", jayv1.Class_CLASS_INTERACTIVE, 100))
 		running = started(q.Done(epoch, running))[0]
 	}
@@ -188,7 +187,8 @@
 	assert.InDelta(t, 75, counts["three"], 1)
 }
 
-// Breakdown calls would be turned away because batch work has filled the queue.
+// Guards against interactive requests that are refused because batch requests
+// fill the queue.
 func TestOverloadShedsTheLowestClassFirst(t *testing.T) {
 	q := admission.New(admission.Options{Slots: 1, Length: 2})
 	put(t, q, epoch, request("running", "a", jayv1.Class_CLASS_BATCH, 100))
@@ -205,7 +205,8 @@
 	assert.Empty(t, actions)
 }
 
-// Others would be turned away because one workspace has filled the queue.
+// Guards against requests that are refused because another workspace fills the
+// queue.
 func TestGreedyWorkspaceDoesNotFillTheQueue(t *testing.T) {
 	q := admission.New(admission.Options{Slots: 1, Length: 4})
 	put(t, q, epoch, request("running", "greedy", jayv1.Class_CLASS_STANDARD, 100))
@@ -220,7 +221,7 @@
 	assert.Equal(t, jayv1.Refusal_REFUSAL_QUEUE_FULL, decision.Refusal)
 }
 
-func TestExpiredWaitsAreRefusedAtOnce(t *testing.T) {
+func TestWaitingRequestsAreRefusedAtTheirDeadline(t *testing.T) {
 	q := admission.New(admission.Options{Slots: 1})
 	put(t, q, epoch, request("running", "a", jayv1.Class_CLASS_STANDARD, 100))
 	req := request("waits", "a", jayv1.Class_CLASS_STANDARD, 100)
@@ -245,11 +246,11 @@
 		final    bool
 		want     jayv1.Refusal
 	}{
-		"cheaper elsewhere":       {500, false, jayv1.Refusal_REFUSAL_COST},
-		"no next best":            {0, false, 0},
-		"within the margin":       {990, false, 0},
-		"cheaper here":            {2000, false, 0},
-		"final, whatever it cost": {500, true, 0},
+		"cheaper elsewhere":  {500, false, jayv1.Refusal_REFUSAL_COST},
+		"no next best":       {0, false, 0},
+		"within the margin":  {990, false, 0},
+		"cheaper here":       {2000, false, 0},
+		"final, at any cost": {500, true, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/admission/rate.go
+++ b/internal/admission/rate.go
@@ -3,30 +3,37 @@
 import "time"
 
 const (
-	// rateWindow is how much busy time the measured rate remembers.
+	// rateWindow is the busy time over which the rate is measured.
 	rateWindow = 10 * time.Second
-	// rateMinBusy of busy time is needed before the measurement counts.
+	// rateMinBusy is the busy time before the measured rate replaces the
+	// initial one.
 	rateMinBusy = 50 * time.Millisecond
 )
 
-// RateMeter measures how many prompt tokens an engine computes a second, over
-// the time in which it computes any. An engine that batches works on several
-// prompts at once, so the rate of one prompt says too little.
+// RateMeter measures how many prompt tokens per second an engine computes, over
+// the time in which it computes any prompt. Engines that batch compute several
+// prompts at once, so the rate of a single prompt is not that of the engine.
 type RateMeter struct {
-	guess  float64
+	// initial is the rate reported until one is measured, in tokens per second.
+	initial float64
+	// active is the number of prompts being computed.
 	active int
-	since  time.Time
+	// since is the time up to which busy is counted.
+	since time.Time
+	// busy is the time in which any prompt was computed, tokens the number of
+	// tokens computed in it, both limited to the window.
 	busy   time.Duration
 	tokens float64
 }
 
-// NewRateMeter returns a meter that gives the guess until it has measured.
-func NewRateMeter(guess float64) *RateMeter { return &RateMeter{guess: guess} }
+// NewRateMeter returns a meter that reports the initial rate, in tokens per
+// second, until it has measured one.
+func NewRateMeter(initial float64) *RateMeter { return &RateMeter{initial: initial} }
 
-// SetInitialRate changes what is given until something was measured.
-func (m *RateMeter) SetInitialRate(tokensPerSecond float64) { m.guess = tokensPerSecond }
+// SetInitialRate changes the rate that is reported until one is measured.
+func (m *RateMeter) SetInitialRate(tokensPerSecond float64) { m.initial = tokensPerSecond }
 
-// Begin tells that a prompt goes to the engine.
+// Begin reports that a prompt is sent to the engine.
 func (m *RateMeter) Begin(now time.Time) {
 	if m.active > 0 {
 		m.busy += now.Sub(m.since)
@@ -35,7 +42,8 @@
 	m.since = now
 }
 
-// End tells that a prompt is computed, or was given up with 0 tokens.
+// End reports that a prompt with this number of tokens is computed; 0 if it was
+// abandoned.
 func (m *RateMeter) End(now time.Time, tokens float64) {
 	if m.active == 0 {
 		return
@@ -50,10 +58,10 @@
 	}
 }
 
-// Rate in tokens a second; 0 when unknown.
+// Rate returns the rate in tokens per second; 0 if unknown.
 func (m *RateMeter) Rate() float64 {
 	if m.busy < rateMinBusy || m.tokens <= 0 {
-		return m.guess
+		return m.initial
 	}
 	return m.tokens / m.busy.Seconds()
 }
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -12,7 +12,7 @@
 	m := admission.NewRateMeter(8000)
 	assert.InDelta(t, 8000, m.Rate(), 0)
 	m.Begin(at(0))
-	m.Begin(at(100)) // two at once for 100 ms
+	m.Begin(at(100)) // two prompts at once for 100 ms
 	m.End(at(200), 1000)
 	m.End(at(300), 1000)
 	m.Begin(at(900)) // nothing to compute for 600 ms
@@ -36,9 +36,9 @@
 	assert.InDelta(t, 2000, m.Rate(), 500)
 }
 
-func TestGivenUpPromptsDoNotEndTheMeasurement(t *testing.T) {
+func TestAbandonedPromptsDoNotEndTheMeasurement(t *testing.T) {
 	m := admission.NewRateMeter(0)
-	m.End(at(0), 5) // without a begin
+	m.End(at(0), 5) // ignored: no prompt has begun
 	m.Begin(at(0))
 	m.Begin(at(0))
 	m.End(at(100), 0)
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -1,8 +1,9 @@
-// Package admission decides what a backend server takes on, what waits and in
-// which order, and what is turned away. Classes go first by rank with a floor
-// for the lower ones; inside a class workspaces share by weight, counted in
-// prompt tokens to compute. It has no I/O, goroutine or clock: `now` comes in,
-// actions go out; callers lock.
+// Package admission decides which requests a backend server runs, which wait
+// and in which order, and which are refused. Higher classes are served first,
+// with a minimum share for the lower ones. Within a class, workspaces share by
+// weight, counted in prompt tokens to compute. The package does no I/O, starts
+// no goroutine and reads no clock: callers pass the time, carry out the
+// returned actions and do the locking.
 package admission
 
 import (
@@ -11,19 +12,21 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// Options of a queue. Zero values take the defaults.
+// Options configure a queue. Zero values take the defaults.
 type Options struct {
-	// Slots is how many requests run at once.
+	// Slots is the maximum number of requests that run at once.
 	Slots int
-	// Length is how many may wait.
+	// Length is the maximum number of waiting requests.
 	Length int
-	// Bytes is how much body the waiting requests may hold together.
+	// Bytes bounds the total size of the bodies of waiting requests.
 	Bytes int
-	// Floor is the share of the work that each lower class gets at least while
-	// it has work waiting, between 0 and 1.
+	// Floor is the minimum share of the work, between 0 and 1, that each lower
+	// class gets while it has requests waiting. It is also the share of the
+	// waiting places that is reserved for each lower class.
 	Floor float64
-	// CostMargin is the part by which the true cost must exceed the entry's
-	// next best before an offer is declined for cost.
+	// CostMargin is the fraction by which the cost on this server must exceed
+	// the cost of the entry's next best choice before an offer is declined for
+	// its cost.
 	CostMargin float64
 }
 
@@ -33,13 +36,13 @@
 	defaultBytes      = 256 << 20
 	defaultFloor      = 0.1
 	defaultCostMargin = 0.05
-	// costSlackMS keeps offers from being passed on for differences that are
-	// smaller than the way to the next agent.
-	costSlackMS = 1.0
-	// minTokens is the least cost of a request: a prompt that is cached whole
-	// still takes a slot, and must count in its workspace's share.
+	// costToleranceMS is the cost difference that is ignored, because sending
+	// the offer to another agent takes about as long.
+	costToleranceMS = 1.0
+	// minTokens is the minimum cost of a request: a completely cached prompt
+	// still takes a slot and counts towards its workspace's share.
 	minTokens = 16
-	// minRetryAfter and maxRetryAfter bound what callers are told to wait.
+	// minRetryAfter and maxRetryAfter bound the retry delay given to callers.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 60 * time.Second
 )
@@ -63,22 +66,25 @@
 	return o
 }
 
-// Request is one offer as the queue sees it.
+// Request describes an offered request.
 type Request struct {
 	ID        string
 	Workspace string
-	// Weight of the workspace in its class; 0 is read as 1.
+	// Weight is the weight of the workspace in its class; 0 means 1.
 	Weight uint32
 	Class  jayv1.Class
-	// Tokens of the prompt that are not cached and must be computed.
+	// Tokens is the number of prompt tokens that are not cached and must be
+	// computed.
 	Tokens float64
-	// Bytes of body that the request holds while it waits.
+	// Bytes is the size of the body that is held while the request waits.
 	Bytes int
-	// Deadline after which nobody waits for the answer; zero: none.
+	// Deadline is the time after which the caller no longer waits for the
+	// answer; zero if there is none.
 	Deadline time.Time
-	// NextBestMS is the entry's next best choice; 0: it has none.
+	// NextBestMS is the expected cost of the entry's next best choice, in
+	// milliseconds; 0 if it has none.
 	NextBestMS float64
-	// Final offers are not declined for cost.
+	// Final is true if the offer must not be declined for its cost.
 	Final bool
 }
 
@@ -91,35 +97,36 @@
 	CostMS float64
 }
 
-// ActionKind says what the caller has to do.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	// Start hands the request to the engine or service: it has a slot.
+	// Start sends the request, which now has a slot, to the engine or service.
 	Start ActionKind = iota + 1
-	// Refuse ends a request that waited; nothing of it has run.
+	// Refuse ends a waiting request, no part of which has run.
 	Refuse
 )
 
-// Action is something that the caller must do now.
+// Action is a step that the caller must carry out.
 type Action struct {
 	Kind ActionKind
 	ID   string
-	// Refusal and RetryAfter of a refused request.
+	// Refusal and RetryAfter are set if Kind is Refuse.
 	Refusal    jayv1.Refusal
 	RetryAfter time.Duration
-	// Waited since the offer.
+	// Waited is the time since the offer.
 	Waited time.Duration
 }
 
-// Load is the queue's state at a moment.
+// Load is a snapshot of the queue's state.
 type Load struct {
 	Running int
 	Queued  int
 	Slots   int
-	// QueueMS is the time that a new request of the standard class would wait.
+	// QueueMS is the expected wait of a new request of the standard class, in
+	// milliseconds.
 	QueueMS float64
-	// Bytes of body that wait.
+	// Bytes is the total size of the bodies of waiting requests.
 	Bytes int
 }
