--- a/internal/ledger/core.go
+++ b/internal/ledger/core.go
@@ -1,10 +1,11 @@
-// Package ledger keeps the at-most-once claims of calls that may not be
-// repeated, as rows of the platform's table. A claim is taken by a conditional
-// insert before the call is handed over; whoever can't take it does not call.
+// Package ledger ensures that calls which must not be repeated run at most once.
+// Before such a call is sent, its idempotency key is claimed by a conditional
+// insert of a row into the platform's table. A call whose claim cannot be
+// acquired is not sent.
 //
-// Core decides, without I/O, goroutine or clock: which operations go into a
-// transaction and what each answer of the table means for them. Ledger does
-// the I/O.
+// Core contains the logic: it groups operations into transactions and determines
+// their outcome from the table's answers. It does no I/O, starts no goroutine
+// and reads no clock. Ledger does the I/O.
 package ledger
 
 import (
@@ -14,70 +15,73 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// State of a claim.
+// State is the state of a claim.
 type State string
 
-// The states of a claim's row. A row that is claimed and whose owner is gone
-// says that the call may have run.
+// The states of a claim. If the process that owns a claim in StateClaimed is
+// gone, the call may or may not have run.
 const (
 	StateClaimed State = "claimed"
 	StateDone    State = "done"
 )
 
-// Record is the value of a claim's row.
+// Record is the value of a claim's row, encoded as JSON.
 type Record struct {
-	// Token is the owner's own random value: a lost answer is settled by
-	// reading the row and comparing it.
+	// Token is a random value that identifies the claim. After a lost answer it
+	// shows whether the row was written by this claim.
 	Token     string `json:"token"`
 	RequestID string `json:"request_id"`
 	State     State  `json:"state"`
-	// ClaimedUnixMS is when the claim was taken, by the entry's clock.
+	// ClaimedUnixMS is the time of the claim by the entry's clock, in Unix
+	// milliseconds.
 	ClaimedUnixMS int64 `json:"claimed_unix_ms"`
 }
 
-// OpID names an operation within a Core.
+// OpID identifies an operation within a Core.
 type OpID uint64
 
-// Op is one conditional write of a claim's row.
+// Op is a conditional write of a claim's row.
 type Op struct {
 	ID  OpID
 	Key string
-	// Version that the row must have; 0: it must not exist.
+	// Version is the version that the row must have; 0 if it must not exist.
 	Version uint64
-	// Value to write; nil deletes the row.
+	// Value is the value to write; nil deletes the row.
 	Value []byte
-	// Attempts that the table refused without carrying anything out.
+	// Attempts counts the attempts that the table refused to carry out.
 	Attempts int
 }
 
 // Outcome is how an operation ended.
 type Outcome int
 
-// The verdicts.
+// The outcomes of operations.
 const (
-	// Written: the row is as the operation says.
+	// Written means that the row was written or deleted.
 	Written Outcome = iota + 1
-	// Conflict: the row has another version; Row is what stands there.
+	// Conflict means that the row has another version. Result.Row holds it.
 	Conflict
-	// NotApplied: the table did not carry it out.
+	// NotApplied means that the table did not carry out the operation.
 	NotApplied
-	// Indeterminate: it may or may not have been carried out, or may still be.
+	// Indeterminate means that the operation may have been carried out or may
+	// still be carried out later.
 	Indeterminate
 )
 
-// Result of an operation.
+// Result is the result of an operation. Row is the current row, as far as it is
+// known.
 type Result struct {
 	Op      Op
 	Outcome Outcome
 	Row     platform.Row
 }
 
-// Batch is a transaction under way.
+// Batch is a group of operations that are sent as one transaction.
 type Batch struct {
 	Ops []Op
 }
 
-// Txn is the batch for the table.
+// Txn returns the transaction that carries out the batch.
 func (b *Batch) Txn() platform.Txn {
 	var txn platform.Txn
 	for _, op := range b.Ops {
@@ -91,7 +95,7 @@
 	return txn
 }
 
-// Keys of the batch's rows.
+// Keys returns the keys of the batch's rows.
 func (b *Batch) Keys() []string {
 	keys := make([]string, len(b.Ops))
 	for i, op := range b.Ops {
@@ -100,66 +104,67 @@
 	return keys
 }
 
-// maxTries of an operation that the table refuses to carry out.
-const maxTries = 8
+// maxAttempts bounds the attempts of an operation while the table is unavailable.
+const maxAttempts = 8
 
-// Core gathers operations into batches. Not safe for concurrent use.
+// Core groups operations into batches. It is not safe for concurrent use.
 type Core struct {
 	maxRows int
-	waiting []Op
-	// busy holds the keys that are in a batch under way: two operations on one
-	// row never travel at once, or one of them would fail the other's batch.
-	busy map[string]bool
+	pending []Op
+	// inFlight holds the keys of batches in flight. A row is in at most one of
+	// them, because two operations on it would make one of the batches fail.
+	inFlight map[string]bool
 }
 
-// NewCore makes batches of at most maxRows operations.
+// NewCore returns a Core that makes batches of at most maxRows operations.
 func NewCore(maxRows int) *Core {
-	return &Core{maxRows: maxRows, busy: map[string]bool{}}
+	return &Core{maxRows: maxRows, inFlight: map[string]bool{}}
 }
 
-// Add puts an operation in the queue.
-func (c *Core) Add(op Op) { c.waiting = append(c.waiting, op) }
+// Add queues an operation.
+func (c *Core) Add(op Op) { c.pending = append(c.pending, op) }
 
-// Pending is the number of operations in no batch yet.
-func (c *Core) Pending() int { return len(c.waiting) }
+// Pending returns the number of queued operations.
+func (c *Core) Pending() int { return len(c.pending) }
 
-// Next takes the next batch, nil when nothing can go.
+// Next removes the next batch from the queue and returns it, nil if no operation
+// can be sent.
 func (c *Core) Next() *Batch {
 	batch := &Batch{}
-	var left []Op
-	for _, op := range c.waiting {
-		if len(batch.Ops) == c.maxRows || c.busy[op.Key] {
-			left = append(left, op)
+	var rest []Op
+	for _, op := range c.pending {
+		if len(batch.Ops) == c.maxRows || c.inFlight[op.Key] {
+			rest = append(rest, op)
 			continue
 		}
-		c.busy[op.Key] = true
+		c.inFlight[op.Key] = true
 		batch.Ops = append(batch.Ops, op)
 	}
 	if len(batch.Ops) == 0 {
 		return nil
 	}
-	c.waiting = left
+	c.pending = rest
 	return batch
 }
 
-// Retain drops the waiting operations that keep does not name.
+// Retain removes the queued operations for which keep returns false.
 func (c *Core) Retain(keep func(OpID) bool) {
-	kept := c.waiting[:0]
-	for _, op := range c.waiting {
+	kept := c.pending[:0]
+	for _, op := range c.pending {
 		if keep(op.ID) {
 			kept = append(kept, op)
 		}
 	}
-	c.waiting = kept
+	c.pending = kept
 }
 
-// HandleResult takes the table's answer to a batch. An operation whose condition
-// failed is a conflict; the rest of its batch, which failed only with it, goes
-// back to the front of the queue.
+// HandleResult processes the table's answer to a batch. Operations whose
+// condition failed are conflicts. The other operations of a failed batch return
+// to the front of the queue.
 func (c *Core) HandleResult(batch *Batch, answer platform.TxnResult) []Result {
 	c.release(batch)
 	if answer.Committed {
-		return verdicts(batch, Written, func(op Op) platform.Row {
+		return resultsOf(batch, Written, func(op Op) platform.Row {
 			return platform.Row{Key: op.Key, Value: op.Value, Version: answer.Commit}
 		})
 	}
@@ -168,54 +173,56 @@
 		failed[row.Key] = row
 	}
 	var results []Result
-	var again []Op
+	var retry []Op
 	for _, op := range batch.Ops {
 		row, conflict := failed[op.Key]
 		switch {
-		case conflict && owns(op, row):
-			// An earlier try of this very operation, whose answer was lost,
-			// had taken effect.
+		case conflict && matches(op, row):
+			// An earlier attempt of this operation succeeded, but its answer
+			// was lost.
 			results = append(results, Result{Op: op, Outcome: Written, Row: row})
 		case conflict:
 			results = append(results, Result{Op: op, Outcome: Conflict, Row: row})
 		default:
-			again = append(again, op)
+			retry = append(retry, op)
 		}
 	}
-	c.waiting = append(again, c.waiting...)
+	c.pending = append(retry, c.pending...)
 	return results
 }
 
-// HandleUnavailable takes in that the table carried nothing of the batch out: it is
-// down, or its rate is used up. Sending again is safe and done a few times.
+// HandleUnavailable processes a batch that the table did not carry out, because
+// it is down or its write rate is exhausted. Retries are safe; an operation is
+// NotApplied after maxAttempts attempts.
 func (c *Core) HandleUnavailable(batch *Batch) []Result {
 	c.release(batch)
 	var results []Result
-	var again []Op
+	var retry []Op
 	for _, op := range batch.Ops {
 		op.Attempts++
-		if op.Attempts < maxTries {
-			again = append(again, op)
+		if op.Attempts < maxAttempts {
+			retry = append(retry, op)
 			continue
 		}
-		results = append(results, Result{Op: op, Outcome: NotApplied, Row: noRow(op)})
+		results = append(results, Result{Op: op, Outcome: NotApplied, Row: emptyRow(op)})
 	}
-	c.waiting = append(again, c.waiting...)
+	c.pending = append(retry, c.pending...)
 	return results
 }
 
-// HandleLost takes in that the answer to a batch was lost and that its rows could
-// not be read either.
+// HandleLost processes a batch whose answer was lost and whose rows could not be
+// read.
 func (c *Core) HandleLost(batch *Batch) []Result {
 	c.release(batch)
-	return verdicts(batch, Indeterminate, noRow)
+	return resultsOf(batch, Indeterminate, emptyRow)
 }
 
-// HandleRows takes the rows of a batch whose answer was lost. The batch was applied
-// whole or not at all, but others may have written since. A row that shows the
-// operation's own value settles it; one that shows another's is a conflict. A
-// row that shows neither proves nothing, because the write may still arrive:
-// it is sent again under the same condition, which holds at most once.
+// HandleRows processes the current rows of a batch whose answer was lost. The
+// batch was applied completely or not at all, but others may have written since.
+// A row with the operation's value was written by it; any other change of the
+// row is a conflict. An unchanged row proves nothing, because the write may
+// still arrive. The operation is then sent again with the same condition, which
+// lets it succeed at most once.
 func (c *Core) HandleRows(batch *Batch, rows []platform.Row) []Result {
 	c.release(batch)
 	found := map[string]platform.Row{}
@@ -223,26 +230,26 @@
 		found[row.Key] = row
 	}
 	var results []Result
-	var again []Op
+	var retry []Op
 	for _, op := range batch.Ops {
 		row := found[op.Key]
 		row.Key = op.Key
 		switch {
-		case owns(op, row):
+		case matches(op, row):
 			results = append(results, Result{Op: op, Outcome: Written, Row: row})
 		case row.Version != op.Version:
 			results = append(results, Result{Op: op, Outcome: Conflict, Row: row})
 		default:
-			again = append(again, op)
+			retry = append(retry, op)
 		}
 	}
-	c.waiting = append(again, c.waiting...)
+	c.pending = append(retry, c.pending...)
 	return results
 }
 
-// owns tells whether the row shows what the operation writes. Values carry the
-// owner's token, so no other operation writes the same.
-func owns(op Op, row platform.Row) bool {
+// matches reports whether the row is as the operation leaves it. Values contain
+// the claim's token, so no other operation writes the same value.
+func matches(op Op, row platform.Row) bool {
 	if op.Value == nil {
 		return row.Version == 0
 	}
@@ -251,16 +258,16 @@
 
 func (c *Core) release(batch *Batch) {
 	for _, op := range batch.Ops {
-		delete(c.busy, op.Key)
+		delete(c.inFlight, op.Key)
 	}
 }
 
-func noRow(op Op) platform.Row { return platform.Row{Key: op.Key} }
+func emptyRow(op Op) platform.Row { return platform.Row{Key: op.Key} }
 
-func verdicts(batch *Batch, verdict Outcome, row func(Op) platform.Row) []Result {
+func resultsOf(batch *Batch, outcome Outcome, row func(Op) platform.Row) []Result {
 	results := make([]Result, len(batch.Ops))
 	for i, op := range batch.Ops {
-		results[i] = Result{Op: op, Outcome: verdict, Row: row(op)}
+		results[i] = Result{Op: op, Outcome: outcome, Row: row(op)}
 	}
 	return results
 }
--- a/internal/ledger/core_test.go
+++ b/internal/ledger/core_test.go
@@ -17,9 +17,8 @@
 	return ledger.Op{ID: ledger.OpID(id), Key: key, Value: fmt.Appendf(nil, "token-%d", id)}
 }
 
-// Story: forty claims travel in one transaction and one of them repeats a key.
-// The table refuses the whole transaction; the other 39 callers must not be
-// refused for it.
+// Guards against a conflict on one key that fails the other claims of the same
+// transaction.
 func TestAConflictDoesNotFailTheRestOfItsBatch(t *testing.T) {
 	core := ledger.NewCore(128)
 	for i := range 40 {
@@ -38,7 +37,7 @@
 	}
 }
 
-func TestTwoClaimsOfOneKeyNeverTravelTogether(t *testing.T) {
+func TestOperationsOnOneKeyAreNotBatchedTogether(t *testing.T) {
 	core := ledger.NewCore(128)
 	core.Add(insert(1, "k"))
 	core.Add(insert(2, "k"))
@@ -49,10 +48,9 @@
 	assert.Len(t, core.Next().Ops, 1)
 }
 
-// Story: the answer to a claim is lost. The row says whose it is; an absent
-// row proves nothing, since the write may still arrive, so the same write is
-// sent again and holds at most once.
-func TestALostAnswerIsSettledByTheRow(t *testing.T) {
+// Guards against a wrong outcome after a lost answer. An absent row proves
+// nothing, because the write may still arrive, so the write is sent again.
+func TestALostAnswerIsResolvedByReadingTheRow(t *testing.T) {
 	core := ledger.NewCore(128)
 	core.Add(insert(1, "mine"))
 	core.Add(insert(2, "theirs"))
@@ -72,11 +70,11 @@
 	late := platform.Row{Key: "absent", Value: []byte("token-3"), Version: 6}
 	results = core.HandleResult(again, platform.TxnResult{Failed: []platform.Row{late}})
 	require.Len(t, results, 1)
-	assert.Equal(t, ledger.Written, results[0].Outcome, "the first write arrived after all")
+	assert.Equal(t, ledger.Written, results[0].Outcome, "the first attempt was applied late")
 }
 
-// modelTable is a table that applies batches, loses answers and delays lost
-// requests until later.
+// modelTable is an in-memory table. delayed holds transactions that are applied
+// later.
 type modelTable struct {
 	rows    map[string]platform.Row
 	commit  uint64
@@ -111,20 +109,20 @@
 	return rows
 }
 
-// Whatever answers are lost and whatever writes arrive late: each key has at
-// most one operation that is told Written, and it is the one in the row.
+// Loses answers and delays writes at random. At most one operation per key may
+// be reported as Written, and the row must hold its value.
 func TestAtMostOneClaimOfAKeyIsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := &modelTable{rows: map[string]platform.Row{}}
 		cores := []*ledger.Core{ledger.NewCore(4), ledger.NewCore(4)}
 		written := map[string]ledger.OpID{}
-		note := func(results []ledger.Result) {
+		record := func(results []ledger.Result) {
 			for _, r := range results {
 				if r.Outcome != ledger.Written {
 					continue
 				}
 				if first, ok := written[r.Op.Key]; ok && first != r.Op.ID {
-					t.Fatalf("key %s written by %d and %d", r.Op.Key, first, r.Op.ID)
+					t.Fatalf("key %s reported as written by %d and %d", r.Op.Key, first, r.Op.ID)
 				}
 				written[r.Op.Key] = r.Op.ID
 			}
@@ -140,19 +138,19 @@
 				continue
 			}
 			switch rapid.IntRange(0, 5).Draw(t, "fault") {
-			case 0: // Answer lost, the row is read.
+			case 0: // Answer lost, rows read.
 				table.apply(batch.Txn())
-				note(core.HandleRows(batch, table.read(batch.Keys())))
-			case 1: // Request delayed: read before it arrives.
+				record(core.HandleRows(batch, table.read(batch.Keys())))
+			case 1: // Request delayed, rows read before it is applied.
 				table.delayed = append(table.delayed, batch.Txn())
-				note(core.HandleRows(batch, table.read(batch.Keys())))
-			case 2: // Answer lost and nothing read.
+				record(core.HandleRows(batch, table.read(batch.Keys())))
+			case 2: // Answer lost, rows not readable.
 				table.apply(batch.Txn())
-				note(core.HandleLost(batch))
+				record(core.HandleLost(batch))
 			case 3:
-				note(core.HandleUnavailable(batch))
+				record(core.HandleUnavailable(batch))
 			default:
-				note(core.HandleResult(batch, table.apply(batch.Txn())))
+				record(core.HandleResult(batch, table.apply(batch.Txn())))
 			}
 			if len(table.delayed) > 0 && rapid.Bool().Draw(t, "arrive") {
 				table.apply(table.delayed[0])
@@ -161,7 +159,7 @@
 		}
 		for key, id := range written {
 			if got := string(table.rows[key].Value); got != fmt.Sprintf("token-%d", id) {
-				t.Fatalf("key %s written by %d, row says %s", key, id, got)
+				t.Fatalf("key %s reported as written by %d, row holds %s", key, id, got)
 			}
 		}
 	})
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -15,32 +15,33 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// ErrUnavailable means that the claim was not taken and the call must not be
-// made: the table is down, or what became of the claim could not be settled in
-// time. In the latter case the row may stand, and later calls with the key are
-// refused as duplicates.
-var ErrUnavailable = errors.New("claim not taken")
+// ErrUnavailable means that the claim was not acquired and the call must not be
+// made: the table is down, or the outcome was not known before the timeout. In
+// the latter case the row may exist, and later calls with the key are refused as
+// duplicates.
+var ErrUnavailable = errors.New("claim not acquired")
 
-// DuplicateError says that the key was claimed before.
+// DuplicateError means that the key is already claimed.
 type DuplicateError struct {
-	// First is what the row says of the first request.
+	// First is the existing claim.
 	First Record
 }
 
-// Error names the first request.
+// Error implements error.
 func (e *DuplicateError) Error() string {
-	return "claimed by request " + e.First.RequestID + ", " + string(e.First.State)
+	return "key already claimed by request " + e.First.RequestID + ", state " + string(e.First.State)
 }
 
-// Options of a ledger. Zero values take the defaults.
+// Options configure a ledger. Zero values take the defaults.
 type Options struct {
-	// Window is how long the first operation of a batch waits for more.
+	// Window is the minimum time for which the first operation of a batch waits
+	// for others.
 	Window time.Duration
-	// InFlight bounds the transactions under way at once.
+	// InFlight bounds the number of concurrent transactions.
 	InFlight int
-	// MaxRows bounds the operations of a transaction.
+	// MaxRows bounds the number of operations in a transaction.
 	MaxRows int
-	// Timeout bounds one call of the ledger.
+	// Timeout bounds each call of the ledger.
 	Timeout time.Duration
 	Now     platform.Clock
 }
@@ -48,12 +49,13 @@
 const (
 	defaultWindow   = 3 * time.Millisecond
 	defaultInFlight = 4
-	defaultSettle   = 3 * time.Second
-	// lostPause is the wait before a lost answer is settled by reading.
-	lostPause  = 5 * time.Millisecond
+	defaultTimeout  = 3 * time.Second
+	// readDelay is the delay before the rows are read after a lost answer.
+	readDelay  = 5 * time.Millisecond
 	tokenBytes = 16
-	// The window grows fast when the table refuses and shrinks slowly when it
-	// commits, so that it settles just where the table's rate is used up.
+	// The batch window is multiplied by windowGrowth when the table refuses a
+	// transaction and by windowShrink when it answers one, so that the write
+	// rate stays close to the table's limit.
 	windowGrowth = 2
 	windowShrink = 0.99
 	maxWindow    = 60 * time.Millisecond
@@ -71,7 +73,7 @@
 		o.MaxRows = platform.MaxTxnRows
 	}
 	if o.Timeout == 0 {
-		o.Timeout = defaultSettle
+		o.Timeout = defaultTimeout
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -79,7 +81,7 @@
 	return o
 }
 
-// Ledger commits operations in groups. Safe for concurrent use.
+// Ledger commits operations in groups. It is safe for concurrent use.
 type Ledger struct {
 	table   platform.Table
 	options Options
@@ -87,22 +89,23 @@
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
 
-	mu      sync.Mutex
-	core    *Core
-	waiters map[OpID]chan Result
-	nextID  OpID
-	wake    chan struct{}
-	// window grows while the table refuses, so that many entries together stay
-	// within its rate: larger groups, fewer writes.
+	mu        sync.Mutex
+	core      *Core
+	waiters   map[OpID]chan Result
+	nextID    OpID
+	workReady chan struct{}
+	// window is the current batch window. It grows while the table refuses
+	// transactions: larger batches need fewer writes, so that all entries
+	// together stay within the table's rate.
 	window time.Duration
 }
 
-// New starts a ledger; Close ends it.
+// New starts a ledger. The caller must close it.
 func New(table platform.Table, options Options) *Ledger {
 	options = options.withDefaults()
 	l := &Ledger{
 		table: table, options: options, core: NewCore(options.MaxRows),
-		waiters: map[OpID]chan Result{}, wake: make(chan struct{}, 1), window: options.Window,
+		waiters: map[OpID]chan Result{}, workReady: make(chan struct{}, 1), window: options.Window,
 	}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	for range options.InFlight {
@@ -112,22 +115,22 @@
 	return l
 }
 
-// Close ends the ledger; operations under way end unsettled.
+// Close stops the ledger. Operations in flight end with ErrUnavailable.
 func (l *Ledger) Close() {
 	l.cancel()
 	l.wg.Wait()
 }
 
-// Claim is a claim that this process holds.
+// Claim is a claim held by this process.
 type Claim struct {
 	key     string
 	record  Record
 	version uint64
 }
 
-// Acquire claims the key of the workspace for the request. *DuplicateError: it
-// was claimed before; ErrUnavailable: it was not taken. Only after a nil error
-// may the call be made.
+// Acquire claims the key of the workspace for the request. The call may be made
+// only if the error is nil. The error is a *DuplicateError if the key is already
+// claimed, else ErrUnavailable.
 func (l *Ledger) Acquire(ctx context.Context, workspace, key, requestID string) (*Claim, error) {
 	token := make([]byte, tokenBytes)
 	_, _ = rand.Read(token)
@@ -146,7 +149,7 @@
 	case Conflict:
 		first, err := decode(result.Row.Value)
 		if err != nil {
-			return nil, eris.Wrapf(ErrUnavailable, "claim row %s does not read: %v", claim.key, err)
+			return nil, eris.Wrapf(ErrUnavailable, "decode claim row %s: %v", claim.key, err)
 		}
 		return nil, &DuplicateError{First: first}
 	default:
@@ -154,29 +157,31 @@
 	}
 }
 
-// Release takes the claim back after a call that is proven not to have run.
-// When it fails the row stands and later calls with the key are refused: that
-// costs a call, never a second run.
+// Release deletes the claim after a call that is proven not to have run. If it
+// fails, the row may remain and later calls with the key are refused, although
+// the call has not run.
 func (l *Ledger) Release(ctx context.Context, claim *Claim) error {
-	return l.change(ctx, claim, nil)
+	return l.update(ctx, claim, nil)
 }
 
-// Complete notes that the call ran to its end, for those who ask with the same key.
+// Complete sets the claim to StateDone after the call has run. Later calls with
+// the key get that state in DuplicateError.First.
 func (l *Ledger) Complete(ctx context.Context, claim *Claim) error {
 	record := claim.record
 	record.State = StateDone
-	return l.change(ctx, claim, &record)
+	return l.update(ctx, claim, &record)
 }
 
-func (l *Ledger) change(ctx context.Context, claim *Claim, record *Record) error {
+func (l *Ledger) update(ctx context.Context, claim *Claim, record *Record) error {
 	result, err := l.write(ctx, claim.key, claim.version, record)
 	if err == nil && result.Outcome != Written {
-		err = eris.Wrapf(ErrUnavailable, "row %s not changed", claim.key)
+		err = eris.Wrapf(ErrUnavailable, "claim row %s was not changed", claim.key)
 	}
 	return err
 }
 
-// rowKey encodes the caller's key, which may hold any byte.
+// rowKey returns the key of the claim's row. The caller's key is encoded, because
+// it may contain any byte.
 func rowKey(workspace, key string) string {
 	return keyPrefix + workspace + "/" + base64.RawURLEncoding.EncodeToString([]byte(key))
 }
@@ -204,7 +209,7 @@
 	if !l.abandon(op.ID) {
 		return <-done, nil
 	}
-	return Result{}, eris.Wrap(ErrUnavailable, "not settled in time")
+	return Result{}, eris.Wrap(ErrUnavailable, "stopped waiting before the outcome was known")
 }
 
 func (l *Ledger) enqueue(op Op, done chan Result) OpID {
@@ -218,8 +223,8 @@
 	return op.ID
 }
 
-// abandon forgets an operation that nobody waits for any more; false when its
-// result is there already. One that is under way still ends.
+// abandon removes the waiter of an operation; false if the result is already
+// delivered. An operation in flight is still carried out.
 func (l *Ledger) abandon(id OpID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -230,10 +235,10 @@
 	return true
 }
 
-// signal wakes one committer. The caller holds the lock.
+// signal starts one idle commit loop. The caller must hold the lock.
 func (l *Ledger) signal() {
 	select {
-	case l.wake <- struct{}{}:
+	case l.workReady <- struct{}{}:
 	default:
 	}
 }
@@ -244,9 +249,9 @@
 		select {
 		case <-l.ctx.Done():
 			return
-		case <-l.wake:
+		case <-l.workReady:
 		}
-		if !l.wait(l.pace()) {
+		if !l.wait(l.batchWindow()) {
 			return
 		}
 		for {
@@ -270,81 +275,81 @@
 	return batch
 }
 
-// commit sends a batch and takes in what became of it.
+// commit sends a batch and processes the answer.
 func (l *Ledger) commit(batch *Batch) {
 	ctx, cancel := context.WithTimeout(l.ctx, l.options.Timeout)
 	defer cancel()
 	answer, err := l.table.Commit(ctx, batch.Txn())
 	switch {
 	case err == nil:
-		l.adapt(windowShrink)
-		l.settle(func() []Result { return l.core.HandleResult(batch, answer) })
+		l.adjustWindow(windowShrink)
+		l.apply(func() []Result { return l.core.HandleResult(batch, answer) })
 	case errors.Is(err, platform.ErrUnavailable):
-		l.adapt(windowGrowth)
-		l.settle(func() []Result { return l.core.HandleUnavailable(batch) })
-		l.wait(l.pace())
+		l.adjustWindow(windowGrowth)
+		l.apply(func() []Result { return l.core.HandleUnavailable(batch) })
+		l.wait(l.batchWindow())
 	default:
-		l.read(ctx, batch)
+		l.resolve(ctx, batch)
 	}
 }
 
-// read settles a batch whose answer was lost by reading its rows.
-func (l *Ledger) read(ctx context.Context, batch *Batch) {
-	for l.wait(lostPause) && ctx.Err() == nil {
+// resolve determines the outcome of a batch whose answer was lost by reading its
+// rows.
+func (l *Ledger) resolve(ctx context.Context, batch *Batch) {
+	for l.wait(readDelay) && ctx.Err() == nil {
 		rows, err := l.table.Get(ctx, batch.Keys()...)
 		if err == nil {
-			l.settle(func() []Result { return l.core.HandleRows(batch, rows) })
+			l.apply(func() []Result { return l.core.HandleRows(batch, rows) })
 			return
 		}
 	}
-	l.settle(func() []Result { return l.core.HandleLost(batch) })
+	l.apply(func() []Result { return l.core.HandleLost(batch) })
 }
 
-// settle runs a step of the core and hands the results out.
-func (l *Ledger) settle(step func() []Result) {
+// apply runs a step of the core and delivers its results.
+func (l *Ledger) apply(step func() []Result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, result := range step() {
-		l.handOut(result)
+		l.deliver(result)
 	}
 	if l.core.Pending() > 0 {
 		l.signal()
 	}
 }
 
-// handOut gives a result to whoever waits for it. A claim that was taken after
-// its call had been refused is given back: nobody will make the call, and the
-// caller was told so, so its next try with the key must not find it claimed.
-// The caller holds the lock.
-func (l *Ledger) handOut(result Result) {
+// deliver sends a result to its waiter. A claim that was written after Acquire
+// had failed is deleted again: the call was refused as not run, so a retry with
+// the same key must not be refused as a duplicate. The caller must hold the lock.
+func (l *Ledger) deliver(result Result) {
 	op := result.Op
 	if done := l.waiters[op.ID]; done != nil {
 		done <- result
 		delete(l.waiters, op.ID)
 		return
 	}
-	taken := op.Version == 0 && op.Value != nil && result.Outcome == Written
-	if taken {
+	acquired := op.Version == 0 && op.Value != nil && result.Outcome == Written
+	if acquired {
 		l.nextID++
 		l.waiters[l.nextID] = make(chan Result, 1)
 		l.core.Add(Op{ID: l.nextID, Key: op.Key, Version: result.Row.Version})
 	}
 }
 
-func (l *Ledger) pace() time.Duration {
+func (l *Ledger) batchWindow() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.window
 }
 
-func (l *Ledger) adapt(factor float64) {
+func (l *Ledger) adjustWindow(factor float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	next := time.Duration(float64(l.window) * factor)
 	l.window = min(max(next, l.options.Window), maxWindow)
 }
 
-// wait pauses, false when the ledger was closed.
+// wait waits for the duration. It returns false if the ledger was closed.
 func (l *Ledger) wait(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -24,7 +24,7 @@
 	return l
 }
 
-func TestAKeyIsClaimedOnceAndTellsOfTheFirst(t *testing.T) {
+func TestADuplicateClaimReportsTheFirstRequest(t *testing.T) {
 	table := platformtest.New()
 	l := newLedger(t, table)
 	claim, err := l.Acquire(t.Context(), "quarry", "k\x00/1", "r1")
@@ -35,13 +35,13 @@
 	assert.Equal(t, "r1", duplicate.First.RequestID)
 	assert.Equal(t, ledger.StateClaimed, duplicate.First.State)
 	_, err = l.Acquire(t.Context(), "other", "k\x00/1", "r3")
-	require.NoError(t, err, "keys of another workspace are others")
+	require.NoError(t, err, "keys of different workspaces are independent")
 
 	require.NoError(t, l.Complete(t.Context(), claim))
 	_, err = l.Acquire(t.Context(), "quarry", "k\x00/1", "r4")
 	require.ErrorAs(t, err, &duplicate)
 	assert.Equal(t, ledger.StateDone, duplicate.First.State)
-	require.Error(t, l.Release(t.Context(), claim), "what is done is not released")
+	require.Error(t, l.Release(t.Context(), claim), "a completed claim must not be released")
 }
 
 func TestAReleasedKeyMayBeClaimedAgain(t *testing.T) {
@@ -53,8 +53,8 @@
 	require.NoError(t, err)
 }
 
-// Story: the platform is down. A call that went ahead without a claim could
-// run twice; it must be refused, and quickly.
+// Guards against calls without a claim, which could run twice, during an outage
+// of the platform. They must be refused quickly.
 func TestNoClaimWhileTheTableIsDown(t *testing.T) {
 	table := platformtest.New()
 	table.SetDown(true)
@@ -67,13 +67,12 @@
 	require.Eventually(t, func() bool {
 		_, err := l.Acquire(t.Context(), "quarry", "k", "r2")
 		return err == nil
-	}, time.Second, time.Millisecond, "what was refused did not leave a claim behind")
+	}, time.Second, time.Millisecond, "the refused call left a claim")
 }
 
-// Story: a claim's answer is slow, the caller is refused as not run, and then
-// the claim turns out to be taken. Its next try would be called a duplicate of
-// a call that never was.
-func TestAClaimTakenAfterItsCallWasRefusedIsGivenBack(t *testing.T) {
+// Guards against a slow commit that leaves a claim after the call was refused:
+// a retry would be refused as a duplicate of a call that never ran.
+func TestAClaimWrittenAfterItsCallWasRefusedIsDeleted(t *testing.T) {
 	table := &slowTable{Table: platformtest.New(), hold: make(chan struct{})}
 	l := newLedger(t, table)
 	_, err := l.Acquire(t.Context(), "quarry", "k", "r1")
@@ -85,7 +84,7 @@
 	}, 2*time.Second, 5*time.Millisecond)
 }
 
-// slowTable holds its first commit back.
+// slowTable blocks its first commit until hold is closed.
 type slowTable struct {
 	platform.Table
 	hold  chan struct{}
@@ -99,21 +98,21 @@
 	return s.Table.Commit(ctx, txn)
 }
 
-// ratedTable grants a number of writes a second, each after a round trip, and
-// refuses the rest, as the platform does.
-type ratedTable struct {
+// rateLimitedTable is a table with a write rate limit and a round-trip time. It
+// refuses writes beyond the limit, as the platform does.
+type rateLimitedTable struct {
 	platform.Table
 	limit   *rate.Limiter
 	refused atomic.Int64
 	commits atomic.Int64
 }
 
-func newRatedTable(writes float64) *ratedTable {
-	return &ratedTable{Table: platformtest.New(), limit: rate.NewLimiter(rate.Limit(writes), int(writes/10))}
+func newRateLimitedTable(writes float64) *rateLimitedTable {
+	return &rateLimitedTable{Table: platformtest.New(), limit: rate.NewLimiter(rate.Limit(writes), int(writes/10))}
 }
 
-func (r *ratedTable) Commit(ctx context.Context, txn platform.Txn) (platform.TxnResult, error) {
-	const roundTrip = 2 * time.Millisecond // part of what is measured
+func (r *rateLimitedTable) Commit(ctx context.Context, txn platform.Txn) (platform.TxnResult, error) {
+	const roundTrip = 2 * time.Millisecond
 	select {
 	case <-time.After(roundTrip):
 	case <-ctx.Done():
@@ -127,12 +126,12 @@
 	return r.Table.Commit(ctx, txn)
 }
 
-// Measures group commit: four entries share 300 writes/s and get more claims
-// than that through. The figures stand in the note on at-most-once.
-func TestGroupCommitTakesManyClaimsAWrite(t *testing.T) {
+// Guards against claims limited to one per write: four entries that share
+// 300 writes/s must acquire at least ten claims per write.
+func TestGroupCommitAcquiresManyClaimsPerWrite(t *testing.T) {
 	const writes, entries, callers, seconds = 300, 4, 150, 2
-	table := newRatedTable(writes)
-	var taken, failed atomic.Int64
+	table := newRateLimitedTable(writes)
+	var acquired, failed atomic.Int64
 	ctx, cancel := context.WithTimeout(t.Context(), seconds*time.Second)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -146,15 +145,15 @@
 						failed.Add(1)
 						continue
 					}
-					taken.Add(1)
+					acquired.Add(1)
 				}
 			})
 		}
 	}
 	wg.Wait()
-	perSecond := float64(taken.Load()) / seconds
-	t.Logf("%.0f claims/s taken, %.1f refused/s, at %d writes/s granted (%.0f used, %.0f refused by the table a second)",
+	perSecond := float64(acquired.Load()) / seconds
+	t.Logf("%.0f claims/s acquired, %.1f claims/s failed, limit %d writes/s (%.0f writes/s committed, %.0f writes/s refused by the table)",
 		perSecond, float64(failed.Load())/seconds, writes, float64(table.commits.Load())/seconds, float64(table.refused.Load())/seconds)
 	assert.Greater(t, perSecond, 10.0*writes)
-	assert.Less(t, float64(failed.Load()), 0.01*float64(taken.Load()))
+	assert.Less(t, float64(failed.Load()), 0.01*float64(acquired.Load()))
 }
--- a/internal/ledger/trim.go
+++ b/internal/ledger/trim.go
@@ -9,53 +9,55 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// trimPage is the number of rows that one step looks at, read at once.
-const trimPage = 500
+// pageRows is the number of rows that one step reads.
+const pageRows = 500
 
-// trimRows bounds the rows that one transaction deletes: each has a condition.
-const trimRows = platform.MaxTxnRows / 2
+// maxDeletes bounds the rows deleted by one transaction. Each deletion also needs
+// a condition, so it counts twice against platform.MaxTxnRows.
+const maxDeletes = platform.MaxTxnRows / 2
 
-// Pruner deletes claims that are older than they must be kept. It reads a page
-// at a step, so that a table of any size is gone over with few reads a second.
-// Two trimmers at once do no harm: every delete is bound to the version that
-// was read. Not safe for concurrent use.
+// Pruner deletes claims after their retention period. Each step reads one page,
+// so that a table of any size is scanned with few reads per second. Several
+// processes may prune at once, because a row is deleted only if it still has the
+// version that was read. A Pruner is not safe for concurrent use.
 type Pruner struct {
-	table platform.Table
-	keep  time.Duration
-	after string
+	table     platform.Table
+	retention time.Duration
+	after     string
 }
 
-// NewPruner makes a trimmer that keeps claims for the duration. A key that is
-// repeated later runs again, so it is far longer than any caller repeats.
-func NewPruner(table platform.Table, keep time.Duration) *Pruner {
-	return &Pruner{table: table, keep: keep}
+// NewPruner returns a pruner that keeps claims for the duration. A call that is
+// repeated later runs again, so the duration must be longer than any caller
+// retries.
+func NewPruner(table platform.Table, retention time.Duration) *Pruner {
+	return &Pruner{table: table, retention: retention}
 }
 
-// Step looks at the next page and returns the claims deleted. After the last
-// page it starts again at the first. A transaction that does not commit, since
-// a claim was changed meanwhile, is left to the next round.
-func (t *Pruner) Step(ctx context.Context, now time.Time) (int, error) {
-	rows, err := t.table.Range(ctx, keyPrefix, t.after, trimPage)
+// Step scans the next page and returns the number of claims deleted. After the
+// last page it starts again at the first. If a transaction does not commit,
+// because a claim has changed, its claims are left to the next scan.
+func (p *Pruner) Step(ctx context.Context, now time.Time) (int, error) {
+	rows, err := p.table.Range(ctx, keyPrefix, p.after, pageRows)
 	if err != nil {
-		return 0, eris.Wrap(err, "read claims")
+		return 0, eris.Wrap(err, "read claims to prune")
 	}
-	t.after = ""
-	if len(rows) == trimPage {
-		t.after = rows[len(rows)-1].Key
+	p.after = ""
+	if len(rows) == pageRows {
+		p.after = rows[len(rows)-1].Key
 	}
 	deleted := 0
 	var txn platform.Txn
 	for i, row := range rows {
-		if t.due(now, row) {
+		if p.expired(now, row) {
 			txn.Conditions = append(txn.Conditions, platform.Condition{Key: row.Key, Version: row.Version})
 			txn.Deletes = append(txn.Deletes, row.Key)
 		}
-		if len(txn.Deletes) == 0 || (len(txn.Deletes) < trimRows && i < len(rows)-1) {
+		if len(txn.Deletes) == 0 || (len(txn.Deletes) < maxDeletes && i < len(rows)-1) {
 			continue
 		}
-		result, err := t.table.Commit(ctx, txn)
+		result, err := p.table.Commit(ctx, txn)
 		if err != nil {
-			return deleted, eris.Wrap(err, "delete claims")
+			return deleted, eris.Wrap(err, "delete expired claims")
 		}
 		if result.Committed {
 			deleted += len(txn.Deletes)
@@ -65,12 +67,12 @@
 	return deleted, nil
 }
 
-// due tells whether a claim is old enough. A row that can't be read stays: it
-// may stand for a call that ran.
-func (t *Pruner) due(now time.Time, row platform.Row) bool {
+// expired reports whether the retention period of a claim is over. A row that
+// cannot be decoded is kept, because its call may have run.
+func (p *Pruner) expired(now time.Time, row platform.Row) bool {
 	record, err := decode(row.Value)
 	if err != nil {
 		return false
 	}
-	return now.Sub(time.UnixMilli(record.ClaimedUnixMS)) > t.keep
+	return now.Sub(time.UnixMilli(record.ClaimedUnixMS)) > p.retention
 }
