--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -17,13 +17,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// Defaults of ClientOptions.
+// The defaults of ClientOptions.
 const (
 	DefaultTimeout        = 5 * time.Second
 	DefaultMaxConnections = 32
 )
 
-// Paths of the platform's HTTP interface.
+// The paths of the platform's HTTP interface.
 const (
 	PathGet     = "/table/get"
 	PathRange   = "/table/range"
@@ -38,32 +38,34 @@
 	maxErrorBytes  = 512
 )
 
-// GetRequest is the body of a call to PathGet.
+// GetRequest is the request body of PathGet.
 type GetRequest struct {
 	Keys []string `json:"keys"`
 }
 
-// RangeRequest is the body of a call to PathRange.
+// RangeRequest is the request body of PathRange.
 type RangeRequest struct {
 	Prefix string `json:"prefix"`
 	After  string `json:"after"`
 	Limit  int    `json:"limit"`
 }
 
-// ClientOptions tune a Client; zero values mean the defaults.
+// ClientOptions configure a Client. Zero values take the defaults.
 type ClientOptions struct {
-	// Timeout bounds a call, but not the streaming of weights.
+	// Timeout bounds each call, except the streaming of weights.
 	Timeout time.Duration
-	// MaxConnections open at a time.
+	// MaxConnections bounds the number of open connections.
 	MaxConnections int
 }
 
 // Client implements Platform over HTTP and JSON. It is safe for concurrent use.
 //
-// A write ends in ErrUnavailable only when it is sure that nothing was done:
-// no connection was had, or the platform answered 429 or 503, which it does
-// before it carries out anything. Every other failure of a write is ErrUnknown.
-// A read changes nothing, so all its failures are ErrUnavailable.
+// A write fails with ErrUnavailable only if it was certainly not carried out:
+// there was no connection, or the platform answered with status 429 or 503,
+// which it does before it carries out anything. A write that may have been
+// carried out fails with ErrUnknown. Reads have no effect, so they may always be
+// repeated and fail with ErrUnavailable instead. Status 404 is ErrNotFound; 400
+// and 413 are ErrInvalid.
 type Client struct {
 	base    string
 	http    *http.Client
@@ -72,7 +74,7 @@
 
 var _ Platform = (*Client)(nil)
 
-// NewClient makes a client of the platform at a base URL. It does not connect.
+// NewClient returns a client of the platform at the base URL. It does not connect.
 func NewClient(baseURL string, options ClientOptions) *Client {
 	if options.Timeout <= 0 {
 		options.Timeout = DefaultTimeout
@@ -96,14 +98,14 @@
 // Get implements Table.
 func (c *Client) Get(ctx context.Context, keys ...string) ([]Row, error) {
 	var rows []Row
-	err := c.readJSON(ctx, PathGet, GetRequest{Keys: keys}, &rows)
+	err := c.postJSON(ctx, PathGet, GetRequest{Keys: keys}, &rows)
 	return rows, err
 }
 
 // Range implements Table.
 func (c *Client) Range(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
 	var rows []Row
-	err := c.readJSON(ctx, PathRange, RangeRequest{Prefix: prefix, After: after, Limit: limit}, &rows)
+	err := c.postJSON(ctx, PathRange, RangeRequest{Prefix: prefix, After: after, Limit: limit}, &rows)
 	return rows, err
 }
 
@@ -118,9 +120,10 @@
 	if err != nil {
 		return result, err
 	}
-	// The write was carried out; an answer that can't be read is a lost answer.
+	// The write was carried out, so an answer that cannot be decoded counts as
+	// lost.
 	if err := json.Unmarshal(answer, &result); err != nil {
-		return TxnResult{}, eris.Wrapf(ErrUnknown, "answer to commit: %v", err)
+		return TxnResult{}, eris.Wrapf(ErrUnknown, "decode answer to commit: %v", err)
 	}
 	return result, nil
 }
@@ -180,25 +183,25 @@
 func objectPath(key string) string    { return PathObjects + "/" + url.PathEscape(key) }
 func weightPath(digest string) string { return PathWeights + "/" + url.PathEscape(digest) }
 
-func (c *Client) readJSON(ctx context.Context, path string, request, target any) error {
+func (c *Client) postJSON(ctx context.Context, path string, request, target any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return eris.Wrap(err, "encode request")
 	}
-	return c.decode(ctx, call{method: http.MethodPost, path: path, body: body}, target)
+	return c.callJSON(ctx, call{method: http.MethodPost, path: path, body: body}, target)
 }
 
 func (c *Client) getJSON(ctx context.Context, path string, target any) error {
-	return c.decode(ctx, call{method: http.MethodGet, path: path}, target)
+	return c.callJSON(ctx, call{method: http.MethodGet, path: path}, target)
 }
 
-func (c *Client) decode(ctx context.Context, request call, target any) error {
+func (c *Client) callJSON(ctx context.Context, request call, target any) error {
 	answer, err := c.call(ctx, request)
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(answer, target); err != nil {
-		return eris.Wrapf(ErrUnavailable, "answer to %s: %v", request.path, err)
+		return eris.Wrapf(ErrUnavailable, "decode answer to %s: %v", request.path, err)
 	}
 	return nil
 }
@@ -207,11 +210,11 @@
 	method string
 	path   string
 	body   []byte
-	// writes: a failure after the request may have been sent is ErrUnknown.
+	// writes is true if the call changes the platform's state.
 	writes bool
 }
 
-// failure is the error of a call that may have reached the platform.
+// failure returns the error for a failed call that may have reached the platform.
 func (r call) failure() error {
 	if r.writes {
 		return ErrUnknown
@@ -219,7 +222,7 @@
 	return ErrUnavailable
 }
 
-// call sends a request and reads its whole answer.
+// call sends a request and reads the complete answer.
 func (c *Client) call(ctx context.Context, request call) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -235,11 +238,11 @@
 	return answer, nil
 }
 
-// send returns a response with a status of success. It guards against a write
-// that is reported as not done although it was: only when no connection was
-// had at all can the platform not have seen the request. The transport itself
-// sends a write a second time only when it had written none of it, since none
-// of our writes carries an idempotency key header.
+// send sends a request and returns the response if its status is below 300. A
+// failed write is reported as not carried out only if there was no connection,
+// because otherwise the platform may have received it. The HTTP transport does
+// not repeat a write of which any part was sent, because no request carries an
+// idempotency key header.
 func (c *Client) send(ctx context.Context, request call) (*http.Response, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -247,7 +250,7 @@
 	})
 	httpRequest, err := http.NewRequestWithContext(ctx, request.method, c.base+request.path, bodyOf(request.body))
 	if err != nil {
-		return nil, eris.Wrap(err, "platform request")
+		return nil, eris.Wrap(err, "create platform request")
 	}
 	response, err := c.http.Do(httpRequest)
 	if err != nil {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,7 +1,7 @@
-// Package platform is what the system uses of the platform: the transactional
-// table, the object store, the list of VMs and the weight store. The
-// interfaces live here together with the HTTP client; a process never talks to
-// the platform any other way.
+// Package platform defines the services of the platform that the router uses:
+// the transactional table, the object store, the list of VMs and the store of
+// model weights. It also contains the HTTP client, which is the only way in
+// which processes access the platform.
 package platform
 
 import (
@@ -13,24 +13,25 @@
 
 // Errors that callers test with errors.Is.
 var (
-	// ErrUnavailable means that the call was not carried out. Sending it again is safe.
+	// ErrUnavailable means that the call was not carried out and may be repeated.
 	ErrUnavailable = errors.New("platform unavailable, nothing was done")
-	// ErrUnknown means that the call may or may not have taken effect, e.g. the answer
-	// was lost after the write. The caller settles it by reading.
+	// ErrUnknown means that the call may or may not have taken effect, e.g. because
+	// the answer to a write was lost. The caller can find out by reading.
 	ErrUnknown = errors.New("outcome of the platform call unknown")
 	// ErrNotFound means that the object, row or weight does not exist.
 	ErrNotFound = errors.New("not found on the platform")
 )
 
-// Row is one row of the table. Version is the commit number of the write that
-// made it, so versions rise over the whole table and serve as fencing numbers.
+// Row is a row of the table. Version is the commit number of its last write.
+// Commit numbers increase over the whole table, so versions can serve as fencing
+// tokens.
 type Row struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value"`
 	Version uint64 `json:"version"`
 }
 
-// Condition must hold for a transaction to commit: the row's version equals
+// Condition is a precondition of a transaction: the row's version must equal
 // Version. Version 0 means that the row must not exist.
 type Condition struct {
 	Key     string `json:"key"`
@@ -43,35 +44,39 @@
 	Value []byte `json:"value"`
 }
 
-// Txn is applied whole or not at all. It counts as one write against the
-// platform's rate, whatever its size (at most MaxTxnRows rows).
+// Txn is a transaction, which is applied completely or not at all. It counts as
+// one write against the platform's rate limit, whatever its size (at most
+// MaxTxnRows rows).
 type Txn struct {
 	Conditions []Condition `json:"conditions,omitempty"`
 	Puts       []Put       `json:"puts,omitempty"`
 	Deletes    []string    `json:"deletes,omitempty"`
 }
 
-// MaxTxnRows bounds the rows of one transaction.
+// MaxTxnRows bounds the number of rows in a transaction.
 const MaxTxnRows = 128
 
-// TxnResult tells whether a transaction committed.
+// TxnResult is the platform's answer to a transaction.
 type TxnResult struct {
 	Committed bool `json:"committed"`
-	// Commit is the commit number, the version of every row written.
+	// Commit is the commit number, which is the version of every row written.
 	Commit uint64 `json:"commit"`
-	// Failed holds the current rows of the conditions that did not hold; a row
+	// Failed holds the current rows of the conditions that were not met. A row
 	// that does not exist has Version 0.
 	Failed []Row `json:"failed,omitempty"`
 }
 
-// Table is the transactional table service: serializable transactions, several
-// hundred a second, about two thousand reads a second, both with outages.
+// Table is the transactional table service. Transactions are serializable. The
+// service is limited to several hundred transactions and about two thousand
+// reads per second and may be unavailable.
 type Table interface {
-	// Get reads rows in one read; absent rows are left out.
+	// Get returns the rows with the keys. Rows that do not exist are left out.
 	Get(ctx context.Context, keys ...string) ([]Row, error)
-	// Range reads rows with the prefix and a key above after, in key order.
+	// Range returns up to limit rows whose key has the prefix and is greater than
+	// after, in key order.
 	Range(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit applies a transaction. ErrUnknown when its answer was lost.
+	// Commit applies a transaction. The error is ErrUnknown if the answer was
+	// lost.
 	Commit(ctx context.Context, txn Txn) (TxnResult, error)
 }
 
@@ -83,17 +88,17 @@
 	DeleteObject(ctx context.Context, key string) error
 }
 
-// VMState is what the platform says of a VM.
+// VMState is the state of a VM in the platform's list.
 type VMState string
 
-// The states of a VM in the platform's list.
+// The states of a VM.
 const (
 	VMLive     VMState = "live"
 	VMDraining VMState = "leaving"
 	VMGone     VMState = "gone"
 )
 
-// VM is one entry of the platform's list.
+// VM is an element of the platform's list of VMs.
 type VM struct {
 	Name       string `json:"name"`
 	Address    string `json:"address"`
@@ -102,34 +107,36 @@
 	// Role is "entry" or "backend".
 	Role  string  `json:"role"`
 	State VMState `json:"state"`
-	// Incarnation rises when the VM is replaced under the same name.
+	// Incarnation increases when the VM is replaced under the same name.
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// VMList is a part of the list.
+// VMList is the list of VMs or the changes since a revision.
 type VMList struct {
 	Revision uint64 `json:"revision"`
-	// Complete: VMs holds the whole list, not only the changes since the revision asked for.
+	// Complete is true if VMs is the complete list and not only the changes since
+	// the requested revision.
 	Complete bool `json:"whole"`
 	VMs      []VM `json:"vms"`
 }
 
-// VMs is the platform's list of live and leaving VMs. It lags, by seconds as a
-// rule and by half a minute on a bad day.
+// VMs is the platform's list of live and draining VMs. It usually lags by
+// seconds, sometimes by half a minute.
 type VMs interface {
-	// List returns the changes after the revision, or all when it is 0 or too old.
+	// List returns the changes after the revision, or the complete list if the
+	// revision is 0 or too old.
 	List(ctx context.Context, after uint64) (VMList, error)
 }
 
-// Weights is the rate-limited weight store.
+// Weights is the rate-limited store of model weights.
 type Weights interface {
-	// Stat returns the size in bytes of the weights with the digest.
+	// Stat returns the size of the weights with the digest, in bytes.
 	Stat(ctx context.Context, digest string) (int64, error)
-	// Open streams them, at the rate the store grants.
+	// Open streams the weights with the digest. The caller must close the reader.
 	Open(ctx context.Context, digest string) (io.ReadCloser, error)
 }
 
-// Platform is all of it.
+// Platform combines all services of the platform.
 type Platform interface {
 	Table
 	Objects
@@ -137,5 +144,5 @@
 	Weights
 }
 
-// Clock tells the time; shells pass time.Now, tests a fake.
+// Clock returns the current time. It is time.Now except in tests.
 type Clock func() time.Time
--- a/internal/platform/platformtest/memory.go
+++ b/internal/platform/platformtest/memory.go
@@ -1,5 +1,5 @@
-// Package platformtest is an in-memory platform for tests, with faults that a
-// test switches on. It is linked into no binary.
+// Package platformtest implements an in-memory platform with fault injection, for
+// tests only.
 package platformtest
 
 import (
@@ -13,21 +13,21 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// Fault decides how one commit fails. The zero value lets it pass.
+// Fault is the way in which a commit fails. The zero value is no fault.
 type Fault int
 
 // The faults of a commit.
 const (
 	Pass Fault = iota
-	// Unavailable: not carried out.
+	// Unavailable fails the commit with ErrUnavailable; it is not carried out.
 	Unavailable
-	// LostAnswer: carried out, the answer is lost.
+	// LostAnswer carries out the commit, but returns ErrUnknown.
 	LostAnswer
-	// LostRequest: not carried out, but the caller can't know.
+	// LostRequest does not carry out the commit and returns ErrUnknown.
 	LostRequest
 )
 
-// Memory is a platform in memory. Safe for concurrent use.
+// Memory is an in-memory platform. It is safe for concurrent use.
 type Memory struct {
 	mu      sync.Mutex
 	commit  uint64
@@ -35,9 +35,9 @@
 	objects map[string][]byte
 	vms     platform.VMList
 	down    bool
-	// downLater: the outage starts after the commit under way.
-	downLater bool
-	// Reads and Writes count the calls of the table service.
+	// downAfterCommit starts an outage after the current commit.
+	downAfterCommit bool
+	// reads and writes count the calls of the table service.
 	reads, writes int
 	onCommit      func(txn platform.Txn) Fault
 }
@@ -49,29 +49,31 @@
 	return &Memory{rows: map[string]platform.Row{}, objects: map[string][]byte{}}
 }
 
-// SetDown switches an outage of the whole platform on or off.
+// SetDown starts or ends an outage of all services.
 func (m *Memory) SetDown(down bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.down = down
 }
 
-// SetDownAfterCommit starts an outage after the commit under way; for use in a fault.
+// SetDownAfterCommit starts an outage after the current commit. It may be called
+// from the function given to OnCommit.
 func (m *Memory) SetDownAfterCommit() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.downLater = true
+	m.downAfterCommit = true
 }
 
-// OnCommit installs the fault of each commit; it is called without the lock
-// held, so it may itself commit, e.g. as a racing writer. Nil removes it.
+// OnCommit sets a function that selects the fault of each commit; nil removes it.
+// It is called without the lock held, so it may itself commit, e.g. to simulate a
+// concurrent writer.
 func (m *Memory) OnCommit(fault func(txn platform.Txn) Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.onCommit = fault
 }
 
-// Counts returns the reads and writes of the table so far.
+// Counts returns the number of reads and writes of the table.
 func (m *Memory) Counts() (reads, writes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -142,7 +144,7 @@
 		return platform.TxnResult{}, platform.ErrUnknown
 	}
 	result := m.apply(txn)
-	m.down, m.downLater = m.down || m.downLater, false
+	m.down, m.downAfterCommit = m.down || m.downAfterCommit, false
 	if fault == LostAnswer {
 		return platform.TxnResult{}, platform.ErrUnknown
 	}
@@ -237,10 +239,10 @@
 	return m.vms, nil
 }
 
-// Stat implements platform.Weights; no weights are kept.
+// Stat implements platform.Weights. The store of weights is empty.
 func (m *Memory) Stat(context.Context, string) (int64, error) { return 0, platform.ErrNotFound }
 
-// Open implements platform.Weights; no weights are kept.
+// Open implements platform.Weights. The store of weights is empty.
 func (m *Memory) Open(context.Context, string) (io.ReadCloser, error) {
 	return nil, platform.ErrNotFound
 }
