--- a/internal/activation/activation.go
+++ b/internal/activation/activation.go
@@ -1,9 +1,8 @@
-// Package activation takes over listening sockets that a supervisor holds open
-// (systemd's socket units and what speaks their protocol). It opens none itself.
+// Package activation implements socket activation: it returns listening sockets
+// inherited from a supervisor such as systemd.
 //
-// A supervisor that keeps a process's socket keeps its callers as well: while
-// the process is stopped, killed or started again, connections wait in the
-// socket's queue in place of being refused.
+// Because the supervisor keeps the socket open while the process restarts,
+// connections wait in the socket's accept queue and are not refused.
 package activation
 
 import (
@@ -13,20 +12,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// Listener returns the socket that the supervisor named so, nil when it handed
-// over none of the name. It may be called once for each process: the names of
-// all sockets are read and forgotten.
+// Listener returns the inherited socket with the name, nil if the process inherits
+// no sockets. Any other socket, or more than one, is an error. Listener may be
+// called only once per process, because it clears the environment variables that
+// describe the sockets.
 func Listener(name string) (net.Listener, error) {
 	named, err := activation.ListenersWithNames()
 	if err != nil {
-		return nil, eris.Wrap(err, "take over the supervisor's sockets")
+		return nil, eris.Wrap(err, "read the sockets inherited from the supervisor")
 	}
 	if len(named) == 0 {
 		return nil, nil
 	}
 	if len(named) != 1 || len(named[name]) != 1 {
-		// A socket that nobody accepts from would hold its callers for ever.
-		return nil, eris.Errorf("the supervisor hands over sockets %v, want one with the name %q", names(named), name)
+		// Connections to a socket on which no process accepts would never be
+		// answered.
+		return nil, eris.Errorf("the supervisor passes sockets %v, want exactly one with the name %q", names(named), name)
 	}
 	return named[name][0], nil
 }
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,66 +1,67 @@
-// Package warmup decides what becomes of a request that reaches a process
-// before the process knows any configuration: it waits, is served or is turned
-// away. It has no I/O, goroutine or clock; callers lock.
+// Package warmup decides whether a request that arrives before a process has
+// loaded its first configuration is served, waits or is rejected. It does no I/O,
+// starts no goroutine and reads no clock; callers do the locking.
 //
-// The load it answers: all entries of a fleet are restarted together, and
-// callers arrive at the full rate while each entry still reads its first
-// configuration, which takes some tens of milliseconds on a calm machine and
-// far longer on a busy one. Turned away at once, every caller would spend its
-// retries on a state that passes by itself.
+// Requests wait because loading usually takes only a short time. If they were
+// rejected at once, callers would use up their retries whenever all entries
+// restart together.
 package warmup
 
 import "time"
 
-// Limits of the wait.
+// Limits bound the waiting requests.
 type Limits struct {
-	// MaxWaiting is the number of requests that wait at once. Nothing is known yet
-	// by which to tell a caller from a stranger, so only their number bounds the
-	// memory that they take.
+	// MaxWaiting is the maximum number of requests that wait at once. It bounds
+	// their memory, because without a configuration callers cannot be
+	// authenticated yet.
 	MaxWaiting int
-	// Timeout is the longest wait of one request.
+	// Timeout is the maximum time that a request waits.
 	Timeout time.Duration
 }
 
-// ConfigState is how far the process has come in finding its first configuration.
+// ConfigState is the state of loading the first configuration.
 type ConfigState int
 
-// The states of a search. It ends Loaded or NotFound; a configuration that
-// comes after a fruitless search makes it Loaded.
+// The states of loading the first configuration. NotFound means that all sources
+// were read and have none. If one arrives later, the state becomes Loaded.
 const (
 	Loading ConfigState = iota
 	Loaded
 	NotFound
 )
 
-// Decision is what becomes of a request.
+// Decision is what to do with a request.
 type Decision int
 
-// The verdicts. A request that waits asks again when the search has moved on or
-// its patience is over.
+// The decisions. For a waiting request, Recheck must be called when the state
+// changes or the timeout expires.
 const (
 	Serve Decision = iota
 	Wait
-	// RejectUnconfigured: the search has found nothing, so that a wait would be in vain.
+	// RejectUnconfigured rejects a request because there is no configuration or
+	// it was not loaded before the timeout.
 	RejectUnconfigured
-	// RejectFull: as many wait as may.
+	// RejectFull rejects a request because MaxWaiting requests already wait.
 	RejectFull
 )
 
-// Gate counts the requests that wait.
+// Gate decides on requests and counts those that wait. It is not safe for
+// concurrent use.
 type Gate struct {
 	limits  Limits
 	waiting int
 }
 
-// NewGate returns a gate with nobody waiting.
+// NewGate returns a gate without waiting requests.
 func NewGate(limits Limits) *Gate { return &Gate{limits: limits} }
 
-// Admit judges a request that just came. One that waits is counted until Leave.
-func (g *Gate) Admit(search ConfigState) Decision {
+// Admit decides on a new request. If it waits, the caller must call Leave when the
+// wait ends.
+func (g *Gate) Admit(state ConfigState) Decision {
 	switch {
-	case search == Loaded:
+	case state == Loaded:
 		return Serve
-	case search == NotFound:
+	case state == NotFound:
 		return RejectUnconfigured
 	case g.waiting >= g.limits.MaxWaiting:
 		return RejectFull
@@ -69,22 +70,22 @@
 	return Wait
 }
 
-// Recheck judges a request that has waited for so long.
-func (g *Gate) Recheck(search ConfigState, waited time.Duration) Decision {
+// Recheck decides on a waiting request that has waited for the duration.
+func (g *Gate) Recheck(state ConfigState, waited time.Duration) Decision {
 	switch {
-	case search == Loaded:
+	case state == Loaded:
 		return Serve
-	case search == NotFound, waited >= g.limits.Timeout:
+	case state == NotFound, waited >= g.limits.Timeout:
 		return RejectUnconfigured
 	}
 	return Wait
 }
 
-// Leave counts a request that waited out, served or not.
+// Leave reports that a request no longer waits, whatever the decision.
 func (g *Gate) Leave() { g.waiting-- }
 
-// Waiting is the number of requests that wait now.
+// Waiting returns the number of waiting requests.
 func (g *Gate) Waiting() int { return g.waiting }
 
-// Timeout is the longest wait of one request.
+// Timeout returns the maximum time that a request waits.
 func (g *Gate) Timeout() time.Duration { return g.limits.Timeout }
