--- a/charts/charts.go
+++ b/charts/charts.go
@@ -1,4 +1,4 @@
-// Package charts embeds the state charts of the system's lifecycles.
+// Package charts embeds the state charts of the router.
 package charts
 
 import (
@@ -13,8 +13,8 @@
 //go:embed *.toml
 var files embed.FS
 
-// All loads and checks every chart, by file name without ending. A process
-// calls it at start, so that a faulty chart stops it before it serves.
+// All loads and validates the embedded charts and returns them by name. Processes
+// call it at startup, so that they do not start with an invalid chart.
 var All = sync.OnceValues(loadAll)
 
 func loadAll() (map[string]*statechart.Chart, error) {
@@ -30,15 +30,15 @@
 		}
 		chart, err := statechart.Load(entry.Name(), text)
 		if err != nil {
-			return nil, eris.Wrapf(err, "chart %s", entry.Name())
+			return nil, eris.Wrapf(err, "load chart %s", entry.Name())
 		}
 		loaded[chart.Name] = chart
 	}
 	return loaded, nil
 }
 
-// Must returns the chart with the name and panics when there is none: charts
-// are embedded, so a missing one is a fault of the build, seen by every test.
+// Must returns the chart with the name. It panics if the chart does not exist or any
+// chart is invalid; charts are embedded, so this is a programming error.
 func Must(name string) *statechart.Chart {
 	loaded, err := All()
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 	chart, ok := loaded[name]
 	if !ok {
-		panic("no chart " + name)
+		panic("no embedded chart named " + name)
 	}
 	return chart
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is what the binaries' main functions have in common: log flags,
-// signals, exit codes. It knows no binary.
+// Package cli contains what the main functions of all binaries share: log flags,
+// signal handling and exit codes.
 package cli
 
 import (
@@ -17,11 +17,11 @@
 	"github.com/jayproxy/jayproxy/charts"
 )
 
-// shownLogFlags are klog's flags that make sense for a process without a disk;
-// the rest stays usable and out of the help text.
+// shownLogFlags are the klog flags shown in the help text. The others, which mostly
+// concern log files, are hidden but can be used.
 var shownLogFlags = map[string]bool{"v": true, "vmodule": true}
 
-// AddLogFlags adds klog's flags to a command and all below it.
+// AddLogFlags adds klog's flags to a command and all its subcommands.
 func AddLogFlags(cmd *cobra.Command) {
 	all := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(all)
@@ -33,8 +33,8 @@
 	})
 }
 
-// DiscardLogs drops the logs of processes that run inside a program which
-// breaks them by the hundred and prints a report of its own.
+// DiscardLogs discards all logs. It is for tools that run components in their own
+// process, make them fail on purpose and print their own report.
 func DiscardLogs() {
 	flags := flag.NewFlagSet("klog", flag.ExitOnError)
 	klog.InitFlags(flags)
@@ -42,8 +42,8 @@
 	klog.SetOutput(io.Discard)
 }
 
-// Main runs a command until it ends or a signal comes, and exits with 1 when
-// it fails. A second signal ends the process at once.
+// Main runs a command, cancels its context on SIGINT or SIGTERM, and exits with
+// status 1 if it fails. A second signal ends the process at once.
 func Main(cmd *cobra.Command) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	context.AfterFunc(ctx, stop)
@@ -55,15 +55,15 @@
 	}
 }
 
-// Server is a process that serves until it is told to stop.
+// Server is a running server.
 type Server interface {
-	// Shutdown ends gracefully, or at once when the context ends.
+	// Shutdown stops the server gracefully, or at once when the context ends.
 	Shutdown(ctx context.Context) error
 }
 
-// ServeCommand is a binary that reads a settings file, starts and serves. The
-// charts are checked before anything is opened. A first SIGTERM or SIGINT lets
-// running work end, a second one cuts it.
+// ServeCommand returns the command of a server binary: it validates the embedded
+// state charts, starts the server with a settings file and runs it until a SIGINT or
+// SIGTERM. After the first signal running work may end, a second one stops it.
 func ServeCommand(name, short string, start func(ctx context.Context, file string) (Server, error)) *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
@@ -90,7 +90,7 @@
 }
 
 func shutdown(server Server) error {
-	klog.InfoS("Stopping; a second signal cuts what still runs")
+	klog.InfoS("Stopping gracefully; a second signal stops at once")
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	return eris.Wrap(server.Shutdown(ctx), "stop")
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -9,12 +9,12 @@
 	"k8s.io/klog/v2"
 )
 
-// logLines may wait for a reader that is slow.
-const logLines = 4096
+// maxQueuedLines is the maximum number of queued log lines.
+const maxQueuedLines = 4096
 
-// lineWriter hands lines to a writer without ever waiting for it: a reader
-// that stops reading must not stop the process. What does not fit is dropped
-// and counted.
+// lineWriter queues lines for a writer and never blocks, so that a log reader that
+// stops reading does not block the process. Lines that do not fit into the queue are
+// dropped and counted.
 type lineWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -42,13 +42,13 @@
 	}
 }
 
-// LogTo sends all logs of the process to a writer, one line each, without ever
-// blocking. The function that it returns writes what still waits.
+// LogTo sends all logs of the process to a writer, one line each, without blocking.
+// The returned function stops logging and writes the queued lines.
 func LogTo(to io.Writer) (stop func()) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	_ = flags.Parse([]string{"-logtostderr=false", "-one_output=true", "-stderrthreshold=FATAL", "-legacy_stderr_threshold_behavior=false"})
-	w := &lineWriter{lines: make(chan []byte, logLines), done: make(chan struct{})}
+	w := &lineWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run(to)
 	klog.SetOutput(w)
 	return func() {
--- a/internal/cli/logs_test.go
+++ b/internal/cli/logs_test.go
@@ -12,22 +12,21 @@
 	"github.com/jayproxy/jayproxy/internal/cli"
 )
 
-// stalled is a reader of logs that stops to read, until it is let go.
-type stalled struct {
-	let  chan struct{}
-	text strings.Builder
+// blockedWriter is a writer that blocks until release is closed.
+type blockedWriter struct {
+	release chan struct{}
+	text    strings.Builder
 }
 
 // Write implements io.Writer.
-func (s *stalled) Write(p []byte) (int, error) {
-	<-s.let
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.release
 	return s.text.Write(p)
 }
 
-// All requests hang. The collector of the logs stopped reading, the pipe filled
-// up, and every line waited for room in it.
-func TestAReaderThatStopsReadingStopsNothing(t *testing.T) {
-	to := &stalled{let: make(chan struct{})}
+// Guards against a process that blocks because its log reader stops reading.
+func TestABlockedLogReaderDoesNotBlockLogging(t *testing.T) {
+	to := &blockedWriter{release: make(chan struct{})}
 	stop := cli.LogTo(to)
 	begun := time.Now()
 	const lines = 20000
@@ -35,10 +34,10 @@
 		klog.InfoS("A line", "number", i)
 	}
 	assert.Less(t, time.Since(begun), 5*time.Second)
-	close(to.let)
+	close(to.release)
 	klog.InfoS("After")
 	stop()
 	assert.Contains(t, to.text.String(), "Log lines dropped count=")
-	assert.Less(t, strings.Count(to.text.String(), "\n"), lines, "bounded")
+	assert.Less(t, strings.Count(to.text.String(), "\n"), lines, "all lines were written, none dropped")
 	klog.SetOutput(io.Discard)
 }
--- a/internal/settings/describe.go
+++ b/internal/settings/describe.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Setting is one setting as the operators' page shows it.
+// Setting describes a setting for the operators' documentation.
 type Setting struct {
-	// Key is dotted, as in the file's tables.
+	// Key is the dotted TOML key.
 	Key     string
 	Unit    string
 	Default string
-	// Rule is the check that a value must pass.
+	// Rule is the validation rule of the value.
 	Rule string
 	Doc  string
 }
 
-// Describe lists the settings of a struct that holds the defaults, in the
-// order of its fields. Fields without a toml name are not settings.
+// Describe returns the settings of a struct that holds the defaults, in the order
+// of its fields. Fields without a toml tag are not settings.
 func Describe(defaults any) []Setting {
 	return describe("", reflect.Indirect(reflect.ValueOf(defaults)))
 }
--- a/internal/settings/duration.go
+++ b/internal/settings/duration.go
@@ -11,10 +11,10 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// expandDurations replaces a duration that is written as text ("250ms", "1m30s")
-// by its number of nanoseconds, where the target's field is a time.Duration:
-// the decoder takes only numbers there. The text keeps its lines, so findings
-// keep their places; a text that is no duration stays for the decoder to refuse.
+// expandDurations replaces durations written as strings ("250ms", "1m30s") by their
+// number of nanoseconds, where the target's field is a time.Duration, because the
+// decoder accepts only numbers there. Line numbers do not change. A string that is
+// not a duration is left to the decoder, which rejects it.
 func expandDurations(text []byte, target any) []byte {
 	type replacement struct {
 		from, to int
@@ -52,7 +52,8 @@
 	return expanded
 }
 
-// fieldType follows toml keys through structs; nil when there is no such field.
+// fieldType returns the type of the field that the TOML keys lead to, nil if there
+// is no such field.
 func fieldType(at reflect.Type, path []string) reflect.Type {
 	for at != nil && at.Kind() == reflect.Pointer {
 		at = at.Elem()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings reads a process's TOML settings into a typed struct and
-// checks them. All findings of a file come in one report with file and line.
-// It knows no process: each binary declares its own struct with defaults.
+// Package settings reads TOML settings into a struct and validates them. It reports
+// all errors of a file together, with file and line. Each binary declares its own
+// struct with defaults.
 //
-// Struct tags: `toml` names the key, `validate` is a go-playground/validator
-// rule, `unit` and `doc` feed the operators' page.
+// Struct tags: `toml` is the key, `validate` a go-playground/validator rule, `unit`
+// and `doc` are used in the operators' documentation.
 package settings
 
 import (
@@ -23,9 +23,8 @@
 	"github.com/jayproxy/jayproxy/internal/findings"
 )
 
-// Load fills target, a pointer to a struct that already holds the defaults,
-// from the file and validates it. The error is a *findings.Error for faults of
-// the content.
+// Load reads the file into target, a pointer to a struct that holds the defaults,
+// and validates it. The error is a *findings.Error if the content is invalid.
 func Load(file string, target any) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -34,7 +33,7 @@
 	return Parse(file, text, target)
 }
 
-// Parse is Load for text that is already at hand; file only names the place.
+// Parse is like Load for text that is already read. file is used in findings only.
 func Parse(file string, text []byte, target any) error {
 	lines := Lines(text)
 	found := decode(file, text, target)
@@ -56,12 +55,12 @@
 	case err == nil:
 	case errors.As(err, &strict):
 		for _, e := range strict.Errors {
-			row, _ := e.Position()
-			found.AddAt(file, row, strings.Join(e.Key(), "."), "unknown setting")
+			line, _ := e.Position()
+			found.AddAt(file, line, strings.Join(e.Key(), "."), "unknown setting")
 		}
 	case errors.As(err, &syntax):
-		row, _ := syntax.Position()
-		found.AddAt(file, row, strings.Join(syntax.Key(), "."), "%s", syntax.Error())
+		line, _ := syntax.Position()
+		found.AddAt(file, line, strings.Join(syntax.Key(), "."), "%s", syntax.Error())
 	default:
 		found.AddAt(file, 0, "", "%s", err.Error())
 	}
@@ -70,45 +69,46 @@
 
 func validate(file string, lines map[string]int, target any) findings.List {
 	var found findings.List
-	checker := newChecker()
+	checker := newValidator()
 	checker.RegisterTagNameFunc(func(f reflect.StructField) string {
 		return strings.Split(f.Tag.Get("toml"), ",")[0]
 	})
 	err := checker.Struct(target)
-	var faults validator.ValidationErrors
-	if err != nil && !errors.As(err, &faults) {
+	var invalid validator.ValidationErrors
+	if err != nil && !errors.As(err, &invalid) {
 		found.AddAt(file, 0, "", "%s", err.Error())
 		return found
 	}
-	for _, fault := range faults {
-		_, path, _ := strings.Cut(fault.Namespace(), ".")
-		rule := fault.Tag()
-		if fault.Param() != "" {
-			rule += "=" + fault.Param()
+	for _, field := range invalid {
+		_, path, _ := strings.Cut(field.Namespace(), ".")
+		rule := field.Tag()
+		if field.Param() != "" {
+			rule += "=" + field.Param()
 		}
-		found.AddAt(file, lineOf(lines, path), path, "value %v breaks the rule %s", fault.Value(), rule)
+		found.AddAt(file, lineOf(lines, path), path, "value %v breaks the rule %s", field.Value(), rule)
 	}
 	return found
 }
 
-// LineOf finds the line of a key in what Lines returned, or the line of the
-// nearest table around it; 0 when there is none.
+// LineOf returns the line of a key, given the result of Lines, or the line of the
+// innermost table around it; 0 if there is none.
 func LineOf(lines map[string]int, path string) int { return lineOf(lines, path) }
 
-// newChecker adds ip_port, an address by IP number; port 0 takes a free one.
-func newChecker() *validator.Validate {
+// newValidator returns a validator with the additional rule ip_port: an IP address
+// with a port, which may be 0.
+func newValidator() *validator.Validate {
 	checker := validator.New(validator.WithRequiredStructEnabled())
 	err := checker.RegisterValidation("ip_port", func(level validator.FieldLevel) bool {
 		_, err := netip.ParseAddrPort(level.Field().String())
 		return err == nil
 	})
 	if err != nil {
-		panic(err) // Only a bad name fails, and the name is ours.
+		panic(err) // Fails only if the name of the rule is invalid.
 	}
 	return checker
 }
 
-// lineOf finds the line of a key, or of the nearest table around it.
+// lineOf implements LineOf.
 func lineOf(lines map[string]int, path string) int {
 	for path != "" {
 		if line, ok := lines[path]; ok {
@@ -123,9 +123,9 @@
 	return 0
 }
 
-// Lines maps each dotted key of a TOML text to its line, counted from 1.
-// Elements of an array of tables are written name[0], name[1], and so on.
-// Text that does not parse gives the keys in front of the fault.
+// Lines maps each dotted key of a TOML text to its line, counted from 1. Elements of
+// an array of tables are written name[0], name[1] and so on. If the text has a syntax
+// error, only the keys before it are returned.
 func Lines(text []byte) map[string]int {
 	lines := map[string]int{}
 	counts := map[string]int{}
@@ -152,8 +152,8 @@
 	return lines
 }
 
-// indexed rewrites a dotted key so that each array of tables on its way
-// carries the index of its latest element.
+// indexed returns the dotted key with the index of the current element added to each
+// array of tables in it.
 func indexed(counts map[string]int, key string) string {
 	if key == "" {
 		return ""
--- a/internal/statechart/statechart.go
+++ b/internal/statechart/statechart.go
@@ -1,6 +1,6 @@
-// Package statechart interprets lifecycles that are declared in TOML files
-// under charts/. A chart is checked when it is loaded; code only fires events
-// and reads states, and holds no transition table of its own.
+// Package statechart interprets the state charts that are declared in TOML files
+// under charts/. A chart is validated when it is loaded. Callers fire events and
+// read states; the transitions are defined only in the charts.
 package statechart
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/jayproxy/jayproxy/internal/settings"
 )
 
-// Chart is a checked lifecycle.
+// Chart is a validated state chart. It is safe for concurrent use.
 type Chart struct {
 	Name    string
 	initial string
@@ -38,12 +38,14 @@
 	Doc   string            `toml:"doc"`
 	Final bool              `toml:"final"`
 	On    map[string]string `toml:"on"`
-	// Ignore lists events that leave the state as it is.
+	// Ignore lists events that do not change the state.
 	Ignore []string `toml:"ignore"`
 }
 
-// Load parses and checks a chart. Findings: unknown or unreachable states, an
-// event that a state neither handles nor ignores, a final state with a way out.
+// Load parses and validates a chart. The error is a *findings.Error if a state or
+// event is not declared, a state is unreachable, a state that is not final does not
+// handle or ignore each event, or a final state handles events. file is used in
+// error messages only.
 func Load(file string, text []byte) (*Chart, error) {
 	var decl chartDecl
 	if err := toml.Unmarshal(text, &decl); err != nil {
@@ -57,8 +59,8 @@
 	return chart, nil
 }
 
-// build hands the transitions to the library; one machine with external state
-// serves every instance of the lifecycle.
+// build configures the state machine. One machine with external state serves all
+// instances of the chart.
 func (c *Chart) build(decl chartDecl) {
 	read := func(context.Context) (stateless.State, error) { return c.current, nil }
 	write := func(_ context.Context, s stateless.State) error {
@@ -81,10 +83,10 @@
 	}
 }
 
-// Initial returns the state that a lifecycle starts in.
+// Initial returns the initial state.
 func (c *Chart) Initial() string { return c.initial }
 
-// Final tells whether a lifecycle in the state is over.
+// Final reports whether the state is final.
 func (c *Chart) Final(state string) bool { return c.states[state].Final }
 
 // States returns the names of all states, sorted.
@@ -97,8 +99,8 @@
 	return names
 }
 
-// Next returns the state after an event, or an error when the chart neither
-// handles nor ignores the event in that state.
+// Next returns the state that follows when the event occurs in the state, or an
+// error if the chart neither handles nor ignores the event there.
 func (c *Chart) Next(state, event string) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +125,7 @@
 	}
 	for name := range decl.States {
 		if !reachable(decl, name) {
-			found.AddAt(file, lines["states."+name], "states."+name, "no event leads here")
+			found.AddAt(file, lines["states."+name], "states."+name, "no event leads to this state from the initial state")
 		}
 	}
 	found.Sort()
@@ -150,7 +152,7 @@
 		handled[event] = true
 	}
 	if state.Final && len(state.On) > 0 {
-		found.AddAt(file, line, path, "a final state has no way out")
+		found.AddAt(file, line, path, "a final state must not handle events")
 	}
 	if state.Final {
 		return
@@ -164,17 +166,17 @@
 
 func reachable(decl chartDecl, target string) bool {
 	seen := map[string]bool{decl.Initial: true}
-	todo := []string{decl.Initial}
-	for len(todo) > 0 {
-		state := todo[0]
-		todo = todo[1:]
+	queue := []string{decl.Initial}
+	for len(queue) > 0 {
+		state := queue[0]
+		queue = queue[1:]
 		if state == target {
 			return true
 		}
 		for _, to := range decl.States[state].On {
 			if !seen[to] {
 				seen[to] = true
-				todo = append(todo, to)
+				queue = append(queue, to)
 			}
 		}
 	}
--- a/internal/statechart/statechart_test.go
+++ b/internal/statechart/statechart_test.go
@@ -12,7 +12,7 @@
 	"github.com/jayproxy/jayproxy/internal/statechart"
 )
 
-func TestEmbeddedChartsAreSound(t *testing.T) {
+func TestEmbeddedChartsAreValid(t *testing.T) {
 	loaded, err := charts.All()
 	require.NoError(t, err)
 	require.NotEmpty(t, loaded)
@@ -56,5 +56,5 @@
 	require.True(t, errors.As(err, &fault))
 	require.Len(t, fault.Findings, 2)
 	assert.Contains(t, fault.Error(), "c.toml:7: states.b: event \"go\" is neither handled nor ignored")
-	assert.Contains(t, fault.Error(), "c.toml:7: states.b: no event leads here")
+	assert.Contains(t, fault.Error(), "c.toml:7: states.b: no event leads to this state from the initial state")
 }
