--- a/internal/findings/findings.go
+++ b/internal/findings/findings.go
@@ -1,5 +1,5 @@
-// Package findings collects everything that is wrong with an input, each with
-// its place, so that one run reports all of it. It never stops at the first.
+// Package findings collects all errors in an input with their positions, so that
+// they can be reported together.
 package findings
 
 import (
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// Finding is one fault of an input.
+// Finding is one error in an input.
 type Finding struct {
-	// File is the path as the user gave it; empty when the input is no file.
+	// File is the path as given by the user; empty if the input is not a file.
 	File string `json:"file,omitempty"`
-	// Line counts from 1; 0 when unknown.
+	// Line is the line number, counted from 1; 0 if unknown.
 	Line int `json:"line,omitempty"`
-	// Path is the key or resource, e.g. "pool/modelos.active_version".
+	// Path identifies the key or resource, e.g. "pool/modelos.active_version".
 	Path string `json:"path,omitempty"`
-	// Message says what is wrong and what would be right.
+	// Message describes the error and what is allowed.
 	Message string `json:"message"`
 }
 
-// String renders the finding as file:line: path: message.
+// String returns the finding as file:line: path: message, without unknown parts.
 func (f Finding) String() string {
 	var b strings.Builder
 	if f.File != "" {
@@ -38,15 +38,15 @@
 	return b.String()
 }
 
-// List is a set of findings. The zero value is empty and ready to use.
+// List is a list of findings. The zero value is an empty list.
 type List []Finding
 
-// Add appends a finding that has a key but no line.
+// Add appends a finding without file and line.
 func (l *List) Add(path, format string, args ...any) {
 	*l = append(*l, Finding{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// AddAt appends a finding with its place.
+// AddAt appends a finding with its file and line.
 func (l *List) AddAt(file string, line int, path, format string, args ...any) {
 	*l = append(*l, Finding{File: file, Line: line, Path: path, Message: fmt.Sprintf(format, args...)})
 }
@@ -65,7 +65,7 @@
 	})
 }
 
-// Err returns nil for an empty list, else an *Error that holds all of it.
+// Err returns nil if the list is empty, else an *Error with all findings.
 func (l List) Err() error {
 	if len(l) == 0 {
 		return nil
@@ -78,7 +78,7 @@
 	Findings List
 }
 
-// Error renders one finding a line.
+// Error returns the findings, one per line.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Findings))
 	for i, f := range e.Findings {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,7 @@
-// Package metrics gives a process its own registry of go-metrics histograms
-// and counters, one set per workspace or class. The number of names is bounded:
-// callers choose names, labels come from the catalog and overflow into "other".
+// Package metrics provides a registry of go-metrics histograms, counters and
+// gauges. Each metric has a name, which is fixed in the code, and a label, such as
+// a workspace or class. The number of labels is bounded; further ones are counted
+// under OtherLabel.
 package metrics
 
 import (
@@ -16,18 +17,18 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// OtherLabel takes the values of labels beyond the registry's bound.
+// OtherLabel replaces labels beyond the registry's limit.
 const OtherLabel = "other"
 
 const (
-	// reservoir of a histogram and its decay, as go-metrics advises for the
-	// last five minutes.
+	// reservoirSize and reservoirAlpha are the sample size and decay factor that
+	// go-metrics recommends for histograms of the last five minutes.
 	reservoirSize  = 1028
 	reservoirAlpha = 0.015
 	labelSeparator = "|"
 )
 
-// Registry holds a process's metrics. Safe for concurrent use.
+// Registry holds the metrics of a process. It is safe for concurrent use.
 type Registry struct {
 	maxLabels int
 	inner     gometrics.Registry
@@ -36,12 +37,13 @@
 	labels map[string]bool
 }
 
-// New makes a registry that keeps at most maxLabels labels apart.
+// New returns a registry with at most maxLabels distinct labels, not counting
+// OtherLabel.
 func New(maxLabels int) *Registry {
 	return &Registry{maxLabels: maxLabels, inner: gometrics.NewRegistry(), labels: map[string]bool{}}
 }
 
-// Time adds a duration, kept in microseconds, to a histogram.
+// Time adds a duration, in microseconds, to the histogram name_us.
 func (r *Registry) Time(name, label string, d time.Duration) {
 	r.Value(name+"_us", label, d.Microseconds())
 }
@@ -55,7 +57,7 @@
 	}
 }
 
-// Count adds to a counter.
+// Count adds n to a counter.
 func (r *Registry) Count(name, label string, n int64) {
 	metric := r.inner.GetOrRegister(r.key(name, label), gometrics.NewCounter)
 	if counter, ok := metric.(gometrics.Counter); ok {
@@ -71,18 +73,19 @@
 	}
 }
 
-// newHistogram is handed to the registry as a constructor, so that a
-// reservoir is made only for a name that is new.
+// newHistogram is passed to the registry as a constructor, so that a reservoir is
+// allocated only for a new metric.
 func newHistogram() gometrics.Histogram {
 	return gometrics.NewHistogram(gometrics.NewExpDecaySample(reservoirSize, reservoirAlpha))
 }
 
 func (r *Registry) key(name, label string) string {
-	return name + labelSeparator + r.admit(label)
+	return name + labelSeparator + r.boundLabel(label)
 }
 
-// admit bounds the labels: a caller that makes up names must not grow memory.
-func (r *Registry) admit(label string) string {
+// boundLabel returns the label, or OtherLabel if there are too many labels.
+// Otherwise clients that send arbitrary names could exhaust the memory.
+func (r *Registry) boundLabel(label string) string {
 	r.mu.RLock()
 	known := r.labels[label]
 	r.mu.RUnlock()
@@ -101,11 +104,12 @@
 	return label
 }
 
-// Sample is one metric as it is shown.
+// Sample is the current value of a metric.
 type Sample struct {
 	Name  string `json:"name"`
 	Label string `json:"label"`
-	// Count of values of a histogram, or the value of a counter or gauge.
+	// Count is the number of values of a histogram, or the value of a counter or
+	// gauge. The other fields are set for histograms only.
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean,omitempty"`
 	P50   float64 `json:"p50,omitempty"`
@@ -114,7 +118,7 @@
 	Max   int64   `json:"max,omitempty"`
 }
 
-// Samples returns all metrics in order of name and label.
+// Samples returns all metrics, sorted by name and label.
 func (r *Registry) Samples() []Sample {
 	var all []Sample
 	r.inner.Each(func(key string, metric any) {
@@ -159,7 +163,7 @@
 	})
 }
 
-// WriteText writes all metrics, a line each.
+// WriteText writes all metrics, one per line.
 func (r *Registry) WriteText(w io.Writer) {
 	for _, s := range r.Samples() {
 		_, _ = fmt.Fprintf(w, "%s{%s} count=%d mean=%.1f p50=%.1f p95=%.1f p99=%.1f max=%d\n",
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,7 +12,7 @@
 	"github.com/jayproxy/jayproxy/internal/metrics"
 )
 
-func TestLabelsBeyondTheBoundFlowIntoOther(t *testing.T) {
+func TestLabelsBeyondTheLimitAreCountedAsOther(t *testing.T) {
 	r := metrics.New(3)
 	for i := range 10 {
 		r.Count("refusals", fmt.Sprintf("w%d", i), 1)
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,6 +1,6 @@
-// Package testseed fixes the seed of property tests, so that CI gives the same
-// verdict on the same code. Tests import it for its effect; another seed is
-// tried with -rapid.seed=N on one package.
+// Package testseed fixes the seed of property tests, so that their result is
+// reproducible. Tests import it for its side effect. To use another seed, pass
+// -rapid.seed=N to the tests of a package.
 package testseed
 
 import (
@@ -9,11 +9,11 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// seed of every property test unless the command line says otherwise.
+// seed is the default seed of all property tests.
 const seed = "20261202"
 
 func init() {
 	if err := flag.Set("rapid.seed", seed); err != nil {
-		panic(err) // Only a library that renamed its flag.
+		panic(err) // The rapid library no longer registers this flag.
 	}
 }
--- a/internal/testsources/testsources.go
+++ b/internal/testsources/testsources.go
@@ -1,5 +1,5 @@
-// Package testsources ties the kept results of tests that build programs to what
-// these are built from.
+// Package testsources makes the cached results of tests that build programs depend
+// on the source files of these programs.
 package testsources
 
 import (
@@ -11,15 +11,16 @@
 
 var once sync.Once
 
-// dirs hold all that the programs are built from, below the repository's root.
+// dirs are the folders with the sources of the programs, relative to the root of the
+// repository.
 var dirs = []string{"cmd", "internal", "platform", "charts", "api/gen"}
 
-// TrackSources looks at all sources, once. The go command keeps a test's result until a
-// file changes that the running test looked at; an import of the program's
-// packages is not enough: what the linker takes out of the test's own binary, a
-// constant for one, changes nothing there, and a test passed from the cache that
-// failed in fact. It must be called from a test: what is looked at before the
-// first one starts does not count.
+// TrackSources calls os.Stat on all source files, once per process. The go command
+// records the files that a test accesses and reuses the cached result only while
+// they are unchanged. Importing the packages of the programs is not enough: a change
+// to code that is not linked into the test binary, such as a constant, would not
+// invalidate the result. TrackSources must be called from a test, because files
+// accessed before the first test starts are not recorded.
 func TrackSources(t testing.TB, root string) {
 	t.Helper()
 	once.Do(func() {
@@ -32,7 +33,7 @@
 				return err
 			})
 			if err != nil {
-				t.Fatalf("look at %s: %v", dir, err)
+				t.Fatalf("stat source files in %s: %v", dir, err)
 			}
 		}
 	})
