--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -144,9 +144,9 @@
 	put(t, q, epoch, request("running", "a", jayv1.Class_CLASS_BATCH, 100))
 	put(t, q, epoch, request("batch", "a", jayv1.Class_CLASS_BATCH, 100))
 	put(t, q, epoch, request("standard", "a", jayv1.Class_CLASS_STANDARD, 100))
-	put(t, q, epoch, request("breakdown", "a", jayv1.Class_CLASS_INTERACTIVE, 100))
-	assert.Equal(t, []string{"breakdown"}, started(q.Done(epoch, "running")))
-	assert.Equal(t, []string{"standard"}, started(q.Done(epoch, "breakdown")))
+	put(t, q, epoch, request("interactive", "a", jayv1.Class_CLASS_INTERACTIVE, 100))
+	assert.Equal(t, []string{"interactive"}, started(q.Done(epoch, "running")))
+	assert.Equal(t, []string{"standard"}, started(q.Done(epoch, "interactive")))
 	assert.Equal(t, []string{"batch"}, started(q.Done(epoch, "standard")))
 }
 
@@ -194,7 +194,7 @@
 	put(t, q, epoch, request("running", "a", jayv1.Class_CLASS_BATCH, 100))
 	put(t, q, epoch, request("batch", "a", jayv1.Class_CLASS_BATCH, 100))
 	put(t, q, epoch, request("standard", "a", jayv1.Class_CLASS_STANDARD, 100))
-	decision, actions := q.Offer(epoch, request("breakdown", "a", jayv1.Class_CLASS_INTERACTIVE, 100))
+	decision, actions := q.Offer(epoch, request("interactive", "a", jayv1.Class_CLASS_INTERACTIVE, 100))
 	require.True(t, decision.Accepted)
 	require.Len(t, actions, 1)
 	assert.Equal(t, "batch", actions[0].ID)
--- a/internal/findings/findings.go
+++ b/internal/findings/findings.go
@@ -14,7 +14,7 @@
 	File string `json:"file,omitempty"`
 	// Line is the line number, counted from 1; 0 if unknown.
 	Line int `json:"line,omitempty"`
-	// Path identifies the key or resource, e.g. "pool/modelos.active_version".
+	// Path identifies the key or resource, e.g. "pool/models.active_version".
 	Path string `json:"path,omitempty"`
 	// Message describes the error and what is allowed.
 	Message string `json:"message"`
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -24,8 +24,8 @@
 
 func TestHistogramsAreServedAsText(t *testing.T) {
 	r := metrics.New(3)
-	r.Time("first_token", "orahovac", 20*time.Millisecond)
+	r.Time("first_token", "w1", 20*time.Millisecond)
 	answer := httptest.NewRecorder()
 	r.Handler().ServeHTTP(answer, httptest.NewRequest("GET", "/metrics?format=text", nil))
-	assert.Contains(t, answer.Body.String(), "first_token_us{orahovac} count=1 mean=20000.0 p50=20000.0")
+	assert.Contains(t, answer.Body.String(), "first_token_us{w1} count=1 mean=20000.0 p50=20000.0")
 }
