--- a/internal/agent/schedule.go
+++ b/internal/agent/schedule.go
@@ -88,7 +88,7 @@
 func (s *scheduler) setAssumedRate(tokensPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rate.SetGuess(tokensPerSecond)
+	s.rate.SetInitialRate(tokensPerSecond)
 }
 
 func (s *scheduler) prefillRate() float64 {
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -22,7 +22,7 @@
 	if !w.nonRepeatable || w.key == "" {
 		return nil
 	}
-	claim, err := e.ledger.Take(ctx, w.workspace.GetName(), w.claimKey(), w.id)
+	claim, err := e.ledger.Acquire(ctx, w.workspace.GetName(), w.claimKey(), w.id)
 	var duplicate *ledger.DuplicateError
 	switch {
 	case err == nil:
@@ -74,7 +74,7 @@
 		release := e.streams.addBackground()
 		go func() {
 			defer release()
-			if err := e.ledger.Done(e.ctx, w.claim); err != nil {
+			if err := e.ledger.Complete(e.ctx, w.claim); err != nil {
 				klog.V(1).InfoS("claim not marked as done", "request", w.id, "cause", err)
 			}
 		}()
@@ -88,7 +88,7 @@
 // pruneKey. It needs no lease: two entries that prune at once only duplicate work.
 func (e *Entry) pruneClaims(ctx context.Context) {
 	const day = 24 * time.Hour
-	pruner := ledger.NewTrimmer(e.platform, time.Duration(e.settings.Ledger.KeepDays)*day)
+	pruner := ledger.NewPruner(e.platform, time.Duration(e.settings.Ledger.KeepDays)*day)
 	ticker := time.NewTicker(ms(e.settings.Ledger.TrimMS))
 	defer ticker.Stop()
 	for {
--- a/internal/entry/handover_test.go
+++ b/internal/entry/handover_test.go
@@ -153,7 +153,7 @@
 	}
 	require.Eventually(t, func() bool { return send() > 0 }, 3*time.Second, time.Millisecond)
 	table.SetVMs([]platform.VM{
-		{Name: "b1", Role: "backend", State: platform.VMLeaving}, {Name: "e1", Role: "entry", State: platform.VMLive},
+		{Name: "b1", Role: "backend", State: platform.VMDraining}, {Name: "e1", Role: "entry", State: platform.VMLive},
 	})
 	listedAt := time.Now()
 	require.Eventually(t, func() bool { return time.Since(listedAt) >= 3*time.Second }, 4*time.Second, 10*time.Millisecond)
