--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -36,10 +36,10 @@
 		"control_agent_bytes": line("control_agent_bytes", 1, 0),
 	}
 	verdicts := map[string]capacity.Verdict{}
-	for _, row := range capacity.Rows(capacity.TwoYears(), set) {
+	for _, row := range capacity.Rows(capacity.TwoYearForecast(), set) {
 		verdicts[row.Role+": "+row.What] = row.Verdict()
 	}
-	assert.Equal(t, capacity.Short, verdicts["entry: control bytes (gossip, catalog, homes of agents)"])
+	assert.Equal(t, capacity.FallsShort, verdicts["entry: control bytes (gossip, catalog, homes of agents)"])
 	assert.Equal(t, capacity.Holds, verdicts["agent: control bytes"])
 	assert.Equal(t, capacity.NotKnown, verdicts["agent: memory: index of cached blocks"])
 }
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -7,10 +7,10 @@
 
 // The verdicts. NoBound rows are told for their own sake.
 const (
-	Holds    Verdict = "holds"
-	Short    Verdict = "falls short"
-	NotKnown Verdict = "not known"
-	NoBound  Verdict = ""
+	Holds      Verdict = "holds"
+	FallsShort Verdict = "falls short"
+	NotKnown   Verdict = "not known"
+	NoBound    Verdict = ""
 )
 
 // Row is one figure of a role at the size of two years.
@@ -38,17 +38,17 @@
 	case r.Value <= r.Bound:
 		return Holds
 	}
-	return Short
+	return FallsShort
 }
 
 // Roles of the page, in its order.
 const (
-	RoleEntry    = "entry"
-	RoleAgent    = "agent"
-	RoleHolder   = "lease holder (an entry's share)"
-	RoleOperator = "operators' calls (an entry)"
-	RolePlatform = "platform"
-	RoleLoss     = "loss of a data centre, its load on the others of its region"
+	RoleEntry          = "entry"
+	RoleAgent          = "agent"
+	RoleLeaseHolder    = "lease holder (an entry's share)"
+	RoleOperator       = "operators' calls (an entry)"
+	RolePlatform       = "platform"
+	RoleDataCentreLoss = "loss of a data centre, its load on the others of its region"
 )
 
 // builder collects rows over a set of slopes.
@@ -205,9 +205,9 @@
 	const renewSeconds = 5
 	leases := s.Models
 	b.rows = append(b.rows,
-		Row{Role: RoleHolder, What: "lease renewals, all pools", Unit: "writes/s", Value: leases / renewSeconds, Known: true, Bound: s.PlatformWrites,
+		Row{Role: RoleLeaseHolder, What: "lease renewals, all pools", Unit: "writes/s", Value: leases / renewSeconds, Known: true, Bound: s.PlatformWrites,
 			From: fmt.Sprintf("%.0f leases, one a pool, renewed every 5 s", leases), Mechanism: "fenced lease a pool"},
-		Row{Role: RoleHolder, What: "orders after a pool's new version, all its servers", Unit: "orders", Value: s.BackendServers / s.Models, Known: true,
+		Row{Role: RoleLeaseHolder, What: "orders after a pool's new version, all its servers", Unit: "orders", Value: s.BackendServers / s.Models, Known: true,
 			From: "one load and one unload a server, a few at a time", Mechanism: "planner keeps min_ready"})
 }
 
@@ -262,19 +262,19 @@
 		ofThree       = 1.5
 		probesAServer = 3
 	)
-	b.sum(Row{Role: RoleLoss, What: "routing decisions (request path)", Unit: "% of a core",
+	b.sum(Row{Role: RoleDataCentreLoss, What: "routing decisions (request path)", Unit: "% of a core",
 		From: fmt.Sprintf("%.0f requests/s x route_decision_cpu", ofThree*s.requestsPerEntry()), Mechanism: "further data centres by expected time"},
 		term{slope: "route_decision_cpu", at: 2 * s.serversPerDC(), factor: ofThree * s.requestsPerEntry() * nanoseconds * percent})
-	b.sum(Row{Role: RoleLoss, What: "open streams, memory (request path)", Unit: "MB",
+	b.sum(Row{Role: RoleDataCentreLoss, What: "open streams, memory (request path)", Unit: "MB",
 		From: fmt.Sprintf("%.0f streams", ofThree*s.openStreamsPerEntry()), Mechanism: "one QUIC stream a request"},
 		term{slope: "connection_open_bytes", perUnit: true, factor: ofThree * s.openStreamsPerEntry() / 2 / megabyte},
 		term{slope: "connection_idle_bytes", perUnit: true, factor: -ofThree * s.openStreamsPerEntry() / 2 / megabyte})
 	b.rows = append(b.rows,
-		Row{Role: RoleLoss, What: "requests at a backend server of the region", Unit: "requests/s", Value: ofThree * s.requestsPerServer(), Known: true,
+		Row{Role: RoleDataCentreLoss, What: "requests at a backend server of the region", Unit: "requests/s", Value: ofThree * s.requestsPerServer(), Known: true,
 			From: "half as much again as on an ordinary day", Mechanism: "pools need a third of their room free; admission sheds the lowest class first"},
-		Row{Role: RoleLoss, What: "offers of one entry to dead servers until all are ejected", Unit: "offers", Value: probesAServer * s.serversPerDC(), Known: true,
+		Row{Role: RoleDataCentreLoss, What: "offers of one entry to dead servers until all are ejected", Unit: "offers", Value: probesAServer * s.serversPerDC(), Known: true,
 			From: "three failures a server, only for traffic that prefers the lost data centre", Mechanism: "own evidence, then the list of VMs"})
-	b.sum(Row{Role: RoleLoss, What: "handshakes of one entry with the region's other agents, once", Unit: "MB",
+	b.sum(Row{Role: RoleDataCentreLoss, What: "handshakes of one entry with the region's other agents, once", Unit: "MB",
 		From:      fmt.Sprintf("%.0f connections x connection_handshake_bytes, spread over the requests that need them", 2*s.serversPerDC()),
 		Mechanism: "connections on use"},
 		term{slope: "connection_handshake_bytes", perUnit: true, factor: 2 * s.serversPerDC() / megabyte})
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -108,7 +108,7 @@
 }
 
 func verdictText(r Row) string {
-	if r.Verdict() == Short {
+	if r.Verdict() == FallsShort {
 		return fmt.Sprintf("**falls short**, %.1f times the bound", r.Value/r.Bound)
 	}
 	return string(r.Verdict())
--- a/internal/capacity/sizes.go
+++ b/internal/capacity/sizes.go
@@ -2,18 +2,18 @@
 
 // Sizes is what the users expect within two years (letter 1).
 type Sizes struct {
-	Entries          float64
-	BackendServers   float64
-	DataCentres      float64
-	Regions          float64
-	RequestsPerSec   float64
-	TokensPerSec     float64
-	CachedBlocks     float64
-	EventsPerSec     float64
-	Workspaces       float64
-	Models           float64
-	ChangesPerDay    float64
-	VMsReplacedAtDay float64
+	Entries           float64
+	BackendServers    float64
+	DataCentres       float64
+	Regions           float64
+	RequestsPerSec    float64
+	TokensPerSec      float64
+	CachedBlocks      float64
+	EventsPerSec      float64
+	Workspaces        float64
+	Models            float64
+	ChangesPerDay     float64
+	VMsReplacedPerDay float64
 	// What the platform grants, and the share of a node's budget for control.
 	PlatformReads  float64
 	PlatformWrites float64
@@ -25,13 +25,13 @@
 	ChangeSeconds        float64
 }
 
-// TwoYears is the size of the letter, with the brief's platform: several
+// TwoYearForecast is the size of the letter, with the brief's platform: several
 // hundred writes, read as 400, and about two thousand reads a second.
-func TwoYears() Sizes {
+func TwoYearForecast() Sizes {
 	return Sizes{
 		Entries: 810, BackendServers: 7000, DataCentres: 22, Regions: 7,
 		RequestsPerSec: 130e3, TokensPerSec: 26e6, CachedBlocks: 160e6, EventsPerSec: 8.3e6,
-		Workspaces: 220, Models: 26, ChangesPerDay: 16000, VMsReplacedAtDay: 1100 + 47,
+		Workspaces: 220, Models: 26, ChangesPerDay: 16000, VMsReplacedPerDay: 1100 + 47,
 		PlatformReads: 2000, PlatformWrites: 400,
 		CoreShare: 0.014, MemoryBytes: 64 << 20, BytesPerSec: 2 << 10,
 		SecondsBetweenTokens: 0.034, ChangeSeconds: 5,
--- a/internal/engine/dialect/dialect_test.go
+++ b/internal/engine/dialect/dialect_test.go
@@ -90,7 +90,7 @@
 	t.Helper()
 	parts, err := prefix.Render(r.Body)
 	require.NoError(t, err)
-	return sim.WholeText(parts, n)
+	return sim.CompleteText(parts, n)
 }
 
 func TestStreamsAnswerAndCountCachedTokens(t *testing.T) {
--- a/internal/experiment/ladder.go
+++ b/internal/experiment/ladder.go
@@ -10,8 +10,8 @@
 // count as carried.
 const inTimeShare = 0.95
 
-// Carried is the highest offered load at which a policy kept the objective.
-type Carried struct {
+// SustainedLoad is the highest offered load at which a policy kept the objective.
+type SustainedLoad struct {
 	Mix    string `json:"mix"`
 	Policy string `json:"policy"`
 	// Share of what least load can carry by its prefill; 0: not even the lowest.
@@ -21,15 +21,15 @@
 
 // Ladder runs each policy at each load and returns the highest that it carried,
 // and the results themselves. Plan.Shares are the steps.
-func (p Plan) Ladder(ctx context.Context) (Report, []Carried, error) {
+func (p Plan) Ladder(ctx context.Context) (Report, []SustainedLoad, error) {
 	report, err := p.Run(ctx)
 	if err != nil {
 		return report, nil, err
 	}
-	var carried []Carried
+	var carried []SustainedLoad
 	for _, mix := range p.Mixes {
 		for _, policy := range p.Policies {
-			best := Carried{Mix: mix, Policy: policy}
+			best := SustainedLoad{Mix: mix, Policy: policy}
 			for _, result := range report.Results {
 				if result.MixName == mix && result.Policy == policy && result.InTime >= inTimeShare && result.Share > best.Share {
 					best.Share, best.Rate = result.Share, result.Rate
@@ -41,8 +41,8 @@
 	return report, carried, nil
 }
 
-// Greed compares the p99 of the others with and without a greedy workspace.
-type Greed struct {
+// GreedyComparison compares the p99 of the others with and without a greedy workspace.
+type GreedyComparison struct {
 	Mix     string  `json:"mix"`
 	Policy  string  `json:"policy"`
 	Factor  float64 `json:"factor"`
@@ -51,8 +51,8 @@
 }
 
 // RunGreedy runs each policy with and without a workspace at factor times its share.
-func (p Plan) RunGreedy(ctx context.Context, factor float64) ([]Greed, []Result, error) {
-	var greeds []Greed
+func (p Plan) RunGreedy(ctx context.Context, factor float64) ([]GreedyComparison, []Result, error) {
+	var greeds []GreedyComparison
 	var all []Result
 	for _, name := range p.Mixes {
 		mix := load.Mixes()[name]
@@ -70,7 +70,7 @@
 				return nil, nil, err
 			}
 			all = append(all, results...)
-			greeds = append(greeds, Greed{
+			greeds = append(greeds, GreedyComparison{
 				Mix: name, Policy: policy, Factor: factor,
 				Without: results[0].Others.FirstToken.P99, With: results[1].Others.FirstToken.P99,
 			})
--- a/internal/experiment/ready.go
+++ b/internal/experiment/ready.go
@@ -24,7 +24,7 @@
 		target := load.Target{URLs: func() []string { return []string{e.CallersURL()} }, Key: cluster.Key, Model: cluster.Model}
 		for {
 			samples := load.Send(ctx, []load.Call{call}, target)
-			if len(samples) == 1 && samples[0].Whole {
+			if len(samples) == 1 && samples[0].Complete {
 				break
 			}
 			select {
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -37,9 +37,9 @@
 	PromptTokens int
 	CachedTokens int
 	OutputTokens int
-	// Whole: the stream ended as a whole one does.
-	Whole bool
-	Err   string
+	// Complete: the stream ended as a whole one does.
+	Complete bool
+	Err      string
 }
 
 // Target is where a load is sent.
@@ -151,7 +151,7 @@
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			if s.Whole || s.Status != http.StatusOK {
+			if s.Complete || s.Status != http.StatusOK {
 				return nil
 			}
 			return eris.Wrap(err, "stream broken")
@@ -161,7 +161,7 @@
 			continue
 		}
 		if data == doneData {
-			s.Whole = true
+			s.Complete = true
 			continue
 		}
 		if s.FirstToken == 0 && strings.Contains(data, `"choices"`) {
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -105,7 +105,7 @@
 // countOutcome tells whether the call was served.
 func (s *Summary) countOutcome(sample *Sample) bool {
 	switch {
-	case sample.Whole:
+	case sample.Complete:
 		s.Served++
 		return true
 	case sample.Status == http.StatusTooManyRequests || sample.Status == http.StatusServiceUnavailable:
@@ -124,7 +124,7 @@
 		second := Second{Second: int(at / time.Second)}
 		prompt, cached, first := 0, 0, newHistogram()
 		for i := range samples {
-			if window.holds(samples[i].Call.At) && samples[i].Whole {
+			if window.holds(samples[i].Call.At) && samples[i].Complete {
 				prompt += samples[i].PromptTokens
 				cached += samples[i].CachedTokens
 				_ = first.RecordValue(samples[i].FirstToken.Microseconds())
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -28,7 +28,7 @@
 				MaxTokens:     openai.Int(4),
 				StreamOptions: openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)},
 			}
-			want := sim.WholeText([]string{"<|user|>hello\n"}, 4)
+			want := sim.CompleteText([]string{"<|user|>hello\n"}, 4)
 			whole, err := client.Chat.Completions.New(context.Background(), params)
 			require.NoError(t, err)
 			assert.Equal(t, want, whole.Choices[0].Message.Content)
--- a/internal/standin/engine/sim/answer.go
+++ b/internal/standin/engine/sim/answer.go
@@ -59,8 +59,8 @@
 	return "00000000"[len(text):] + text
 }
 
-// WholeText is the text of a whole answer of n tokens to a prompt.
-func WholeText(parts []string, n int) string {
+// CompleteText is the text of a whole answer of n tokens to a prompt.
+func CompleteText(parts []string, n int) string {
 	var b []byte
 	tag := Tag(parts)
 	for i := range n {
--- a/internal/standin/engine/sim/batch.go
+++ b/internal/standin/engine/sim/batch.go
@@ -114,7 +114,7 @@
 	c.stray = token
 	switch {
 	case a.breakAt > 0 && a.produced >= a.breakAt:
-		c.drop(a, ErrBrokenOff)
+		c.drop(a, ErrInterrupted)
 	case a.produced >= a.call.MaxTokens:
 		c.drop(a, nil)
 	default:
--- a/internal/standin/engine/sim/options.go
+++ b/internal/standin/engine/sim/options.go
@@ -23,8 +23,8 @@
 	ErrCrashed = errors.New("engine crashed")
 	// ErrCancelled means that the request was cancelled.
 	ErrCancelled = errors.New("request cancelled")
-	// ErrBrokenOff is the failure that the break fault shows in a stream.
-	ErrBrokenOff = errors.New("stream broken off")
+	// ErrInterrupted is the failure that the break fault shows in a stream.
+	ErrInterrupted = errors.New("stream broken off")
 	// ErrStaleFence means that the order carries an old fencing number.
 	ErrStaleFence = errors.New("old fencing number")
 	// ErrInvalid means that a call makes no sense.
--- a/internal/standin/engine/sim/sim_test.go
+++ b/internal/standin/engine/sim/sim_test.go
@@ -209,7 +209,7 @@
 	inBubble(t, change, func(t *testing.T, core *sim.Core) {
 		tokens, last := drain(t, submit(t, core, sim.Call{ID: "a", Parts: prompt("a", 10)}))
 		assert.Len(t, tokens, 2)
-		require.ErrorIs(t, last.Err, sim.ErrBrokenOff)
+		require.ErrorIs(t, last.Err, sim.ErrInterrupted)
 	})
 }
 
--- a/test/scenario/caller_test.go
+++ b/test/scenario/caller_test.go
@@ -46,7 +46,7 @@
 	}
 	return request{
 		method: http.MethodPost, path: "/v1/chat/completions", body: body,
-		header: http.Header{}, want: sim.WholeText(parts, tokens),
+		header: http.Header{}, want: sim.CompleteText(parts, tokens),
 	}, nil
 }
 
--- a/test/scenario/openai_test.go
+++ b/test/scenario/openai_test.go
@@ -32,7 +32,7 @@
 		Model: siteModel, MaxTokens: openai.Int(tokens),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage(args[1])},
 	}
-	want := sim.WholeText([]string{"<|user|>" + args[1] + "\n"}, tokens)
+	want := sim.CompleteText([]string{"<|user|>" + args[1] + "\n"}, tokens)
 	return errors.Join(
 		askPlain(ctx, client, params, want, tokens), askStreamed(ctx, client, params, want),
 		askModels(ctx, client), askRefused(ctx, base, params),
--- a/tools/capacity/main.go
+++ b/tools/capacity/main.go
@@ -18,7 +18,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	sizes := capacity.TwoYears()
+	sizes := capacity.TwoYearForecast()
 	page := capacity.Page(sizes, capacity.Rows(sizes, slopes), slopes)
 	if err := os.WriteFile(*out, []byte(page), 0o644); err != nil {
 		fmt.Fprintln(os.Stderr, err)
