--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -22,31 +22,31 @@
 	"github.com/jayproxy/jayproxy/internal/standin/service"
 )
 
-// keysValid is how long the certificates of a cluster last.
+// keysValid is the validity of the certificates of a cluster.
 const keysValid = 7 * 24 * time.Hour
 
-// Cluster is a running system. Engines[i] stands beside Agents[i], the agents
-// of Services follow.
+// Cluster is a running system. Agents[i] serves Engines[i]; the agents of Services
+// follow those of the engines.
 type Cluster struct {
 	Options  Options
 	Platform *platform.Platform
 	Engines  []*engine.Engine
 	Services []*service.Service
 	Agents   []*agent.Agent
-	// KeysDir holds one folder of keys for each process and for the operator.
+	// KeysDir contains one folder of keys for each process and for the operator.
 	KeysDir string
 
 	mu        sync.Mutex
 	entries   []*entry.Entry
 	authority *keys.Authority
-	// agentCatalogs are the catalogs in force at the agents, in their order.
+	// agentCatalogs hold the catalogs in force at the agents, in the order of Agents.
 	agentCatalogs []*catalog.Holder
 	agentSettings []agent.Settings
-	// sockets of the entries, by name.
+	// sockets are the entries' listening sockets for callers.
 	sockets *sockets
 }
 
-// Start runs a cluster until Close and puts its declaration in force.
+// Start starts a cluster that runs until Close, and applies its declaration.
 func Start(ctx context.Context, options Options) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "jay-cluster-")
 	if err != nil {
@@ -87,7 +87,7 @@
 	return c.Apply(ctx, c.Declaration())
 }
 
-// issue writes a process's keys to its folder.
+// issue creates the keys of a process or operator and writes them to its folder.
 func (c *Cluster) issue(role keys.Role, name string) error {
 	cert, err := c.authority.Issue(keys.Identity{Role: role, Name: name}, keysValid)
 	if err != nil {
@@ -98,13 +98,13 @@
 
 func (c *Cluster) keysOf(name string) string { return filepath.Join(c.KeysDir, name) }
 
-// EngineName is the name of the backend server with the engine.
+// EngineName returns the name of the backend server of Engines[i].
 func EngineName(i int) string { return fmt.Sprintf("runner-%02d", i) }
 
-// ServiceName is the name of the backend server with the service.
+// ServiceName returns the name of the backend server of Services[i].
 func ServiceName(i int) string { return fmt.Sprintf("app-%02d", i) }
 
-// EntryName is the name of an entry.
+// EntryName returns the name of the entry with index i.
 func EntryName(i int) string { return fmt.Sprintf("entry-%02d", i) }
 
 func (c *Cluster) vendor(i int) string { return c.Options.Vendors[i%len(c.Options.Vendors)] }
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// RestartAgent kills an agent and starts it again at its address. The engine or
-// service beside it goes on.
+// RestartAgent kills an agent and starts it again at its address. Its engine or
+// service keeps running.
 func (c *Cluster) RestartAgent(ctx context.Context, i int) error {
 	c.Agents[i].Close()
 	settings := c.agentSettings[i]
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// maxSeeds bounds the agents that an entry may ask for the configuration.
+// maxSeeds bounds the agents that an entry can request the configuration from.
 const maxSeeds = 3
 
 func (c *Cluster) seeds() []string {
@@ -237,22 +237,22 @@
 	return started, nil
 }
 
-// Entries returns the entries that run now.
+// Entries returns the current entries; an entry that failed to restart is nil.
 func (c *Cluster) Entries() []*entry.Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*entry.Entry(nil), c.entries...)
 }
 
-// RestartEntries replaces all entries at once: the new ones know nothing but
-// what they read. The old ones are gone before the new ones start. Their callers'
-// sockets stay: who connects meanwhile waits for the new ones.
+// RestartEntries replaces all entries at once, without carrying over any state. It
+// starts the new entries after the old ones have ended. The callers' sockets stay
+// open: connections made in between wait for the new entries.
 func (c *Cluster) RestartEntries(ctx context.Context) error {
 	closeEntries(c.Entries())
 	return c.startEntries(ctx)
 }
 
-// Close stops everything and removes the keys.
+// Close stops all processes of the cluster and removes the keys.
 func (c *Cluster) Close() {
 	closeEntries(c.Entries())
 	c.sockets.close()
--- a/internal/standin/cluster/cluster_test.go
+++ b/internal/standin/cluster/cluster_test.go
@@ -33,7 +33,7 @@
 	return response.StatusCode, lines
 }
 
-func TestRequestIsServedThroughEveryEntryAndAfterARestart(t *testing.T) {
+func TestRequestIsServedThroughEveryEntryAndAfterRestart(t *testing.T) {
 	c, err := cluster.Start(t.Context(), cluster.Options{Entries: 2, Services: 1})
 	require.NoError(t, err)
 	defer c.Close()
--- a/internal/standin/cluster/declaration.go
+++ b/internal/standin/cluster/declaration.go
@@ -7,14 +7,15 @@
 
 const operatorName = "developer"
 
-// Key is the API key of a workspace of the cluster.
+// Key returns the API key of a workspace of the cluster.
 func Key(workspace string) string { return "jay_" + workspace + "_" + secretOf(workspace) }
 
-// secretOf is no secret at all: the cluster stands on loopback with stand-ins.
+// secretOf is a fixed text: the cluster runs on loopback only, so the key need not
+// be secret.
 func secretOf(workspace string) string { return "development-" + workspace }
 
-// Declaration is what the cluster declares: its workspaces, the pool of its
-// engines, the service and the backend servers.
+// Declaration returns the resources of the cluster: its workspaces, the pool of its
+// engines, the service, the class rules and the backend servers.
 func (c *Cluster) Declaration() []*jayv1.Resource {
 	o := c.Options
 	var all []*jayv1.Resource
@@ -41,7 +42,7 @@
 	return append(all, c.backendServers()...)
 }
 
-// classRules give the class that callers name in the class header.
+// classRules assign the class that callers name in the class header.
 func (c *Cluster) classRules() []*jayv1.Resource {
 	var all []*jayv1.Resource
 	for label, class := range map[string]jayv1.Class{
--- a/internal/standin/cluster/declare.go
+++ b/internal/standin/cluster/declare.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	// inForceWithin bounds the wait for a declaration to reach all processes.
-	inForceWithin = 15 * time.Second
-	inForcePause  = 20 * time.Millisecond
+	// applyTimeout bounds the wait until a declaration is in force in all processes.
+	applyTimeout      = 15 * time.Second
+	applyPollInterval = 20 * time.Millisecond
 )
 
-// OperatorKeys is the folder of keys of the role operator.
+// OperatorKeys returns the folder of the keys of the role operator.
 func (c *Cluster) OperatorKeys() string { return c.keysOf(operatorName) }
 
-// Operator is a client of the operators' calls of an entry, in the role operator.
+// Operator returns a client of the operators' API of the entry with the given index,
+// authenticated in the role operator.
 func (c *Cluster) Operator(entry int) (jayv1connect.OperatorServiceClient, error) {
 	creds, err := transport.LoadCredentials(c.OperatorKeys())
 	if err != nil {
@@ -37,8 +38,8 @@
 	return jayv1connect.NewOperatorServiceClient(client, c.Entries()[entry].OperatorsURL()), nil
 }
 
-// Apply declares resources through an entry and waits until they are in force
-// in all processes.
+// Apply declares resources through the first entry and waits until they are in
+// force in all processes.
 func (c *Cluster) Apply(ctx context.Context, resources []*jayv1.Resource) error {
 	operator, err := c.Operator(0)
 	if err != nil {
@@ -53,22 +54,22 @@
 	return c.awaitGeneration(ctx, answer.Msg.GetGeneration())
 }
 
-// awaitGeneration returns when all entries and agents have the generation in force.
+// awaitGeneration waits until the generation is in force in all entries and agents.
 func (c *Cluster) awaitGeneration(ctx context.Context, generation uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, inForceWithin)
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	for c.oldest() < generation {
+	for c.oldestGeneration() < generation {
 		select {
 		case <-ctx.Done():
-			return eris.Wrapf(ctx.Err(), "generation %d is in force everywhere; the oldest has %d", generation, c.oldest())
-		case <-time.After(inForcePause):
+			return eris.Wrapf(ctx.Err(), "wait for generation %d in all processes; the lowest is %d", generation, c.oldestGeneration())
+		case <-time.After(applyPollInterval):
 		}
 	}
 	return nil
 }
 
-// oldest is the lowest generation in force in any process.
-func (c *Cluster) oldest() uint64 {
+// oldestGeneration returns the lowest generation in force in any process.
+func (c *Cluster) oldestGeneration() uint64 {
 	lowest := ^uint64(0)
 	for _, e := range c.Entries() {
 		lowest = min(lowest, e.Catalog().Current().Generation())
--- a/internal/standin/cluster/options.go
+++ b/internal/standin/cluster/options.go
@@ -1,6 +1,6 @@
-// Package cluster runs a small whole system in one process: stand-in engines
-// and services, the agents beside them, entries and the platform, on loopback
-// with real sockets. Development, load experiments and tests use it.
+// Package cluster runs a small but complete system in one process, on loopback with
+// real sockets: stand-in engines and services with their agents, entries, and a
+// stand-in platform. It is used for development, load experiments and tests.
 package cluster
 
 import (
@@ -9,38 +9,38 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-// Names of what a cluster declares.
+// Names in the declaration of a cluster.
 const (
 	Pool    = "modelos-lenguaje"
 	Model   = "modelos-lenguaje"
 	Service = "reservas-app"
 	version = "2026-11"
-	// Digest of the only version of the model.
+	// Digest of the weights of the model's only version.
 	Digest = "sha256:stand-in-2026-11"
 )
 
-// Options of a cluster; zero values take the defaults.
+// Options configure a cluster; zero values mean the defaults.
 type Options struct {
 	Engines  int
 	Entries  int
 	Services int
-	// Vendors of the engines, taken in turn.
+	// Vendors of the engines, assigned round-robin.
 	Vendors []string
-	// DataCentres that servers and entries stand in, taken in turn.
+	// DataCentres of backend servers and entries, assigned round-robin.
 	DataCentres []string
 	Region      string
-	// Workspaces by name.
+	// Workspaces are the names of the declared workspaces.
 	Workspaces []string
-	// Policy of the entries; empty: the default.
+	// Policy is the routing policy of the entries; empty means the default.
 	Policy string
-	// RecomputeWeight of the pool.
+	// RecomputeWeight of the declared pool.
 	RecomputeWeight float64
 	// Concurrency and QueueLength of the pool's backend servers.
 	Concurrency int
 	QueueLength int
-	// Engine options; versions are set here.
+	// Engine configures the engines; Versions and MaxRunning are overwritten.
 	Engine sim.Options
-	// Agent and Entry change the settings of each process before it starts.
+	// Agent and Entry, if not nil, change the settings of each process before it starts.
 	Agent func(*agent.Settings)
 	Entry func(*entry.Settings)
 }
--- a/internal/standin/cluster/sockets.go
+++ b/internal/standin/cluster/sockets.go
@@ -7,10 +7,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// sockets holds the callers' sockets of the entries, as a supervisor on each VM
-// does: an entry keeps its address while its process is killed and started
-// again, no other process can come by it meanwhile, and whoever connects in
-// between waits for the next process.
+// sockets holds the callers' sockets of the entries open, as a supervisor on each VM
+// does. An entry thus keeps its address when its process is killed and started
+// again, and connections made in between wait for the next process.
 type sockets struct {
 	mu  sync.Mutex
 	all map[string]*net.TCPListener
@@ -18,14 +17,14 @@
 
 func newSockets() *sockets { return &sockets{all: map[string]*net.TCPListener{}} }
 
-// listener returns a listener of its own on the entry's socket, which a process
-// may close; the socket stays.
+// listener returns a duplicate listener on the entry's socket. Closing it leaves the
+// socket itself open.
 func (s *sockets) listener(entry string) (net.Listener, error) {
-	held, err := s.held(entry)
+	socket, err := s.socket(entry)
 	if err != nil {
 		return nil, err
 	}
-	file, err := held.File()
+	file, err := socket.File()
 	if err != nil {
 		return nil, eris.Wrapf(err, "duplicate the socket of %s", entry)
 	}
@@ -34,11 +33,11 @@
 	return listener, eris.Wrapf(err, "listen on the socket of %s", entry)
 }
 
-func (s *sockets) held(entry string) (*net.TCPListener, error) {
+func (s *sockets) socket(entry string) (*net.TCPListener, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held := s.all[entry]; held != nil {
-		return held, nil
+	if socket := s.all[entry]; socket != nil {
+		return socket, nil
 	}
 	opened, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -51,7 +50,7 @@
 func (s *sockets) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, held := range s.all {
-		_ = held.Close()
+	for _, socket := range s.all {
+		_ = socket.Close()
 	}
 }
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -13,24 +13,24 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-// maxBody bounds a request's body in bytes.
+// maxBody bounds a request's body, in bytes.
 const maxBody = 32 << 20
 
-// completionRequest is what the engine reads of a caller's JSON.
+// completionRequest holds the fields that the engine reads from a caller's JSON.
 type completionRequest struct {
-	Model               string       `json:"model"`
-	Stream              bool         `json:"stream"`
-	MaxTokens           int          `json:"max_tokens"`
-	MaxCompletionTokens int          `json:"max_completion_tokens"`
-	StreamOptions       usageWish    `json:"stream_options"`
-	Merle               *merleFields `json:"merle"`
+	Model               string        `json:"model"`
+	Stream              bool          `json:"stream"`
+	MaxTokens           int           `json:"max_tokens"`
+	MaxCompletionTokens int           `json:"max_completion_tokens"`
+	StreamOptions       streamOptions `json:"stream_options"`
+	Merle               *merleFields  `json:"merle"`
 }
 
-type usageWish struct {
+type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// completion is one request on its way through the HTTP interface.
+// completion is one decoded request of the HTTP interface.
 type completion struct {
 	request completionRequest
 	chat    bool
@@ -38,26 +38,27 @@
 	body    []byte
 }
 
-// framer writes the events of a stream in a vendor's format.
+// framer writes answers in a vendor's format.
 type framer interface {
-	// chunk frames the JSON of one chunk.
-	chunk(b []byte, at place, json []byte) []byte
-	// end frames the usage chunk and whatever closes the stream.
-	end(b []byte, at place, usage engine.Usage, json []byte) []byte
-	// whole sends an answer that is not streamed.
-	whole(c echo.Context, answer *wholeAnswer) error
+	// chunk appends the JSON of one chunk as an event.
+	chunk(b []byte, at position, json []byte) []byte
+	// end appends the usage chunk and the vendor's end of the stream.
+	end(b []byte, at position, usage engine.Usage, json []byte) []byte
+	// sendComplete sends an answer that is not streamed.
+	sendComplete(c echo.Context, answer *completeAnswer) error
 }
 
-// place says which event of which answer this is, and what made it.
-type place struct {
+// position identifies an event: its request, its index in the answer, and the
+// engine incarnation and weights that produced it.
+type position struct {
 	requestID   string
 	index       int
 	incarnation uint64
 	digest      string
 }
 
-type wholeAnswer struct {
-	at    place
+type completeAnswer struct {
+	at    position
 	usage engine.Usage
 	json  []byte
 }
@@ -79,14 +80,14 @@
 	return r, nil
 }
 
-// serve answers an accepted request, streamed or whole.
+// serve answers an accepted request, streamed or in one response.
 func (e *Engine) serve(c echo.Context, r *completion, answer *sim.Answer, f framer) error {
 	defer answer.Cancel()
-	e.crashFor(r.body)
+	e.crashOnMarker(r.body)
 	if r.request.Stream {
 		return e.stream(c, r, answer, f)
 	}
-	return e.sendWhole(c, r, answer, f)
+	return e.sendUnstreamed(c, r, answer, f)
 }
 
 func (e *Engine) stream(c echo.Context, r *completion, answer *sim.Answer, f framer) error {
@@ -94,7 +95,7 @@
 	response.Header().Set(echo.HeaderContentType, "text/event-stream")
 	response.WriteHeader(http.StatusOK)
 	response.Flush()
-	at := place{requestID: r.call.ID}
+	at := position{requestID: r.call.ID}
 	var buffer []byte
 	for {
 		batch, err := answer.Next(c.Request().Context())
@@ -104,7 +105,7 @@
 		buffer = buffer[:0]
 		for _, token := range batch.Tokens {
 			at.incarnation, at.digest = token.Incarnation, token.VersionDigest
-			buffer = f.chunk(buffer, tokenPlace(token), r.chunk(token))
+			buffer = f.chunk(buffer, tokenPosition(token), r.chunk(token))
 		}
 		if batch.Ended && batch.Err == nil {
 			at.index = batch.Usage.OutputTokens
@@ -117,7 +118,7 @@
 		}
 		response.Flush()
 		if batch.Ended && batch.Err != nil {
-			// The connection breaks without the end of the chunked body.
+			// Closes the connection before the end of the chunked body.
 			panic(http.ErrAbortHandler)
 		}
 		if batch.Ended {
@@ -126,8 +127,8 @@
 	}
 }
 
-func tokenPlace(token sim.Token) place {
-	return place{
+func tokenPosition(token sim.Token) position {
+	return position{
 		requestID:   token.RequestID,
 		index:       token.Index,
 		incarnation: token.Incarnation,
@@ -135,8 +136,8 @@
 	}
 }
 
-func (e *Engine) sendWhole(c echo.Context, r *completion, answer *sim.Answer, f framer) error {
-	at := place{requestID: r.call.ID}
+func (e *Engine) sendUnstreamed(c echo.Context, r *completion, answer *sim.Answer, f framer) error {
+	at := position{requestID: r.call.ID}
 	var texts [][]byte
 	for {
 		batch, err := answer.Next(c.Request().Context())
@@ -155,22 +156,23 @@
 		if batch.Err != nil || len(texts) != batch.Usage.OutputTokens {
 			panic(http.ErrAbortHandler)
 		}
-		whole := &wholeAnswer{at: at, usage: batch.Usage, json: r.wholeJSON(at, texts, batch.Usage)}
-		return f.whole(c, e.perhapsCrossed(whole))
+		complete := &completeAnswer{at: at, usage: batch.Usage, json: r.completeJSON(at, texts, batch.Usage)}
+		return f.sendComplete(c, e.maybeCrossed(complete))
 	}
 }
 
-// perhapsCrossed exchanges an answer for the one before it under the fault.
-func (e *Engine) perhapsCrossed(whole *wholeAnswer) *wholeAnswer {
+// maybeCrossed returns the previous answer instead of this one for the share of
+// calls that Faults.AnswerCrossed names.
+func (e *Engine) maybeCrossed(complete *completeAnswer) *completeAnswer {
 	crossed := e.chance(e.core.Faults().AnswerCrossed)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	other := e.other
-	e.other = whole
-	if crossed && other != nil {
-		return other
+	last := e.lastAnswer
+	e.lastAnswer = complete
+	if crossed && last != nil {
+		return last
 	}
-	return whole
+	return complete
 }
 
 func (r *completion) object(streamed bool) string {
@@ -184,8 +186,8 @@
 	}
 }
 
-// head appends the fields that all chunks and answers start with.
-func (r *completion) head(b []byte, at place, streamed bool) []byte {
+// head appends the fields that begin every chunk and answer.
+func (r *completion) head(b []byte, at position, streamed bool) []byte {
 	b = append(b, `{"id":"`...)
 	b = append(b, "cmpl-"...)
 	b = appendEscaped(b, at.requestID)
@@ -200,7 +202,7 @@
 	return append(b, `",`...)
 }
 
-// appendEscaped appends the inside of a JSON string.
+// appendEscaped appends text escaped for a JSON string, without the quotes.
 func appendEscaped(b []byte, text string) []byte {
 	for i := range len(text) {
 		if text[i] < ' ' || text[i] == '"' || text[i] == '\\' || text[i] > '~' {
@@ -212,7 +214,7 @@
 }
 
 func (r *completion) chunk(token sim.Token) []byte {
-	b := r.head(make([]byte, 0, 256), tokenPlace(token), true)
+	b := r.head(make([]byte, 0, 256), tokenPosition(token), true)
 	if r.chat {
 		b = append(b, `"choices":[{"index":0,"delta":{"role":"assistant","content":"`...)
 		b = token.AppendText(b)
@@ -223,7 +225,7 @@
 	return append(b, `","finish_reason":null}]}`...)
 }
 
-func (r *completion) finishChunk(at place) []byte {
+func (r *completion) finishChunk(at position) []byte {
 	b := r.head(nil, at, true)
 	if r.chat {
 		return append(b, `"choices":[{"index":0,"delta":{},"finish_reason":"length"}]}`...)
@@ -231,13 +233,13 @@
 	return append(b, `"choices":[{"index":0,"text":"","finish_reason":"length"}]}`...)
 }
 
-func (r *completion) usageChunk(at place, usage engine.Usage) []byte {
+func (r *completion) usageChunk(at position, usage engine.Usage) []byte {
 	b := r.head(nil, at, true)
 	b = append(b, `"choices":[],`...)
 	return append(appendUsage(b, usage), '}')
 }
 
-func (r *completion) wholeJSON(at place, texts [][]byte, usage engine.Usage) []byte {
+func (r *completion) completeJSON(at position, texts [][]byte, usage engine.Usage) []byte {
 	b := r.head(nil, at, false)
 	open, shut := `"choices":[{"index":0,"text":"`, `","finish_reason":"length"}],`
 	if r.chat {
@@ -264,21 +266,21 @@
 	return append(b, "}}"...)
 }
 
-// plain is the format for callers that know no vendor.
+// plain is the vendor-neutral OpenAI format.
 type plain struct {
 	includeUsage bool
 }
 
-func (plain) chunk(b []byte, _ place, json []byte) []byte { return appendData(b, json) }
+func (plain) chunk(b []byte, _ position, json []byte) []byte { return appendData(b, json) }
 
-func (p plain) end(b []byte, _ place, _ engine.Usage, json []byte) []byte {
+func (p plain) end(b []byte, _ position, _ engine.Usage, json []byte) []byte {
 	if p.includeUsage {
 		b = appendData(b, json)
 	}
 	return append(b, "data: [DONE]\n\n"...)
 }
 
-func (plain) whole(c echo.Context, answer *wholeAnswer) error {
+func (plain) sendComplete(c echo.Context, answer *completeAnswer) error {
 	return c.JSONBlob(http.StatusOK, answer.json)
 }
 
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,7 @@
 // Package engine is a stand-in for a model engine: the simulation of package
-// sim behind the HTTP interface of one of two vendors, merle or pica. A caller
-// that sends none of the vendor's fields gets the plain shape that existing
-// clients know. Faults are switched under /faults, and /runs tells what ran.
+// sim behind the HTTP interface of one of two vendors, merle or pica. A request
+// without the vendor's fields gets the OpenAI format. Faults are set under
+// /faults, and /runs returns how often each request ran.
 package engine
 
 import (
@@ -22,23 +22,23 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-// Vendors.
+// Vendors that the stand-in can emulate.
 const (
 	Merle = "merle"
 	Pica  = "pica"
 )
 
-// Options of the stand-in.
+// Options configure the stand-in.
 type Options struct {
-	// Listen is an "ip:port" address, a free loopback port when empty.
+	// Listen is an "ip:port" address; empty selects a free loopback port.
 	Listen string
-	// Vendor is Merle when empty.
+	// Vendor is Merle or Pica; empty means Merle.
 	Vendor string
-	// Name shows in /runs and in logs only.
+	// Name is used in logs only.
 	Name string
-	// Engine options; the vendor sets the scheme of the block hashes.
+	// Engine configures the simulation; the vendor sets the block hash scheme.
 	Engine sim.Options
-	// KVBlocksPerSecond is the rate of KV export and import; 0: at once.
+	// KVBlocksPerSecond is the rate of KV cache export and import; 0 means no delay.
 	KVBlocksPerSecond float64
 }
 
@@ -50,14 +50,14 @@
 
 	mu     sync.Mutex
 	random *rand.Rand
-	// other is the whole answer sent last, which the crossing fault sends again.
-	other *wholeAnswer
-	// back brings the engine back after a crash.
-	back *time.Timer
-	// marker in the body of requests that crash it, for so long; empty: none.
-	marker string
-	down   time.Duration
-	// crashes by such requests.
+	// lastAnswer is the last unstreamed answer, which the AnswerCrossed fault sends again.
+	lastAnswer *completeAnswer
+	// restartTimer brings the engine back up after a crash.
+	restartTimer *time.Timer
+	// A request whose body contains marker crashes the engine for downtime; empty: none does.
+	marker   string
+	downtime time.Duration
+	// crashes counts the crashes caused by such requests.
 	crashes int
 }
 
@@ -69,7 +69,7 @@
 	e := &Engine{options: options, random: rand.New(rand.NewPCG(options.Engine.Seed, 3))}
 	router := echo.New()
 	router.HideBanner = true
-	router.Use(e.holdWhileFrozen)
+	router.Use(e.blockWhileFrozen)
 	switch options.Vendor {
 	case "", Merle:
 		options.Engine.Scheme = blockhash.Merle
@@ -91,45 +91,46 @@
 	return e, nil
 }
 
-// URL is the base URL for dialect.Open.
+// URL returns the base URL, as dialect.Open takes it.
 func (e *Engine) URL() string { return e.server.URL() }
 
-// Core is the simulation behind the interface.
+// Core returns the simulation behind the HTTP interface.
 func (e *Engine) Core() *sim.Core { return e.core }
 
 // Close stops the stand-in.
 func (e *Engine) Close() {
 	e.mu.Lock()
-	if e.back != nil {
-		e.back.Stop()
+	if e.restartTimer != nil {
+		e.restartTimer.Stop()
 	}
 	e.mu.Unlock()
 	e.server.Close()
 	e.core.Close()
 }
 
-// Crash cuts all connections, drops all state and brings the engine back cold
-// after a time off the network.
+// Crash closes all connections, drops all state and restarts the engine with an
+// empty cache after being down for the given time.
 func (e *Engine) Crash(down time.Duration) { e.crash(context.Background(), down) }
 
-// CrashOn makes it crash when it begins to run a request with a marker in its body.
+// CrashOn makes the engine crash, for the time down, whenever it begins to run a
+// request whose body contains marker.
 func (e *Engine) CrashOn(marker string, down time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.marker, e.down = marker, down
+	e.marker, e.downtime = marker, down
 }
 
-// crashFor crashes it if the request is one that does so.
-func (e *Engine) crashFor(body []byte) {
+// crashOnMarker crashes the engine if the body contains the marker set by CrashOn.
+func (e *Engine) crashOnMarker(body []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.marker != "" && bytes.Contains(body, []byte(e.marker)) {
 		e.crashes++
-		go e.Crash(e.down)
+		go e.Crash(e.downtime)
 	}
 }
 
-// Crashes counts those by requests.
+// Crashes returns the number of crashes caused by requests; see CrashOn.
 func (e *Engine) Crashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,15 +146,15 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.back != nil {
-		e.back.Stop()
+	if e.restartTimer != nil {
+		e.restartTimer.Stop()
 	}
-	e.back = time.AfterFunc(down, e.up)
+	e.restartTimer = time.AfterFunc(down, e.up)
 }
 
 func (e *Engine) up() {
 	if err := e.server.Up(); err != nil {
-		klog.ErrorS(err, "Engine does not come back", "engine", e.options.Name)
+		klog.ErrorS(err, "Stand-in engine failed to listen again after a crash", "engine", e.options.Name)
 	}
 }
 
@@ -189,9 +190,9 @@
 	return c.JSON(http.StatusOK, faults)
 }
 
-// holdWhileFrozen lets every call but those of the controls wait while the
-// engine stands still: connections open, nothing is answered.
-func (e *Engine) holdWhileFrozen(next echo.HandlerFunc) echo.HandlerFunc {
+// blockWhileFrozen blocks every call except the fault controls while the engine is
+// frozen: connections stay open, but nothing is answered.
+func (e *Engine) blockWhileFrozen(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		switch c.Path() {
 		case "/faults", "/faults/crash", "/faults/freeze", "/faults/thaw", "/runs":
@@ -206,7 +207,7 @@
 	}
 }
 
-// transferTime waits as long as moving the KV cache of some blocks takes.
+// transferTime waits for as long as transferring that many KV cache blocks takes.
 func (e *Engine) transferTime(ctx context.Context, blocks int) error {
 	if e.options.KVBlocksPerSecond <= 0 {
 		return nil
@@ -221,7 +222,7 @@
 	}
 }
 
-// chance is true for a share of the calls.
+// chance returns true for the given share of calls, at random.
 func (e *Engine) chance(share float64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -13,9 +13,9 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-// Existing clients reach the engines directly, so that a measurement can
-// compare the way through the router with the way around it.
-func TestExistingClientUnderstandsBothVendors(t *testing.T) {
+// Unmodified OpenAI clients must be able to call the engines directly, which the
+// overhead measurement relies on.
+func TestOpenAIClientWorksWithBothVendors(t *testing.T) {
 	for _, vendor := range []string{engine.Merle, engine.Pica} {
 		t.Run(vendor, func(t *testing.T) {
 			server, err := engine.Start(engine.Options{Vendor: vendor, Engine: sim.Options{Versions: []string{"v1"}}})
@@ -29,18 +29,18 @@
 				StreamOptions: openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)},
 			}
 			want := sim.CompleteText([]string{"<|user|>hello\n"}, 4)
-			whole, err := client.Chat.Completions.New(context.Background(), params)
+			complete, err := client.Chat.Completions.New(context.Background(), params)
 			require.NoError(t, err)
-			assert.Equal(t, want, whole.Choices[0].Message.Content)
+			assert.Equal(t, want, complete.Choices[0].Message.Content)
 			stream := client.Chat.Completions.NewStreaming(context.Background(), params)
 			defer stream.Close()
-			var gathered openai.ChatCompletionAccumulator
+			var accumulated openai.ChatCompletionAccumulator
 			for stream.Next() {
-				require.True(t, gathered.AddChunk(stream.Current()))
+				require.True(t, accumulated.AddChunk(stream.Current()))
 			}
 			require.NoError(t, stream.Err())
-			assert.Equal(t, want, gathered.Choices[0].Message.Content)
-			assert.EqualValues(t, 4, gathered.Usage.CompletionTokens)
+			assert.Equal(t, want, accumulated.Choices[0].Message.Content)
+			assert.EqualValues(t, 4, accumulated.Usage.CompletionTokens)
 		})
 	}
 }
--- a/internal/standin/engine/merle.go
+++ b/internal/standin/engine/merle.go
@@ -15,8 +15,8 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-// merle is a vendor that speaks JSON throughout: its fields stand in the
-// request's body, events come as lines of JSON, the cache can be listed.
+// merle is a vendor whose API is JSON throughout: its fields are in the request's
+// body, cache events are JSON lines, and the cache can be listed.
 type merle struct{ *Engine }
 
 // merleFields is the member "merle" of a request's body.
@@ -144,11 +144,11 @@
 	return m.serve(c, r, answer, f)
 }
 
-// merleFramer puts the place of an event into its id line:
+// merleFramer writes the position of an event into its id line as
 // boot:index:digest:request, the last two escaped as in a query.
 type merleFramer struct{}
 
-func appendMerleID(b []byte, at place) []byte {
+func appendMerleID(b []byte, at position) []byte {
 	b = strconv.AppendUint(b, at.incarnation, 10)
 	b = append(b, ':')
 	b = strconv.AppendInt(b, int64(at.index), 10)
@@ -158,20 +158,20 @@
 	return append(b, url.QueryEscape(at.requestID)...)
 }
 
-func (merleFramer) chunk(b []byte, at place, json []byte) []byte {
+func (merleFramer) chunk(b []byte, at position, json []byte) []byte {
 	b = append(b, "id: "...)
 	b = appendMerleID(b, at)
 	b = append(b, '\n')
 	return appendData(b, json)
 }
 
-func (f merleFramer) end(b []byte, at place, _ engine.Usage, json []byte) []byte {
+func (f merleFramer) end(b []byte, at position, _ engine.Usage, json []byte) []byte {
 	b = append(b, "event: usage\n"...)
 	b = f.chunk(b, at, json)
 	return append(b, "data: [DONE]\n\n"...)
 }
 
-func (merleFramer) whole(c echo.Context, answer *wholeAnswer) error {
+func (merleFramer) sendComplete(c echo.Context, answer *completeAnswer) error {
 	c.Response().Header().Set("X-Merle-Id", string(appendMerleID(nil, answer.at)))
 	return c.JSONBlob(http.StatusOK, answer.json)
 }
@@ -304,7 +304,7 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// importBody takes a request's body into the cache.
+// importBody imports the KV cache in a request's body.
 func (e *Engine) importBody(c echo.Context) error {
 	kv, err := io.ReadAll(io.LimitReader(c.Request().Body, maxKV))
 	if err != nil {
@@ -317,5 +317,5 @@
 	return e.transferTime(c.Request().Context(), n)
 }
 
-// maxKV bounds an import in bytes.
+// maxKV bounds the body of an import, in bytes.
 const maxKV = 1 << 30
--- a/internal/standin/engine/pica.go
+++ b/internal/standin/engine/pica.go
@@ -17,22 +17,22 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-// pica is a vendor that takes its fields in headers, reports its state as
-// lines of text, its events in binary frames, and can't list its cache.
+// pica is a vendor that takes its fields in headers, reports its state as lines
+// of text and cache events as binary frames, and cannot list its cache.
 type pica struct{ *Engine }
 
-// Headers of pica's calls.
+// Headers of pica's API.
 const (
 	picaRequest = "X-Pica-Request"
 	picaSalt    = "X-Pica-Salt"
 	picaWeights = "X-Pica-Weights"
 	picaLora    = "X-Pica-Lora"
-	// picaUrgency is 0 for the most urgent to 9.
+	// picaUrgency ranges from 0, the highest priority, to 9.
 	picaUrgency = "X-Pica-Urgency"
 	picaEpoch   = "X-Pica-Epoch"
 )
 
-// picaLeastUrgent is the highest value of the urgency header.
+// picaLeastUrgent is the value of the urgency header for the lowest priority.
 const picaLeastUrgent = 9
 
 // Operations in pica's event frames.
@@ -110,10 +110,10 @@
 	return p.serve(c, r, answer, f)
 }
 
-// picaFramer wraps each chunk into an envelope that tells its place.
+// picaFramer wraps each chunk in an envelope that holds its position.
 type picaFramer struct{}
 
-func (picaFramer) envelope(b []byte, at place, usage *engine.Usage, json []byte) []byte {
+func (picaFramer) envelope(b []byte, at position, usage *engine.Usage, json []byte) []byte {
 	b = append(b, `{"rid":"`...)
 	b = appendEscaped(b, at.requestID)
 	b = append(b, `","n":`...)
@@ -131,19 +131,19 @@
 	return append(b, '}')
 }
 
-func (f picaFramer) chunk(b []byte, at place, json []byte) []byte {
+func (f picaFramer) chunk(b []byte, at position, json []byte) []byte {
 	b = append(b, "data:"...)
 	b = f.envelope(b, at, nil, json)
 	return append(b, "\n\n"...)
 }
 
-func (f picaFramer) end(b []byte, at place, usage engine.Usage, json []byte) []byte {
+func (f picaFramer) end(b []byte, at position, usage engine.Usage, json []byte) []byte {
 	b = append(b, "data:"...)
 	b = f.envelope(b, at, &usage, json)
 	return append(b, "\n\n"...)
 }
 
-func (f picaFramer) whole(c echo.Context, answer *wholeAnswer) error {
+func (f picaFramer) sendComplete(c echo.Context, answer *completeAnswer) error {
 	return c.JSONBlob(http.StatusOK, f.envelope(nil, answer.at, &answer.usage, answer.json))
 }
 
@@ -172,8 +172,8 @@
 	return c.String(http.StatusOK, b.String())
 }
 
-// events sends frames: length of the rest (4 bytes), boot (8), sequence number
-// (8), operation (1), age in milliseconds (4), block hashes (8 each); all
+// events streams frames: length of the rest (4 bytes), boot number (8), sequence
+// number (8), operation (1), age in milliseconds (4), block hashes (8 each); all
 // little endian.
 func (p pica) events(c echo.Context) error {
 	after, err := strconv.ParseUint(c.QueryParam("from"), 10, 64)
@@ -210,7 +210,7 @@
 	}
 }
 
-// picaFrameHead is the size of a frame without its length and its hashes.
+// picaFrameHead is the size in bytes of a frame without its length and its hashes.
 const picaFrameHead = 8 + 8 + 1 + 4
 
 func appendPicaFrame(b []byte, event engine.CacheEvent, op byte) []byte {
--- a/internal/standin/engine/sim/answer.go
+++ b/internal/standin/engine/sim/answer.go
@@ -10,7 +10,7 @@
 	"github.com/jayproxy/jayproxy/internal/engine"
 )
 
-// Call is one request as a dialect decoded it.
+// Call is one request, decoded from a vendor's format.
 type Call struct {
 	ID string
 	// Parts of the canonical prompt, see prefix.Render.
@@ -18,13 +18,13 @@
 	Salt          string
 	VersionDigest string
 	Adapter       string
-	// Priority: higher first.
+	// Priority orders waiting requests; higher values run first.
 	Priority  int
 	MaxTokens int
 }
 
-// Token is one piece of an answer. It names the request that it belongs to,
-// which under faults is not always the one whose stream it came in.
+// Token is one token of an answer. It names the request that it belongs to, which
+// under faults may differ from the request whose stream contains it.
 type Token struct {
 	RequestID     string
 	Index         int
@@ -33,10 +33,11 @@
 	VersionDigest string
 }
 
-// Text of the token: it tells the prompt that it answers, and its place.
+// Text returns the token's text, which encodes the tag of the prompt and the index
+// of the token.
 func (t Token) Text() string { return string(t.AppendText(nil)) }
 
-// AppendText appends the text of the token.
+// AppendText appends the text of the token to b.
 func (t Token) AppendText(b []byte) []byte {
 	b = append(b, ' ')
 	b = append(b, TagText(t.Tag)...)
@@ -44,7 +45,7 @@
 	return strconv.AppendInt(b, int64(t.Index), 10)
 }
 
-// Tag is the mark that the tokens of the answer to a prompt carry.
+// Tag returns the hash of a prompt that the tokens of its answer contain.
 func Tag(parts []string) uint32 {
 	h := xxh3.New()
 	for _, part := range parts {
@@ -53,13 +54,13 @@
 	return uint32(h.Sum64())
 }
 
-// TagText is a tag as it stands in a token's text: eight hexadecimal digits.
+// TagText formats a tag as in a token's text: eight hexadecimal digits.
 func TagText(tag uint32) string {
 	text := strconv.FormatUint(uint64(tag), 16)
 	return "00000000"[len(text):] + text
 }
 
-// CompleteText is the text of a whole answer of n tokens to a prompt.
+// CompleteText returns the text of a complete answer of n tokens to a prompt.
 func CompleteText(parts []string, n int) string {
 	var b []byte
 	tag := Tag(parts)
@@ -69,7 +70,7 @@
 	return string(b)
 }
 
-// Answer is a request under way, waiting included.
+// Answer is a request that waits or runs, and its output.
 type Answer struct {
 	core     *Core
 	call     Call
@@ -78,20 +79,21 @@
 	prompt   int
 	cached   int
 	produced int
-	// breakAt is the number of tokens after which the stream breaks; 0: never.
+	// breakAt is the number of tokens after which the stream is interrupted; 0: never.
 	breakAt int
-	// order is the place among requests of the same priority.
+	// order is the order of arrival among requests of the same priority.
 	order uint64
 
 	state answerState
 	// prefillDone is when the prefill ends; zero before it has started.
 	prefillDone time.Time
 
-	held    *Token
+	// delayed is a token that the AnswerLate fault sends after its successor.
+	delayed *Token
 	pending []Token
 	ended   bool
 	err     error
-	wake    chan struct{}
+	notify  chan struct{}
 }
 
 type answerState int
@@ -103,16 +105,17 @@
 	finished
 )
 
-// Batch is what an answer has produced since the last call of Next.
+// Batch is the output since the previous call of Next.
 type Batch struct {
 	Tokens []Token
-	// Ended: no more tokens come; Err says why when it is not the regular end.
+	// Ended means that no more tokens follow; Err is nil if the answer is complete.
 	Ended bool
 	Err   error
 	Usage engine.Usage
 }
 
-// Next waits until there are tokens or the end.
+// Next waits for more tokens or the end of the answer. It returns the error of ctx
+// when ctx ends first.
 func (a *Answer) Next(ctx context.Context) (Batch, error) {
 	for {
 		batch, ok := a.take()
@@ -120,7 +123,7 @@
 			return batch, nil
 		}
 		select {
-		case <-a.wake:
+		case <-a.notify:
 		case <-ctx.Done():
 			return Batch{}, ctx.Err()
 		}
@@ -142,7 +145,7 @@
 	return engine.Usage{PromptTokens: a.prompt, CachedTokens: a.cached, OutputTokens: a.produced}
 }
 
-// Cancel gives the request up and frees its place.
+// Cancel ends the request with ErrCancelled and frees its slot.
 func (a *Answer) Cancel() {
 	a.core.mu.Lock()
 	defer a.core.mu.Unlock()
@@ -151,9 +154,9 @@
 }
 
 func (a *Answer) finish(err error) {
-	if a.held != nil {
-		a.pending = append(a.pending, *a.held)
-		a.held = nil
+	if a.delayed != nil {
+		a.pending = append(a.pending, *a.delayed)
+		a.delayed = nil
 	}
 	a.state, a.ended, a.err = finished, true, err
 	a.signal()
@@ -161,7 +164,7 @@
 
 func (a *Answer) signal() {
 	select {
-	case a.wake <- struct{}{}:
+	case a.notify <- struct{}{}:
 	default:
 	}
 }
--- a/internal/standin/engine/sim/batch.go
+++ b/internal/standin/engine/sim/batch.go
@@ -8,9 +8,9 @@
 	"github.com/jayproxy/jayproxy/internal/engine/blockhash"
 )
 
-// advance does all that is due and returns when to come again.
+// advance performs all work that is due and returns when it must run next.
 func (c *Core) advance(now time.Time) time.Time {
-	next := now.Add(idle)
+	next := now.Add(idleInterval)
 	if !c.frozenAt.IsZero() {
 		return next
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// runPrefill computes prompts one after the other at the shared rate. What is
-// cached counts as of the moment at which a prompt's turn comes.
+// runPrefill computes prompts one after the other at the shared rate. Cache hits
+// are determined when the computation of a prompt starts.
 func (c *Core) runPrefill(now time.Time) {
 	start := now
 	for len(c.prefill) > 0 {
@@ -76,7 +76,7 @@
 }
 
 func (c *Core) startPrefill(a *Answer, start time.Time) {
-	// The last token is always computed, it gives the first one of the answer.
+	// The last prompt token is always computed: it yields the first output token.
 	a.cached = min(c.cache.hits(a.chain)*blockhash.BlockTokens, a.prompt-1)
 	missed := float64(a.prompt - a.cached)
 	seconds := missed / c.options.PrefillTokensPerSecond * c.faults.slow()
@@ -97,7 +97,7 @@
 	}
 }
 
-// emit produces the next token of a request and ends it when it was the last.
+// emit produces the next token of a request and ends the request after the last one.
 func (c *Core) emit(a *Answer) {
 	if a.ended {
 		return
@@ -111,7 +111,7 @@
 	}
 	a.produced++
 	c.deliver(a, token)
-	c.stray = token
+	c.lastToken = token
 	switch {
 	case a.breakAt > 0 && a.produced >= a.breakAt:
 		c.drop(a, ErrInterrupted)
@@ -122,34 +122,34 @@
 	}
 }
 
-// deliver puts a token into the stream that it belongs to, or where the faults
-// want it.
+// deliver adds a token to the stream of its request, or elsewhere as the faults in
+// force demand.
 func (c *Core) deliver(a *Answer, token Token) {
-	if c.random.Float64() < c.faults.AnswerCrossed && c.stray.RequestID != "" && c.stray.RequestID != token.RequestID {
-		a.pending = append(a.pending, c.stray)
+	if c.random.Float64() < c.faults.AnswerCrossed && c.lastToken.RequestID != "" && c.lastToken.RequestID != token.RequestID {
+		a.pending = append(a.pending, c.lastToken)
 	}
 	if c.random.Float64() < c.faults.AnswerSwapped {
-		if other := c.another(a); other != nil {
+		if other := c.otherDecoding(a); other != nil {
 			other.pending = append(other.pending, token)
 			other.signal()
 			return
 		}
 	}
-	if a.held == nil && c.random.Float64() < c.faults.AnswerLate {
-		a.held = &token
+	if a.delayed == nil && c.random.Float64() < c.faults.AnswerLate {
+		a.delayed = &token
 		return
 	}
 	a.pending = append(a.pending, token)
 	if c.random.Float64() < c.faults.AnswerDoubled {
 		a.pending = append(a.pending, token)
 	}
-	if a.held != nil {
-		a.pending = append(a.pending, *a.held)
-		a.held = nil
+	if a.delayed != nil {
+		a.pending = append(a.pending, *a.delayed)
+		a.delayed = nil
 	}
 }
 
-func (c *Core) another(a *Answer) *Answer {
+func (c *Core) otherDecoding(a *Answer) *Answer {
 	for _, other := range c.decoding {
 		if other != a && !other.ended {
 			return other
--- a/internal/standin/engine/sim/cache.go
+++ b/internal/standin/engine/sim/cache.go
@@ -2,7 +2,7 @@
 
 import "github.com/jayproxy/jayproxy/internal/engine"
 
-// noNode ends the list.
+// noNode marks the end of the list.
 const noNode = int32(-1)
 
 type node struct {
@@ -10,14 +10,14 @@
 	prev, next int32
 }
 
-// cache is an LRU set of blocks. Its nodes stand in one slice, so that a large
-// cache costs the garbage collector nothing.
+// cache is an LRU set of blocks. Its nodes are in one slice without pointers, so
+// that the garbage collector need not scan a large cache.
 type cache struct {
 	capacity int
 	index    map[engine.BlockHash]int32
 	nodes    []node
 	free     []int32
-	// head was used last, tail goes first.
+	// head is the most recently used node, tail the next one to be evicted.
 	head, tail int32
 }
 
@@ -37,13 +37,13 @@
 	return len(chain)
 }
 
-// use makes the blocks of a chain the latest used, with its first block in
-// front, so that a prefix never leaves before what stands on it. It returns
-// the blocks that came in and those that had to go; none is in both. A chain
-// longer than the cache is cut.
+// use marks the blocks of a chain as most recently used, its first block in front,
+// so that a prefix is never evicted before the blocks that extend it. It returns
+// the blocks added and the blocks evicted; no block is in both. A chain longer
+// than the cache is truncated.
 func (c *cache) use(chain []engine.BlockHash) (stored, removed []engine.BlockHash) {
 	chain = chain[:min(len(chain), c.capacity)]
-	// Touched first, so that what comes in does not push them out.
+	// Moves cached blocks to the front first, so that adding the others cannot evict them.
 	for _, hash := range chain {
 		if at, ok := c.index[hash]; ok {
 			c.unlink(at)
@@ -62,7 +62,7 @@
 		c.insert(chain[i])
 		stored = append(stored, chain[i])
 	}
-	// Parents first, as engines publish them.
+	// Parents first, the order in which engines publish them.
 	for i, j := 0, len(stored)-1; i < j; i, j = i+1, j-1 {
 		stored[i], stored[j] = stored[j], stored[i]
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-// all lists the blocks, latest used first.
+// all lists the blocks, most recently used first.
 func (c *cache) all() []engine.BlockHash {
 	list := make([]engine.BlockHash, 0, len(c.index))
 	for at := c.head; at != noNode; at = c.nodes[at].next {
--- a/internal/standin/engine/sim/core.go
+++ b/internal/standin/engine/sim/core.go
@@ -10,15 +10,15 @@
 	"github.com/jayproxy/jayproxy/internal/engine/blockhash"
 )
 
-// idle is how long the scheduler sleeps when nothing is due.
-const idle = time.Hour
+// idleInterval is how long the scheduler waits when nothing is due.
+const idleInterval = time.Hour
 
 // Core is a simulated engine. It is safe for concurrent use.
 type Core struct {
 	options Options
 	stop    chan struct{}
 	done    chan struct{}
-	wake    chan struct{}
+	notify  chan struct{}
 
 	mu          sync.Mutex
 	faults      Faults
@@ -32,28 +32,28 @@
 	runs        *runs
 	arrivals    uint64
 	waiting     queue
-	// prefill holds the requests whose prompts are computed, the first one now.
+	// prefill holds the requests whose prompts are to be computed; the first is running.
 	prefill  []*Answer
 	decoding []*Answer
 	hung     []*Answer
-	// decodeAt is when the next tokens of all decoding requests come.
+	// decodeAt is when all decoding requests produce their next token.
 	decodeAt time.Time
-	// frozenAt is set while the engine stands still.
+	// frozenAt is set while the engine is frozen.
 	frozenAt time.Time
 	thawed   chan struct{}
-	// stray is the token emitted last, which the crossing fault may show again.
-	stray  Token
-	closed bool
+	// lastToken is the token emitted last, which the AnswerCrossed fault may repeat.
+	lastToken Token
+	closed    bool
 }
 
-// New starts an engine; Close stops it.
+// New starts an engine that runs until Close.
 func New(options Options) *Core {
 	options = options.withDefaults()
 	c := &Core{
 		options:     options,
 		stop:        make(chan struct{}),
 		done:        make(chan struct{}),
-		wake:        make(chan struct{}, 1),
+		notify:      make(chan struct{}, 1),
 		faults:      options.Faults,
 		random:      rand.New(rand.NewPCG(options.Seed, 2)),
 		incarnation: options.Incarnation,
@@ -66,7 +66,7 @@
 	return c
 }
 
-// reset brings the engine to a cold start.
+// reset puts the engine into its state after a cold start.
 func (c *Core) reset() {
 	c.cache = newCache(c.options.CacheBlocks)
 	c.journal = newJournal(c.incarnation, c.options.EventBuffer, c.random)
@@ -91,7 +91,7 @@
 
 func (c *Core) loop() {
 	defer close(c.done)
-	timer := time.NewTimer(idle)
+	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
 	for {
 		c.mu.Lock()
@@ -101,7 +101,7 @@
 		timer.Reset(next.Sub(now))
 		select {
 		case <-timer.C:
-		case <-c.wake:
+		case <-c.notify:
 		case <-c.stop:
 			return
 		}
@@ -110,12 +110,13 @@
 
 func (c *Core) signal() {
 	select {
-	case c.wake <- struct{}{}:
+	case c.notify <- struct{}{}:
 	default:
 	}
 }
 
-// Submit queues a request. Errors mean that nothing of it will run.
+// Submit queues a request. It returns ErrCrashed, ErrInternal, ErrNotLoaded or
+// ErrBusy; after an error nothing of the request runs.
 func (c *Core) Submit(call Call) (*Answer, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,7 +159,7 @@
 		chain:  chain,
 		prompt: blockhash.Tokens(call.Parts),
 		order:  c.arrivals,
-		wake:   make(chan struct{}, 1),
+		notify: make(chan struct{}, 1),
 	}
 	if c.random.Float64() < c.faults.BreakShare {
 		a.breakAt = max(1, c.faults.BreakAfter)
@@ -166,7 +167,7 @@
 	return a
 }
 
-// Cancel gives up all requests with an id.
+// Cancel cancels all requests with an id.
 func (c *Core) Cancel(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,7 +188,7 @@
 	return append(all, c.hung...)
 }
 
-// drop ends a request wherever it stands.
+// drop ends a request in whatever state it is.
 func (c *Core) drop(a *Answer, err error) {
 	if a.ended {
 		return
@@ -222,13 +223,13 @@
 	}
 }
 
-// Crash drops everything and comes back cold under a new incarnation.
+// Crash drops all state and restarts the engine under a new incarnation.
 func (c *Core) Crash() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endAll(ErrCrashed)
 	c.incarnation++
-	// The number lives in the process that died, so a cold engine takes any order.
+	// The highest fencing number is process state, so a restarted engine accepts any order.
 	c.fence = 0
 	if !c.frozenAt.IsZero() {
 		c.frozenAt = time.Time{}
@@ -238,15 +239,15 @@
 	c.signal()
 }
 
-// Snapshot returns the cached blocks and the number of the last event made.
+// Snapshot returns the cached blocks and the sequence number of the last event.
 func (c *Core) Snapshot() engine.CacheSnapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return engine.CacheSnapshot{Incarnation: c.incarnation, Seq: c.journal.seq, Blocks: c.cache.all()}
 }
 
-// SetFaults replaces the faults in force. Requests that hung start to run when
-// the hang is over.
+// SetFaults replaces the faults in force. Requests that hung are queued when the
+// hang fault is removed.
 func (c *Core) SetFaults(faults Faults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -267,7 +268,7 @@
 	return c.faults
 }
 
-// Freeze stops all progress, as a stopped process does.
+// Freeze stops all progress, as SIGSTOP does.
 func (c *Core) Freeze() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -277,7 +278,7 @@
 	}
 }
 
-// Thaw lets a frozen engine go on where it stood.
+// Thaw resumes a frozen engine.
 func (c *Core) Thaw() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -296,7 +297,7 @@
 	c.signal()
 }
 
-// Thawed is closed while the engine is not frozen.
+// Thawed returns a channel that is closed while the engine is not frozen.
 func (c *Core) Thawed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/engine/sim/journal.go
+++ b/internal/standin/engine/sim/journal.go
@@ -12,17 +12,18 @@
 	at    time.Time
 }
 
-// journal numbers cache events and publishes them as badly as the faults say.
-// The engine's lock guards it.
+// journal numbers cache events and publishes them with the delay, loss and
+// reordering that the faults demand. Core.mu guards it.
 type journal struct {
 	incarnation uint64
 	seq         uint64
 	limit       int
 	random      *rand.Rand
 	pending     []record
-	held        *engine.CacheEvent
-	// ring holds the published events; first is the number of those dropped
-	// from its front, and droppedSeq the highest sequence number among these.
+	// delayed is an event that the EventReordered fault publishes after its successor.
+	delayed *engine.CacheEvent
+	// ring holds the published events; first is the number of events dropped from
+	// its front, and droppedSeq the highest sequence number among these.
 	ring        []engine.CacheEvent
 	first       int
 	droppedSeq  uint64
@@ -42,8 +43,8 @@
 	j.pending = append(j.pending, record{event: event, at: now})
 }
 
-// publish moves the events that are old enough to the subscribers and returns
-// when the next one is due, or the zero time.
+// publish makes the events that are old enough available to subscribers and
+// returns when the next one is due, or the zero time if there is none.
 func (j *journal) publish(now time.Time, faults Faults) time.Time {
 	delay := time.Duration(faults.EventDelayMS) * time.Millisecond
 	published := false
@@ -55,7 +56,7 @@
 		event := j.pending[0].event
 		event.Age = now.Sub(j.pending[0].at)
 		j.pending = j.pending[1:]
-		published = j.distort(event, faults) || published
+		published = j.applyFaults(event, faults) || published
 	}
 	if published {
 		j.trim()
@@ -69,28 +70,29 @@
 	return j.pending[0].at.Add(delay)
 }
 
-// distort applies loss, reordering and doubling to one event.
-func (j *journal) distort(event engine.CacheEvent, faults Faults) bool {
+// applyFaults adds one event to the ring, subject to loss, reordering and
+// duplication, and reports whether it added any.
+func (j *journal) applyFaults(event engine.CacheEvent, faults Faults) bool {
 	if j.random.Float64() < faults.EventLoss {
 		return false
 	}
-	if j.held == nil && j.random.Float64() < faults.EventReordered {
-		j.held = &event
+	if j.delayed == nil && j.random.Float64() < faults.EventReordered {
+		j.delayed = &event
 		return false
 	}
 	j.ring = append(j.ring, event)
 	if j.random.Float64() < faults.EventDoubled {
 		j.ring = append(j.ring, event)
 	}
-	if j.held != nil {
-		j.ring = append(j.ring, *j.held)
-		j.held = nil
+	if j.delayed != nil {
+		j.ring = append(j.ring, *j.delayed)
+		j.delayed = nil
 	}
 	return true
 }
 
-// trim bounds the ring; it lets it grow to twice the limit, so that the copy
-// costs little an event.
+// trim bounds the ring. It lets the ring grow to twice the limit, so that the cost
+// of the copy is spread over many events.
 func (j *journal) trim() {
 	if len(j.ring) < 2*j.limit {
 		return
@@ -103,7 +105,8 @@
 	j.first += drop
 }
 
-// from finds the place in the ring where events after a sequence number start.
+// from returns the position of the first published event after a sequence number,
+// or ErrGap if events after it were dropped or it was never reached.
 func (j *journal) from(after uint64) (int, error) {
 	if after < j.droppedSeq || after > j.seq {
 		return 0, ErrGap
--- a/internal/standin/engine/sim/kv.go
+++ b/internal/standin/engine/sim/kv.go
@@ -8,13 +8,13 @@
 	"github.com/jayproxy/jayproxy/internal/engine"
 )
 
-// kvMagic starts every export of KV cache.
+// kvMagic begins every KV cache export.
 const kvMagic = "kv-1"
 
-// hashBytes is the size of a block's name.
+// hashBytes is the size of a block hash.
 const hashBytes = 8
 
-// Export returns the KV cache of those of the blocks that are cached.
+// Export returns the KV cache of the given blocks; blocks not cached are left out.
 func (c *Core) Export(blocks []engine.BlockHash) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,15 +28,16 @@
 		if _, ok := c.cache.index[hash]; !ok {
 			continue
 		}
-		var name [hashBytes]byte
-		binary.LittleEndian.PutUint64(name[:], uint64(hash))
-		b.Write(name[:])
+		var encoded [hashBytes]byte
+		binary.LittleEndian.PutUint64(encoded[:], uint64(hash))
+		b.Write(encoded[:])
 		b.Write(filler)
 	}
 	return b.Bytes()
 }
 
-// Import takes the blocks of an export into the cache and returns their number.
+// Import adds the blocks of an export to the cache and returns their number, or
+// ErrInvalid if the export is malformed.
 func (c *Core) Import(kv []byte) (int, error) {
 	blocks, err := decodeKV(kv)
 	if err != nil {
@@ -57,13 +58,13 @@
 	if len(kv) < head || string(kv[:len(kvMagic)]) != kvMagic {
 		return nil, ErrInvalid
 	}
-	each := hashBytes + int(binary.LittleEndian.Uint32(kv[len(kvMagic):]))
+	blockBytes := hashBytes + int(binary.LittleEndian.Uint32(kv[len(kvMagic):]))
 	rest := kv[head:]
-	if len(rest)%each != 0 {
+	if len(rest)%blockBytes != 0 {
 		return nil, ErrInvalid
 	}
-	blocks := make([]engine.BlockHash, 0, len(rest)/each)
-	for ; len(rest) > 0; rest = rest[each:] {
+	blocks := make([]engine.BlockHash, 0, len(rest)/blockBytes)
+	for ; len(rest) > 0; rest = rest[blockBytes:] {
 		blocks = append(blocks, engine.BlockHash(binary.LittleEndian.Uint64(rest)))
 	}
 	return blocks, nil
--- a/internal/standin/engine/sim/models.go
+++ b/internal/standin/engine/sim/models.go
@@ -8,7 +8,7 @@
 	"github.com/jayproxy/jayproxy/internal/engine"
 )
 
-// adapterShare is the part of a version's load time that an adapter takes.
+// adapterShare divides a version's load time to give that of an adapter.
 const adapterShare = 10
 
 type loading struct {
@@ -17,7 +17,7 @@
 	due     time.Time
 }
 
-// models is what the engine has loaded or is loading.
+// models holds the versions and adapters that are loaded or loading.
 type models struct {
 	versions []string
 	adapters []string
@@ -33,8 +33,8 @@
 	}
 }
 
-// resolve returns the digest that a request runs on: the one it names, or the
-// one loaded first.
+// resolve returns the digest of the version that a request runs on: the one it
+// names, or the one loaded first.
 func (m *models) resolve(digest, adapter string) (string, error) {
 	if digest == "" && len(m.versions) > 0 {
 		digest = m.versions[0]
@@ -72,9 +72,9 @@
 	return due
 }
 
-func (m *models) load(now time.Time, adapter bool, name string, takes time.Duration) {
+func (m *models) load(now time.Time, adapter bool, name string, loadTime time.Duration) {
 	m.unload(adapter, name, false)
-	m.loads = append(m.loads, loading{adapter: adapter, name: name, due: now.Add(takes)})
+	m.loads = append(m.loads, loading{adapter: adapter, name: name, due: now.Add(loadTime)})
 }
 
 func (m *models) unload(adapter bool, name string, ready bool) {
@@ -96,7 +96,8 @@
 	return append(list, name)
 }
 
-// Order accepts a command. A load is done when the state report shows it.
+// Order carries out an order. Loads complete later, when State lists the version
+// or adapter. It returns ErrStaleFence or ErrInvalid.
 func (c *Core) Order(order engine.Order) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/engine/sim/options.go
+++ b/internal/standin/engine/sim/options.go
@@ -1,7 +1,7 @@
-// Package sim simulates a model engine that batches continuously and caches
-// prompt prefixes in blocks. It has no network: the HTTP dialects stand on top
-// of it. One goroutine an engine drives all its requests by timers, so it also
-// runs in virtual time (testing/synctest).
+// Package sim simulates a model engine with continuous batching and a block-based
+// prefix cache. It has no network: the HTTP interfaces are built on top of it. One
+// goroutine per engine drives all requests by timers, so it also runs in virtual
+// time (testing/synctest).
 package sim
 
 import (
@@ -15,22 +15,22 @@
 var (
 	// ErrNotLoaded means that the version or adapter is not loaded; nothing ran.
 	ErrNotLoaded = errors.New("version or adapter not loaded")
-	// ErrBusy means that the waiting queue is full; nothing ran.
-	ErrBusy = errors.New("waiting queue full")
-	// ErrInternal is the failure that the grey fault shows.
+	// ErrBusy means that the wait queue is full; nothing ran.
+	ErrBusy = errors.New("wait queue full")
+	// ErrInternal is the failure that GreyFail causes.
 	ErrInternal = errors.New("internal engine failure")
-	// ErrCrashed means that the engine process died.
+	// ErrCrashed means that the engine crashed or was closed.
 	ErrCrashed = errors.New("engine crashed")
 	// ErrCancelled means that the request was cancelled.
 	ErrCancelled = errors.New("request cancelled")
-	// ErrInterrupted is the failure that the break fault shows in a stream.
-	ErrInterrupted = errors.New("stream broken off")
-	// ErrStaleFence means that the order carries an old fencing number.
-	ErrStaleFence = errors.New("old fencing number")
-	// ErrInvalid means that a call makes no sense.
+	// ErrInterrupted means that the break fault ended the stream early.
+	ErrInterrupted = errors.New("stream interrupted by a fault")
+	// ErrStaleFence means that the order's fencing number is below the highest seen.
+	ErrStaleFence = errors.New("stale fencing number")
+	// ErrInvalid means that a call is malformed.
 	ErrInvalid = errors.New("invalid call")
-	// ErrGap means that events after the sequence number asked for are gone.
-	ErrGap = errors.New("events gone")
+	// ErrGap means that events after the requested sequence number are not available.
+	ErrGap = errors.New("events no longer available")
 )
 
 // Defaults of Options.
@@ -45,73 +45,76 @@
 	DefaultRunsKept               = 200_000
 )
 
-// Options of an engine; zero values mean the defaults.
+// Options configure an engine; zero values mean the defaults.
 type Options struct {
-	// Scheme names the cached blocks; blockhash.Merle when nil.
+	// Scheme computes the hashes of cached blocks; nil means blockhash.Merle.
 	Scheme blockhash.Scheme
-	// CacheBlocks is the capacity of the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// PrefillTokensPerSecond that all requests share.
+	// PrefillTokensPerSecond is the prefill rate that all requests share.
 	PrefillTokensPerSecond float64
 	// DecodeStep is the time between two tokens of a running request.
 	DecodeStep time.Duration
-	// MaxRunning requests at once; more wait by priority.
+	// MaxRunning bounds the requests that run at once; others wait, by priority.
 	MaxRunning int
-	// MaxWaiting requests; 0: no bound.
+	// MaxWaiting bounds the requests that wait; 0 means no bound.
 	MaxWaiting int
-	// OutputTokens of a request that names no number.
+	// OutputTokens is the length of an answer whose request sets no maximum.
 	OutputTokens int
-	// Versions and Adapters loaded at the start and after a crash.
+	// Versions and Adapters are loaded at the start and after a crash.
 	Versions []string
 	Adapters []string
-	// Role reported at the start, "mixed" when empty.
+	// Role is the role reported at the start; empty means "mixed".
 	Role string
-	// LoadTime of a version; an adapter takes a tenth of it.
+	// LoadTime is the time to load a version; an adapter takes a tenth of it.
 	LoadTime time.Duration
-	// ChecksFencing: orders below the highest fencing number seen are refused.
+	// ChecksFencing makes the engine refuse orders below the highest fencing number seen.
 	ChecksFencing bool
 	// EventBuffer is the number of published events kept for subscribers.
 	EventBuffer int
-	// KVBytesPerBlock is the size of a block in an export beside its hash.
+	// KVBytesPerBlock is the size of a block in an export, without its hash.
 	KVBytesPerBlock int
-	// Incarnation is the boot number at the start, 1 when 0.
+	// Incarnation is the boot number at the start; 0 means 1.
 	Incarnation uint64
-	// Seed of the faults that strike at random.
+	// Seed of the random faults.
 	Seed uint64
 	// Faults in force from the start.
 	Faults Faults
 }
 
-// Modes of Faults.Grey.
+// Values of Faults.Grey.
 const (
 	GreyFail = "fail"
 	GreyHang = "hang"
 )
 
-// Faults can be changed at any time; the zero value means none. Shares are
-// between 0 and 1.
+// Faults are the faults in force; the zero value means none. They can be changed
+// at any time. Shares are between 0 and 1.
 type Faults struct {
-	// EventDelayMS is the age at which a cache event is published.
+	// EventDelayMS is the age in milliseconds at which a cache event is published.
 	EventDelayMS int `json:"event_delay_ms"`
-	// EventLoss, EventDoubled and EventReordered are shares of cache events.
+	// EventLoss, EventDoubled and EventReordered are the shares of cache events that
+	// are dropped, sent twice, and sent after their successor.
 	EventLoss      float64 `json:"event_loss"`
 	EventDoubled   float64 `json:"event_doubled"`
 	EventReordered float64 `json:"event_reordered"`
-	// StateLagMS is the age at which a load report shows, up to twice that.
+	// StateLagMS is the age of reported load in milliseconds; it can reach twice that.
 	StateLagMS int `json:"state_lag_ms"`
-	// Slow multiplies the time of all work; 0 counts as 1.
+	// Slow multiplies the time of all work; 0 means 1.
 	Slow float64 `json:"slow"`
-	// Grey is "fail" (requests end with an internal failure) or "hang" (they
-	// never progress), while state reports look well.
+	// Grey is a failure that state reports do not show: "fail" (requests are refused
+	// with an internal error) or "hang" (they make no progress).
 	Grey string `json:"grey"`
-	// AnswerCrossed is the share of tokens that turn up in another request's
-	// stream as well; AnswerSwapped turn up only there.
+	// AnswerCrossed is the share of tokens that another request's stream contains as
+	// well, AnswerSwapped the share that only another request's stream contains.
 	AnswerCrossed float64 `json:"answer_crossed"`
 	AnswerSwapped float64 `json:"answer_swapped"`
-	// AnswerDoubled tokens come twice, AnswerLate ones after their successor.
+	// AnswerDoubled is the share of tokens sent twice, AnswerLate the share sent after
+	// their successor.
 	AnswerDoubled float64 `json:"answer_doubled"`
 	AnswerLate    float64 `json:"answer_late"`
-	// BreakShare of the requests end without their end after BreakAfter tokens.
+	// BreakShare is the share of requests whose stream is interrupted after BreakAfter
+	// tokens.
 	BreakShare float64 `json:"break_share"`
 	BreakAfter int     `json:"break_after"`
 }
--- a/internal/standin/engine/sim/sim_test.go
+++ b/internal/standin/engine/sim/sim_test.go
@@ -19,9 +19,9 @@
 	_ "github.com/jayproxy/jayproxy/internal/testseed" // fixed seed
 )
 
-// inBubble runs a test in virtual time with an engine of 1,000 prompt tokens a
-// second, a token every 10 ms and 4 places.
-func inBubble(t *testing.T, change func(*sim.Options), test func(t *testing.T, core *sim.Core)) {
+// withVirtualTime runs a test in virtual time with an engine that computes 1,000 prompt
+// tokens per second, decodes a token every 10 ms and runs 4 requests at once.
+func withVirtualTime(t *testing.T, change func(*sim.Options), test func(t *testing.T, core *sim.Core)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		options := sim.Options{
@@ -40,7 +40,7 @@
 	})
 }
 
-// prompt has n tokens that begin with a name.
+// prompt returns a prompt of n tokens that begins with a name.
 func prompt(name string, n int) []string {
 	return []string{name + strings.Repeat("x", n*blockhash.BytesPerToken-len(name))}
 }
@@ -65,8 +65,8 @@
 	}
 }
 
-func TestTimesFollowTheRates(t *testing.T) {
-	inBubble(t, nil, func(t *testing.T, core *sim.Core) {
+func TestTimesMatchConfiguredRates(t *testing.T) {
+	withVirtualTime(t, nil, func(t *testing.T, core *sim.Core) {
 		start := time.Now()
 		a := submit(t, core, sim.Call{ID: "a", Parts: prompt("a", 160)})
 		b := submit(t, core, sim.Call{ID: "b", Parts: prompt("b", 160)})
@@ -87,8 +87,8 @@
 	})
 }
 
-func TestHigherPriorityOvertakesTheQueue(t *testing.T) {
-	inBubble(t, func(o *sim.Options) { o.MaxRunning = 1 }, func(t *testing.T, core *sim.Core) {
+func TestHigherPriorityRunsFirst(t *testing.T) {
+	withVirtualTime(t, func(o *sim.Options) { o.MaxRunning = 1 }, func(t *testing.T, core *sim.Core) {
 		submit(t, core, sim.Call{ID: "first", Parts: prompt("a", 100)})
 		synctest.Wait()
 		low := submit(t, core, sim.Call{ID: "low", Parts: prompt("b", 100)})
@@ -101,8 +101,8 @@
 	})
 }
 
-func TestCancelFreesThePlace(t *testing.T) {
-	inBubble(t, func(o *sim.Options) { o.MaxRunning = 1 }, func(t *testing.T, core *sim.Core) {
+func TestCancelFreesSlot(t *testing.T) {
+	withVirtualTime(t, func(o *sim.Options) { o.MaxRunning = 1 }, func(t *testing.T, core *sim.Core) {
 		first := submit(t, core, sim.Call{ID: "first", Parts: prompt("a", 100_000)})
 		second := submit(t, core, sim.Call{ID: "second", Parts: prompt("b", 100)})
 		synctest.Wait()
@@ -114,10 +114,10 @@
 	})
 }
 
-// The same text in another workspace, version or adapter is not a hit.
-func TestCacheIsKeptApartBySaltVersionAndAdapter(t *testing.T) {
+// Guards against cache hits across workspaces, versions or adapters.
+func TestCacheIsSeparateForSaltVersionAndAdapter(t *testing.T) {
 	change := func(o *sim.Options) { o.Versions, o.Adapters = []string{"v1", "v2"}, []string{"l"} }
-	inBubble(t, change, func(t *testing.T, core *sim.Core) {
+	withVirtualTime(t, change, func(t *testing.T, core *sim.Core) {
 		for i, call := range []sim.Call{{Salt: "a"}, {Salt: "b"}, {Salt: "a", VersionDigest: "v2"}, {Salt: "a", Adapter: "l"}} {
 			call.ID, call.Parts = fmt.Sprint(i), prompt("p", 64)
 			_, last := drain(t, submit(t, core, call))
@@ -129,7 +129,7 @@
 }
 
 func TestFreezeStopsProgressAndThawResumes(t *testing.T) {
-	inBubble(t, nil, func(t *testing.T, core *sim.Core) {
+	withVirtualTime(t, nil, func(t *testing.T, core *sim.Core) {
 		start := time.Now()
 		answer := submit(t, core, sim.Call{ID: "a", Parts: prompt("a", 100)})
 		time.Sleep(50 * time.Millisecond)
@@ -148,7 +148,7 @@
 
 func TestCrashDropsEverything(t *testing.T) {
 	change := func(o *sim.Options) { o.OutputTokens, o.LoadTime = 1000, time.Second }
-	inBubble(t, change, func(t *testing.T, core *sim.Core) {
+	withVirtualTime(t, change, func(t *testing.T, core *sim.Core) {
 		require.NoError(t, core.Order(engine.Order{Kind: jayv1.OrderKind_ORDER_KIND_LOAD_VERSION, Digest: "v2"}))
 		assert.Equal(t, []string{"v1"}, core.State().Versions)
 		time.Sleep(time.Second)
@@ -171,19 +171,19 @@
 		assert.Zero(t, state.CachedBlocks)
 		assert.Equal(t, []string{"v1"}, state.Versions)
 		_, err = core.Subscribe(1)
-		require.ErrorIs(t, err, sim.ErrGap, "the numbers of the old incarnation mean nothing")
+		require.ErrorIs(t, err, sim.ErrGap, "sequence numbers of an earlier incarnation are invalid")
 	})
 }
 
 func TestLoadReportLags(t *testing.T) {
 	change := func(o *sim.Options) { o.Faults.StateLagMS, o.OutputTokens = 5000, 4000 }
-	inBubble(t, change, func(t *testing.T, core *sim.Core) {
+	withVirtualTime(t, change, func(t *testing.T, core *sim.Core) {
 		assert.Zero(t, core.State().Running)
 		submit(t, core, sim.Call{ID: "a", Parts: prompt("a", 100)})
 		time.Sleep(4 * time.Second)
 		assert.Zero(t, core.State().Running)
 		time.Sleep(2 * time.Second)
-		assert.Zero(t, core.State().Running, "the new report is taken now and shows later")
+		assert.Zero(t, core.State().Running, "the new report is recorded now and shown after the lag")
 		time.Sleep(5 * time.Second)
 		state := core.State()
 		assert.Equal(t, 1, state.Running)
@@ -191,8 +191,8 @@
 	})
 }
 
-func TestGreyFailureLooksWellAndWorksNot(t *testing.T) {
-	inBubble(t, nil, func(t *testing.T, core *sim.Core) {
+func TestGreyFailureMakesNoProgressAndReportsNoLoad(t *testing.T) {
+	withVirtualTime(t, nil, func(t *testing.T, core *sim.Core) {
 		core.SetFaults(sim.Faults{Grey: sim.GreyHang})
 		answer := submit(t, core, sim.Call{ID: "a", Parts: prompt("a", 100)})
 		time.Sleep(time.Minute)
@@ -204,23 +204,23 @@
 	})
 }
 
-func TestBreakEndsAStreamWithoutItsEnd(t *testing.T) {
+func TestBreakFaultInterruptsStream(t *testing.T) {
 	change := func(o *sim.Options) { o.Faults = sim.Faults{BreakShare: 1, BreakAfter: 2} }
-	inBubble(t, change, func(t *testing.T, core *sim.Core) {
+	withVirtualTime(t, change, func(t *testing.T, core *sim.Core) {
 		tokens, last := drain(t, submit(t, core, sim.Call{ID: "a", Parts: prompt("a", 10)}))
 		assert.Len(t, tokens, 2)
 		require.ErrorIs(t, last.Err, sim.ErrInterrupted)
 	})
 }
 
-// What a reader that applies all events holds is what the engine holds, when
-// none is lost; and lost, doubled and reordered ones show in their numbers.
-func TestEventsAreAFaithfulOrVisiblyFaultyPicture(t *testing.T) {
+// A reader that applies all events in order must end with the engine's cache
+// content; lost events must show as gaps in the sequence numbers.
+func TestEventsMatchCacheOrShowGaps(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		blocks := rapid.IntRange(4, 40).Draw(rt, "blocks")
 		loss := rapid.SampledFrom([]float64{0, 0.5}).Draw(rt, "loss")
-		inBubble(t, func(o *sim.Options) {
+		withVirtualTime(t, func(o *sim.Options) {
 			o.CacheBlocks, o.Seed = blocks, seed
 			o.Faults = sim.Faults{EventLoss: loss, EventDoubled: 0.2, EventReordered: 0.2, EventDelayMS: 100}
 		}, func(t *testing.T, core *sim.Core) {
@@ -234,19 +234,19 @@
 			time.Sleep(time.Second)
 			events, err := subscription.Next(context.Background())
 			require.NoError(t, err)
-			checkPicture(t, core, events, loss > 0)
+			checkEvents(t, core, events, loss > 0)
 		})
 	})
 }
 
-func checkPicture(t *testing.T, core *sim.Core, events []engine.CacheEvent, lossy bool) {
+func checkEvents(t *testing.T, core *sim.Core, events []engine.CacheEvent, lossy bool) {
 	snapshot := core.Snapshot()
 	bySeq := map[uint64]engine.CacheEvent{}
 	for _, event := range events {
 		assert.GreaterOrEqual(t, event.Age, 100*time.Millisecond)
 		bySeq[event.Seq] = event
 	}
-	held := map[engine.BlockHash]bool{}
+	cached := map[engine.BlockHash]bool{}
 	for seq := uint64(1); seq <= snapshot.Seq; seq++ {
 		event, ok := bySeq[seq]
 		if !ok {
@@ -255,15 +255,15 @@
 		}
 		for _, block := range event.Blocks {
 			if event.Kind == engine.BlocksStored {
-				held[block] = true
+				cached[block] = true
 			} else {
-				delete(held, block)
+				delete(cached, block)
 			}
 		}
 	}
-	assert.Len(t, held, len(snapshot.Blocks))
+	assert.Len(t, cached, len(snapshot.Blocks))
 	for _, block := range snapshot.Blocks {
-		assert.True(t, held[block])
+		assert.True(t, cached[block])
 	}
 }
 
--- a/internal/standin/engine/sim/state.go
+++ b/internal/standin/engine/sim/state.go
@@ -8,7 +8,7 @@
 	"github.com/jayproxy/jayproxy/internal/engine/blockhash"
 )
 
-// load is the part of a state report that lags.
+// load is the part of a state report that Faults.StateLagMS delays.
 type load struct {
 	at      time.Time
 	running int
@@ -16,12 +16,13 @@
 	cached  int
 }
 
-// report keeps two loads: the one that is shown and the one that follows it.
+// report keeps the load that is shown and the one to be shown next.
 type report struct {
 	shown, next load
 }
 
-// State returns the load report. Its load is as old as the lag wants, the rest is current.
+// State returns the state report. Its load is delayed by Faults.StateLagMS, the rest
+// is current.
 func (c *Core) State() engine.State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,7 +57,7 @@
 	return r.shown
 }
 
-// runs counts how often each request id ran, for the last so many ids.
+// runs counts how often each request id ran, for at most limit ids, oldest out first.
 type runs struct {
 	limit  int
 	counts map[string]int
@@ -76,7 +77,8 @@
 	}
 }
 
-// Runs tells how often each request id was really computed, crashes included.
+// Runs returns how often the computation of each request id started, also before
+// crashes.
 func (c *Core) Runs() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/engine/sim/subscription.go
+++ b/internal/standin/engine/sim/subscription.go
@@ -6,17 +6,17 @@
 	"github.com/jayproxy/jayproxy/internal/engine"
 )
 
-// Subscription reads the published cache events from a sequence number on.
+// Subscription reads published cache events after a sequence number.
 type Subscription struct {
 	core    *Core
 	journal *journal
 	after   uint64
 	cursor  int
-	wake    chan struct{}
+	notify  chan struct{}
 }
 
-// Subscribe starts after a sequence number of the current incarnation; ErrGap
-// when events after it are no longer at hand, or it was never reached.
+// Subscribe starts after a sequence number of the current incarnation. It returns
+// ErrGap when events after it were dropped, or it was never reached.
 func (c *Core) Subscribe(after uint64) (*Subscription, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -24,20 +24,20 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Subscription{core: c, journal: c.journal, after: after, cursor: cursor, wake: make(chan struct{}, 1)}
+	s := &Subscription{core: c, journal: c.journal, after: after, cursor: cursor, notify: make(chan struct{}, 1)}
 	c.journal.subscribers[s] = struct{}{}
 	return s, nil
 }
 
 func (s *Subscription) signal() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.notify <- struct{}{}:
 	default:
 	}
 }
 
-// Next waits for events. ErrGap when the reader was too slow, ErrCrashed when
-// the engine lost its state.
+// Next waits for events. It returns ErrGap when the reader was too slow, ErrCrashed
+// when the engine lost its state, or the error of ctx.
 func (s *Subscription) Next(ctx context.Context) ([]engine.CacheEvent, error) {
 	for {
 		events, err := s.take()
@@ -45,7 +45,7 @@
 			return events, err
 		}
 		select {
-		case <-s.wake:
+		case <-s.notify:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-s.core.stop:
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -12,10 +12,10 @@
 
 const maxFaultBody = 1 << 20
 
-// MergeFaults changes the fields of target, a pointer to a struct with json
-// tags, that a request to /faults names in its query or its JSON body. A query
-// value that is no JSON counts as a string. Unknown names are errors, so that
-// a test can't switch a fault that does not exist.
+// MergeFaults sets the fields of target, a pointer to a struct with json tags,
+// that a request to /faults names in its query or its JSON body. A query value
+// that is not valid JSON is taken as a string. Unknown names are errors, so that
+// a test cannot set a fault that does not exist.
 func MergeFaults(r *http.Request, target any) error {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxFaultBody))
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 	encoded, err := json.Marshal(queryValues(r.URL.Query()))
 	if err != nil {
-		return eris.Wrap(err, "faults in query")
+		return eris.Wrap(err, "encode faults from query")
 	}
 	return decodeStrict(encoded, target)
 }
@@ -51,5 +51,5 @@
 func decodeStrict(body []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
-	return eris.Wrap(decoder.Decode(target), "faults")
+	return eris.Wrap(decoder.Decode(target), "decode faults")
 }
--- a/internal/standin/kvstore/kvstore.go
+++ b/internal/standin/kvstore/kvstore.go
@@ -1,5 +1,5 @@
-// Package kvstore is a stand-in for the service that keeps KV cache: blobs by
-// key, least recently used ones leave when the store is full.
+// Package kvstore is a stand-in for the KV cache store: blobs by key, with LRU
+// eviction when the store is full.
 package kvstore
 
 import (
@@ -16,24 +16,24 @@
 	"github.com/jayproxy/jayproxy/internal/standin"
 )
 
-// DefaultBlobs is the capacity of a store.
+// DefaultBlobs is the default of Options.Blobs.
 const DefaultBlobs = 4096
 
 const maxBlob = 1 << 30
 
-// Options of the stand-in; zero values mean the defaults.
+// Options configure the stand-in; zero values mean the defaults.
 type Options struct {
-	// Listen is an "ip:port" address, a free loopback port when empty.
+	// Listen is an "ip:port" address; empty selects a free loopback port.
 	Listen string
-	// Blobs that the store holds.
+	// Blobs is the capacity of the store.
 	Blobs int
 }
 
-// Faults are switched on /faults; the zero value means none.
+// Faults are set under /faults; the zero value means none.
 type Faults struct {
-	// Outage answers 503.
+	// Outage answers every call with status 503.
 	Outage bool `json:"outage"`
-	// DelayMS is added in front of every call.
+	// DelayMS delays every call by so many milliseconds.
 	DelayMS int `json:"delay_ms"`
 }
 
@@ -46,7 +46,7 @@
 	faults Faults
 }
 
-// Start serves a stand-in until Close.
+// Start runs a stand-in until Close.
 func Start(options Options) (*Store, error) {
 	if options.Listen == "" {
 		options.Listen = "127.0.0.1:0"
@@ -63,7 +63,7 @@
 	e.HideBanner = true
 	e.GET("/faults", func(c echo.Context) error { return c.JSON(http.StatusOK, s.current()) })
 	e.POST("/faults", s.changeFaults)
-	kv := e.Group("/kv", s.strike)
+	kv := e.Group("/kv", s.injectFaults)
 	kv.PUT("/:key", s.put)
 	kv.GET("/:key", s.get)
 	kv.HEAD("/:key", s.get)
@@ -74,16 +74,16 @@
 	return s, nil
 }
 
-// URL is the base URL.
+// URL returns the base URL.
 func (s *Store) URL() string { return s.server.URL() }
 
-// Close stops the stand-in; its content is lost.
+// Close stops the stand-in and discards its content.
 func (s *Store) Close() { s.server.Close() }
 
-// Down takes the store off the network.
+// Down closes all connections and refuses new ones.
 func (s *Store) Down() { s.server.Down(context.Background()) }
 
-// Len is the number of blobs kept.
+// Len returns the number of stored blobs.
 func (s *Store) Len() int { return s.blobs.Len() }
 
 // SetFaults replaces the faults in force.
@@ -108,7 +108,7 @@
 	return c.JSON(http.StatusOK, faults)
 }
 
-func (s *Store) strike(next echo.HandlerFunc) echo.HandlerFunc {
+func (s *Store) injectFaults(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		faults := s.current()
 		if faults.DelayMS > 0 {
@@ -130,7 +130,7 @@
 func (s *Store) put(c echo.Context) error {
 	blob, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBlob))
 	if err != nil {
-		return echo.NewHTTPError(http.StatusBadRequest, "body")
+		return echo.NewHTTPError(http.StatusBadRequest, "cannot read request body")
 	}
 	s.blobs.Add(standin.Param(c, "key"), blob)
 	return c.NoContent(http.StatusNoContent)
--- a/internal/standin/kvstore/kvstore_test.go
+++ b/internal/standin/kvstore/kvstore_test.go
@@ -24,7 +24,7 @@
 	return response.StatusCode, string(text)
 }
 
-func TestBlobsLeaveLeastRecentlyUsedFirst(t *testing.T) {
+func TestStoreEvictsLeastRecentlyUsed(t *testing.T) {
 	s, err := kvstore.Start(kvstore.Options{Blobs: 2})
 	require.NoError(t, err)
 	defer s.Close()
--- a/internal/standin/param.go
+++ b/internal/standin/param.go
@@ -6,8 +6,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Param is a path parameter unescaped: echo leaves it as sent when the path
-// holds an escaped slash.
+// Param returns an unescaped path parameter: echo leaves it escaped when the path
+// contains an escaped slash.
 func Param(c echo.Context, name string) string {
 	value, err := url.PathUnescape(c.Param(name))
 	if err != nil {
--- a/internal/standin/platform/handlers.go
+++ b/internal/standin/platform/handlers.go
@@ -16,27 +16,26 @@
 
 const (
 	maxBody = 64 << 20
-	// weightPiece is the size in bytes of one write of weights.
+	// weightPiece is the size in bytes of one write when weights are sent.
 	weightPiece = 64 << 10
 )
 
-// kind of a call: which rate it counts against, and whether its answer may get lost.
+// kind of a call: which rate limit applies, and whether its answer may get lost.
 type kind int
 
 const (
-	free kind = iota
+	unlimited kind = iota
 	read
 	write
 )
 
-// answer is what a handler wants to send; nothing is sent until the guard
-// has decided whether the answer is lost.
+// answer is the response of a handler; guard sends it unless it is to be lost.
 type answer struct {
 	status int
-	// json is sent when it is set, else body.
+	// json is sent if it is set, otherwise body.
 	json any
 	body []byte
-	// stream takes over the response.
+	// stream writes the response itself, if set.
 	stream func(c echo.Context) error
 }
 
@@ -46,8 +45,8 @@
 	return answer{status: http.StatusBadRequest, body: []byte(err.Error())}
 }
 
-// guard puts the faults and the rate limits around a handler: slowness, hang
-// and refusals come before the call is carried out, a lost answer after it.
+// guard applies the faults and the rate limits to a handler: delay, hang and
+// refusals before the call is carried out, a lost answer after it.
 func (p *Platform) guard(kind kind, handle handler) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		faults := p.Faults()
@@ -66,8 +65,8 @@
 		}
 		result := handle(c)
 		p.count(kind, c, result)
-		if kind == write && p.loses() {
-			return cut(c)
+		if kind == write && p.losesAnswer() {
+			return closeConnection(c)
 		}
 		return send(c, result)
 	}
@@ -118,8 +117,8 @@
 	p.counts.Bytes += uint64(max(c.Request().ContentLength, 0)) + uint64(len(result.body))
 }
 
-// loses says whether the answer of the write just made gets lost.
-func (p *Platform) loses() bool {
+// losesAnswer reports whether the answer of the current write is to be lost.
+func (p *Platform) losesAnswer() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	lost := p.faults.LoseNext > 0 || p.random.Float64() < p.faults.LostAnswers
@@ -132,8 +131,8 @@
 	return lost
 }
 
-// cut closes the connection without an answer.
-func cut(c echo.Context) error {
+// closeConnection closes the connection without a response.
+func closeConnection(c echo.Context) error {
 	conn, _, err := c.Response().Hijack()
 	if err != nil {
 		return err
@@ -241,7 +240,7 @@
 	}}
 }
 
-// sendWeights sends zeroes at the rate that all readers share.
+// sendWeights sends zero bytes at the rate that all readers share.
 func (p *Platform) sendWeights(c echo.Context) answer {
 	size, ok := p.weightSize(standin.Param(c, "digest"))
 	if !ok {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is a stand-in for the platform's services: transactional
-// table, object store, list of VMs and weight store, with rate limits and the
-// failures that the real ones show. It keeps everything in memory.
+// Package platform is a stand-in for the platform's services: transactional table,
+// object store, list of VMs and weight store, with rate limits and the failure
+// modes of the real services. It keeps everything in memory.
 package platform
 
 import (
@@ -24,41 +24,41 @@
 	DefaultWeightRate      = 200 << 20
 )
 
-// Options of the stand-in; zero values mean the defaults.
+// Options configure the stand-in; zero values mean the defaults.
 type Options struct {
-	// Listen is an "ip:port" address, a free loopback port when empty.
+	// Listen is an "ip:port" address; empty selects a unlimited loopback port.
 	Listen string
-	// WritesPerSecond and ReadsPerSecond that the table and the object store
-	// grant together; calls above are refused with status 429.
+	// WritesPerSecond and ReadsPerSecond are the rate limits of the table and the
+	// object store together; calls above them are refused with status 429.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
-	// WeightBytesPerSecond that the weight store sends to all readers together.
+	// WeightBytesPerSecond is the rate that all readers of weights share.
 	WeightBytesPerSecond int
-	// Weights known at the start: digest to size in bytes.
+	// Weights available at the start: digest to size in bytes.
 	Weights map[string]int64
-	// VMLag is the age at which a change of the list of VMs shows.
+	// VMLag is the age at which a change of the list of VMs becomes visible.
 	VMLag time.Duration
-	// Seed of the lost answers.
+	// Seed selects the answers lost by Faults.LostAnswers.
 	Seed uint64
 }
 
-// Faults are switched on /faults; the zero value means none.
+// Faults are set under /faults; the zero value means none.
 type Faults struct {
 	// Outage refuses every call before it is carried out (status 503).
 	Outage bool `json:"outage"`
-	// Hang lets every call wait until the caller gives up; nothing is carried out.
+	// Hang blocks every call until the caller gives up; nothing is carried out.
 	Hang bool `json:"hang"`
-	// DelayMS is added in front of every call.
+	// DelayMS delays every call by so many milliseconds.
 	DelayMS int `json:"delay_ms"`
-	// LostAnswers is the share of writes whose connection is cut after the write.
+	// LostAnswers is the share of writes whose connection is closed after the write.
 	LostAnswers float64 `json:"lost_answers"`
-	// LoseNext cuts the connection after each of the next so many writes.
+	// LoseNext is the number of next writes whose connection is closed after the write.
 	LoseNext int `json:"lose_next"`
 	// VMLagMS replaces Options.VMLag when it is above 0.
 	VMLagMS int `json:"vm_lag_ms"`
 }
 
-// Counts of the calls carried out and refused since the start.
+// Counts are the calls carried out and refused since the start.
 type Counts struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
@@ -86,7 +86,7 @@
 	random *rand.Rand
 }
 
-// Start serves a stand-in until Close.
+// Start runs a stand-in until Close.
 func Start(options Options) (*Platform, error) {
 	options = options.withDefaults()
 	p := &Platform{
@@ -127,13 +127,14 @@
 	return o
 }
 
-// burst is a quarter of a second's worth, so that a herd sees the limit.
+// burst is a quarter of a second's worth, small enough for many clients that start
+// at once to reach the rate limit.
 func burst(perSecond float64) int { return max(1, int(perSecond/4)) }
 
-// URL is the base URL for platform.NewClient.
+// URL returns the base URL, as platform.NewClient takes it.
 func (p *Platform) URL() string { return p.server.URL() }
 
-// Close stops the stand-in; its content is lost.
+// Close stops the stand-in and discards its content.
 func (p *Platform) Close() { p.server.Close() }
 
 // SetFaults replaces the faults in force.
@@ -150,27 +151,27 @@
 	return p.faults
 }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of calls since the start.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// SetVM changes an entry of the list of VMs, which shows after the lag.
+// SetVM adds or changes a VM of the list; the change becomes visible after the lag.
 func (p *Platform) SetVM(vm platform.VM) { p.vms.set(time.Now(), vm) }
 
-// SetWeights makes weights known to the weight store.
+// SetWeights adds weights of a size in bytes to the weight store.
 func (p *Platform) SetWeights(digest string, size int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sizes[digest] = size
 }
 
-// Down takes the platform off the network; its content stays. Up brings it back.
+// Down closes all connections and refuses new ones until Up; the content is kept.
 func (p *Platform) Down() { p.server.Down(context.Background()) }
 
-// Up brings the platform back after Down.
+// Up accepts connections again after Down.
 func (p *Platform) Up() error { return p.server.Up() }
 
 func (p *Platform) routes() http.Handler {
@@ -183,9 +184,9 @@
 	e.GET(platform.PathObjects+"/:key", p.guard(read, p.getObject))
 	e.PUT(platform.PathObjects+"/:key", p.guard(write, p.putObject))
 	e.DELETE(platform.PathObjects+"/:key", p.guard(write, p.deleteObject))
-	e.GET(platform.PathVMs, p.guard(free, p.listVMs))
-	e.HEAD(platform.PathWeights+"/:digest", p.guard(free, p.statWeights))
-	e.GET(platform.PathWeights+"/:digest", p.guard(free, p.sendWeights))
+	e.GET(platform.PathVMs, p.guard(unlimited, p.listVMs))
+	e.HEAD(platform.PathWeights+"/:digest", p.guard(unlimited, p.statWeights))
+	e.GET(platform.PathWeights+"/:digest", p.guard(unlimited, p.sendWeights))
 	e.GET("/faults", func(c echo.Context) error { return c.JSON(http.StatusOK, p.Faults()) })
 	e.POST("/faults", p.changeFaults)
 	e.POST("/faults/vm", p.changeVM)
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestTransactionsAreConditionalAndVersionsRise(t *testing.T) {
+func TestTransactionsAreConditionalAndVersionsIncrease(t *testing.T) {
 	ctx := context.Background()
 	_, client := start(t, standin.Options{})
 	first, err := client.Commit(ctx, put("a/1", "one", 0))
@@ -81,10 +81,8 @@
 	require.ErrorIs(t, err, platform.ErrNotFound)
 }
 
-// A caller's booking is claimed twice or refused although it was claimed, when
-// the client mistakes a lost answer for a write that was not made. The store
-// commits, then the connection breaks: only "unknown" is true, and the
-// transport must not send the commit again by itself.
+// Guards against reporting a commit as not made when its answer is lost after the
+// write, and against the HTTP transport repeating the commit.
 func TestLostAnswerIsUnknownAndWrittenOnce(t *testing.T) {
 	ctx := context.Background()
 	p, client := start(t, standin.Options{})
@@ -111,7 +109,7 @@
 	_, err = client.Commit(ctx, txn)
 	require.NoError(t, err)
 	_, err = client.Commit(ctx, txn)
-	require.ErrorIs(t, err, platform.ErrUnavailable, "above the rate")
+	require.ErrorIs(t, err, platform.ErrUnavailable, "above the rate limit")
 	p.Down()
 	_, err = client.Commit(ctx, txn)
 	require.Error(t, err)
@@ -154,7 +152,7 @@
 	assert.Equal(t, []platform.VM{{Name: "b", State: platform.VMLeaving}}, delta.VMs)
 }
 
-func TestFaultsBySwitchAreStrict(t *testing.T) {
+func TestFaultEndpointRejectsUnknownNames(t *testing.T) {
 	p, _ := start(t, standin.Options{})
 	post := func(path, body string) int {
 		response, err := httpPost(p.URL()+path, body)
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -9,8 +9,8 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// table is the transactional table: one lock makes every transaction
-// serializable, the commit number is the version of all rows it writes.
+// table is the transactional table. One lock makes transactions serializable; the
+// commit number is the version of all rows that a transaction writes.
 type table struct {
 	mu     sync.Mutex
 	commit uint64
@@ -113,7 +113,7 @@
 	return keys
 }
 
-// vmHistory bounds the changes that are kept for deltas.
+// vmHistory is the number of changes kept to answer with deltas.
 const vmHistory = 1024
 
 type vmChange struct {
@@ -122,14 +122,14 @@
 	vm       platform.VM
 }
 
-// vms is the list of VMs. A change shows only once it is older than the lag.
+// vms is the list of VMs. A change becomes visible once it is older than the lag.
 type vms struct {
 	mu       sync.Mutex
 	revision uint64
-	// base holds what the changes dropped from the history had made; baseAt is its revision.
-	base    map[string]platform.VM
-	baseAt  uint64
-	changes []vmChange
+	// base is the list as of revision baseRevision, the last change dropped from changes.
+	base         map[string]platform.VM
+	baseRevision uint64
+	changes      []vmChange
 }
 
 func newVMs() *vms { return &vms{base: map[string]platform.VM{}} }
@@ -141,7 +141,7 @@
 	v.changes = append(v.changes, vmChange{revision: v.revision, at: now, vm: vm})
 	if len(v.changes) > vmHistory {
 		v.base[v.changes[0].vm.Name] = v.changes[0].vm
-		v.baseAt = v.changes[0].revision
+		v.baseRevision = v.changes[0].revision
 		v.changes = v.changes[1:]
 	}
 }
@@ -156,23 +156,23 @@
 			break
 		}
 	}
-	shown := v.baseAt
+	visibleRevision := v.baseRevision
 	if len(visible) > 0 {
-		shown = visible[len(visible)-1].revision
+		visibleRevision = visible[len(visible)-1].revision
 	}
-	whole := after == 0 || after < v.baseAt || after > shown
+	full := after == 0 || after < v.baseRevision || after > visibleRevision
 	merged := map[string]platform.VM{}
-	if whole {
+	if full {
 		for name, vm := range v.base {
 			merged[name] = vm
 		}
 	}
 	for _, change := range visible {
-		if whole || change.revision > after {
+		if full || change.revision > after {
 			merged[change.vm.Name] = change.vm
 		}
 	}
-	return platform.VMList{Revision: shown, Whole: whole, VMs: sortedVMs(merged)}
+	return platform.VMList{Revision: visibleRevision, Whole: full, VMs: sortedVMs(merged)}
 }
 
 func sortedVMs(merged map[string]platform.VM) []platform.VM {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -1,7 +1,7 @@
-// Package standin holds what the stand-ins of the platform, the engines and
-// the services have in common: an HTTP server that can vanish and come back
-// on its address, and faults that are switched by HTTP. The stand-ins serve
-// tests and development only.
+// Package standin holds the code shared by the stand-ins of the platform, the
+// engines and the services: an HTTP server that can go down and come back up on
+// its address, and faults that are set over HTTP. The stand-ins are for tests and
+// development only.
 package standin
 
 import (
@@ -15,19 +15,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// Time that Up tries to get the address back, and the pause between tries.
+// listenTimeout bounds the attempts of Up to listen on the address again, and
+// listenRetryInterval is the pause between two of them.
 const (
-	listenPatience = 5 * time.Second
-	listenPause    = 20 * time.Millisecond
+	listenTimeout       = 5 * time.Second
+	listenRetryInterval = 20 * time.Millisecond
 )
 
-// ErrClosed means that the server was closed for good.
+// ErrClosed means that the server was closed and cannot be brought up again.
 var ErrClosed = errors.New("stand-in closed")
 
 type connKey struct{}
 
-// Server serves one handler on one address until Close. Down and Up take it
-// off the network and bring it back, as a crash and a restart do.
+// Server serves one handler on one address until Close. Down and Up stop and
+// resume listening, as a crash and a restart of the process would.
 type Server struct {
 	http    *http.Server
 	address string
@@ -38,7 +39,7 @@
 	closed   bool
 }
 
-// Start listens on an "ip:port" address, where port 0 takes a free one.
+// Start listens on an "ip:port" address; port 0 selects a free port.
 func Start(listen string, handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return s, nil
 }
 
-// URL is the base URL, without a slash at its end.
+// URL returns the base URL, without a trailing slash.
 func (s *Server) URL() string { return "http://" + s.address }
 
 func (s *Server) serve(listener net.Listener) {
@@ -76,9 +77,9 @@
 	}
 }
 
-// Down refuses new connections and cuts all open ones, but for the connection
-// that the request context ctx belongs to, so that the call that asked for it
-// gets its answer.
+// Down refuses new connections and closes all open ones, except the connection
+// that the request context ctx belongs to, so that the request that triggered it
+// still gets its response.
 func (s *Server) Down(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,15 +95,16 @@
 	}
 }
 
-// Up listens again on the same address. It does nothing when the server is up.
+// Up listens again on the same address, retrying for a few seconds while the
+// address is in use. It does nothing when the server is already listening.
 func (s *Server) Up() error {
-	deadline := time.Now().Add(listenPatience)
+	deadline := time.Now().Add(listenTimeout)
 	for {
 		err := s.tryUp()
 		if err == nil || errors.Is(err, ErrClosed) || time.Now().After(deadline) {
 			return err
 		}
-		time.Sleep(listenPause)
+		time.Sleep(listenRetryInterval)
 	}
 }
 
@@ -123,7 +125,7 @@
 	return nil
 }
 
-// Close stops the server for good and cuts all connections.
+// Close stops the server permanently and closes all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a stand-in for a plain service beside the model engines,
-// e.g. one that books machines. It counts what ran, so that a test can tell a
-// call that ran twice from one that was only sent twice.
+// Package service is a stand-in for an HTTP service that is not a model engine, for
+// example one that books machines. It counts executions, so that a test can
+// distinguish a call that ran twice from one that was only sent twice.
 package service
 
 import (
@@ -18,39 +18,39 @@
 	"github.com/jayproxy/jayproxy/internal/standin"
 )
 
-// IdempotencyHeader names the caller's key of a call that must not run twice.
+// IdempotencyHeader holds the caller's key of a call that must not run twice.
 const IdempotencyHeader = "Idempotency-Key"
 
 const maxBody = 64 << 20
 
-// Options of the stand-in; zero values mean the defaults.
+// Options configure the stand-in; zero values mean the defaults.
 type Options struct {
-	// Listen is an "ip:port" address, a free loopback port when empty.
+	// Listen is an "ip:port" address; empty selects a free loopback port.
 	Listen string
-	// Name is in every answer.
+	// Name is returned in every answer.
 	Name string
-	// Work is the time that a call takes.
+	// Work is the duration of a call.
 	Work time.Duration
-	// Concurrency bounds the calls that run at once, 64 when 0.
+	// Concurrency bounds the calls that run at once; 0 means 64.
 	Concurrency int
 }
 
-// Faults are switched on /faults; the zero value means none.
+// Faults are set under /faults; the zero value means none.
 type Faults struct {
-	// DelayMS is added to the work of every call.
+	// DelayMS lengthens every call by so many milliseconds.
 	DelayMS int `json:"delay_ms"`
-	// FailBefore answers 503 and runs nothing.
+	// FailBefore answers with status 503 and runs nothing.
 	FailBefore bool `json:"fail_before"`
-	// FailAfter runs the call and answers 500.
+	// FailAfter runs the call and answers with status 500.
 	FailAfter bool `json:"fail_after"`
 	// CutBefore closes the connection and runs nothing; CutAfter runs the call first.
 	CutBefore bool `json:"cut_before"`
 	CutAfter  bool `json:"cut_after"`
-	// CutNext closes the connection after the run of each of the next so many calls.
+	// CutNext is the number of next calls whose connection is closed after the run.
 	CutNext int `json:"cut_next"`
 }
 
-// Answer is the body of an answer in JSON.
+// Answer is the JSON body of a response.
 type Answer struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
@@ -74,7 +74,7 @@
 	running int
 }
 
-// Start serves a stand-in until Close.
+// Start runs a stand-in until Close.
 func Start(options Options) (*Service, error) {
 	if options.Listen == "" {
 		options.Listen = "127.0.0.1:0"
@@ -95,16 +95,16 @@
 	return s, nil
 }
 
-// URL is the base URL.
+// URL returns the base URL.
 func (s *Service) URL() string { return s.server.URL() }
 
 // Close stops the stand-in.
 func (s *Service) Close() { s.server.Close() }
 
-// Down takes the service off the network; Up brings it back.
+// Down closes all connections and refuses new ones until Up.
 func (s *Service) Down() { s.server.Down(context.Background()) }
 
-// Up brings the service back after Down.
+// Up accepts connections again after Down.
 func (s *Service) Up() error { return s.server.Up() }
 
 // SetFaults replaces the faults in force.
@@ -114,8 +114,8 @@
 	s.faults = faults
 }
 
-// Runs tells how often each key ran. A call without an idempotency key counts
-// under the member "id" of its body, or under method and path.
+// Runs returns how often each key ran. A call without an idempotency key counts
+// under the field "id" of its body, or else under its method and path.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,16 +164,16 @@
 	return c.JSON(http.StatusOK, Load{Running: s.running, Concurrency: s.options.Concurrency})
 }
 
-// serve runs one call. The order of its steps is the order in which a real
-// service fails: before the run, during it, and after it has taken effect.
+// serve handles one call. Faults apply in the order in which a real service can
+// fail: before the run, during it, and after it has taken effect.
 func (s *Service) serve(c echo.Context) error {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBody))
 	if err != nil {
-		return echo.NewHTTPError(http.StatusBadRequest, "body")
+		return echo.NewHTTPError(http.StatusBadRequest, "cannot read request body")
 	}
 	faults := s.current()
 	if faults.CutBefore {
-		return cut(c)
+		return closeConnection(c)
 	}
 	if faults.FailBefore {
 		return c.NoContent(http.StatusServiceUnavailable)
@@ -184,8 +184,8 @@
 	defer s.slots.Release(1)
 	answer := s.run(c, body)
 	s.work(c.Request().Context(), faults)
-	if faults.CutAfter || s.cutsNext() {
-		return cut(c)
+	if faults.CutAfter || s.consumeCutNext() {
+		return closeConnection(c)
 	}
 	if faults.FailAfter {
 		return c.JSON(http.StatusInternalServerError, answer)
@@ -193,7 +193,7 @@
 	return c.JSON(http.StatusOK, answer)
 }
 
-// run takes effect: from here on the call has run, whatever becomes of its answer.
+// run counts the call as executed, whether or not its answer reaches the caller.
 func (s *Service) run(c echo.Context, body []byte) Answer {
 	request := c.Request()
 	key := request.Header.Get(IdempotencyHeader)
@@ -218,7 +218,7 @@
 	}
 }
 
-// bodyID is the member "id" of a JSON body.
+// bodyID returns the field "id" of a JSON body, or an empty string.
 func bodyID(body []byte) string {
 	var named struct {
 		ID string `json:"id"`
@@ -247,7 +247,7 @@
 	}
 }
 
-func (s *Service) cutsNext() bool {
+func (s *Service) consumeCutNext() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.CutNext <= 0 {
@@ -257,7 +257,7 @@
 	return true
 }
 
-func cut(c echo.Context) error {
+func closeConnection(c echo.Context) error {
 	conn, _, err := c.Response().Hijack()
 	if err != nil {
 		return errors.Join(http.ErrAbortHandler, err)
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -19,7 +19,8 @@
 	if key != "" {
 		request.Header.Set(service.IdempotencyHeader, key)
 	}
-	// A transport of its own: the shared one sends a call with this header again.
+	// No connection reuse: on a reused connection net/http retries a request with this
+	// header by itself.
 	transport := &http.Transport{DisableKeepAlives: true}
 	response, err := transport.RoundTrip(request)
 	if err != nil {
@@ -49,7 +50,7 @@
 	assert.Equal(t, map[string]int{"k": 2, "b7": 1, "POST /bookings": 1}, s.Runs())
 }
 
-func TestFailuresTellBeforeFromAfterTheRun(t *testing.T) {
+func TestFaultsApplyBeforeOrAfterTheRun(t *testing.T) {
 	s, err := service.Start(service.Options{})
 	require.NoError(t, err)
 	defer s.Close()
