--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestRunServesEveryCallAndStaysBelowTheBound(t *testing.T) {
+func TestRunServesEveryCallWithHitRateBelowBound(t *testing.T) {
 	result, err := experiment.Run(t.Context(), spec(routing.PolicyAskInDoubt))
 	require.NoError(t, err)
 	assert.Positive(t, result.Calls)
@@ -31,7 +31,7 @@
 	assert.Positive(t, result.Messages)
 }
 
-func TestReportComparesWithTheBaselinesOfTheSameCell(t *testing.T) {
+func TestReportComparesWithBaselinesOfSameConfiguration(t *testing.T) {
 	result := func(policy string, entries int, hitRate, p99 float64) experiment.Result {
 		s := spec(policy)
 		s.MixName, s.Entries = s.Mix.Name, entries
@@ -49,6 +49,6 @@
 	require.NoError(t, report.WriteHTML(&html))
 	require.NoError(t, report.WriteTable(&table))
 	assert.Contains(t, html.String(), "<svg")
-	assert.NotContains(t, html.String(), "src=", "the page needs nothing else")
+	assert.NotContains(t, html.String(), "src=", "the page must not load other resources")
 	assert.Contains(t, table.String(), routing.PolicyAskInDoubt)
 }
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -8,19 +8,19 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-// Fault is what goes wrong in a run.
+// Fault is the fault injected into a run.
 type Fault string
 
 // The faults.
 const (
 	FaultNone Fault = ""
-	// FaultShift replaces the hottest templates of every workspace by new ones.
+	// FaultShift replaces the most popular templates of every workspace by new ones.
 	FaultShift Fault = "hot prefix shift"
-	// FaultEvents loses half of the engines' cache events, from the start.
+	// FaultEvents drops half of the engines' cache events, from the start.
 	FaultEvents Fault = "half of the cache events lost"
-	// FaultReports makes load reports 5 s late, from the start.
+	// FaultReports delays load reports by 5 s, from the start.
 	FaultReports Fault = "load reports 5 s late"
-	// FaultCrash crashes a third of the engines to a cold start.
+	// FaultCrash crashes a third of the engines, which restart with empty caches.
 	FaultCrash Fault = "a third of the engines crash"
 	// FaultRestart restarts all entries at once.
 	FaultRestart Fault = "all entries restart"
@@ -28,27 +28,28 @@
 	FaultSlow Fault = "one slow engine"
 )
 
-// Faults lists all of them.
+// Faults returns all faults except FaultNone.
 func Faults() []Fault {
 	return []Fault{FaultShift, FaultEvents, FaultReports, FaultCrash, FaultRestart, FaultSlow}
 }
 
 const (
-	eventsLost    = 0.5
-	reportsLateMS = 5000
+	eventLoss     = 0.5
+	reportDelayMS = 5000
 	slowFactor    = 3
-	crashDown     = 500 * time.Millisecond
-	crashedPart   = 3
+	crashDowntime = 500 * time.Millisecond
+	crashEvery    = 3
 )
 
-// strike injects the fault when it is due. Faults of signals last from the start.
-func (f Fault) strike(ctx context.Context, c *cluster.Cluster, at time.Duration) error {
+// inject injects the fault at the given time after the start of the load, or at once
+// for faults of cache events and load reports. FaultShift is part of the traffic.
+func (f Fault) inject(ctx context.Context, c *cluster.Cluster, at time.Duration) error {
 	switch f {
 	case FaultEvents:
-		setFaults(c, sim.Faults{EventLoss: eventsLost})
+		setFaults(c, sim.Faults{EventLoss: eventLoss})
 		return nil
 	case FaultReports:
-		setFaults(c, sim.Faults{StateLagMS: reportsLateMS})
+		setFaults(c, sim.Faults{StateLagMS: reportDelayMS})
 		return nil
 	case FaultNone, FaultShift:
 		return nil
@@ -60,13 +61,13 @@
 	}
 	switch f {
 	case FaultCrash:
-		for i := 0; i < len(c.Engines); i += crashedPart {
-			c.Engines[i].Crash(crashDown)
+		for i := 0; i < len(c.Engines); i += crashEvery {
+			c.Engines[i].Crash(crashDowntime)
 		}
 	case FaultSlow:
 		c.Engines[0].SetFaults(sim.Faults{Slow: slowFactor})
 	case FaultRestart:
-		// The load stops with ctx, the new entries do not.
+		// The new entries must outlive ctx, which ends with the load.
 		return c.RestartEntries(context.WithoutCancel(ctx))
 	}
 	return nil
--- a/internal/experiment/html.go
+++ b/internal/experiment/html.go
@@ -12,7 +12,7 @@
 
 func vgDraw(canvas vg.CanvasSizer) vgdraw.Canvas { return vgdraw.New(canvas) }
 
-// page is what the report's template sees.
+// page is the data of the report's template.
 type page struct {
 	Report
 	Rows    []Compared
@@ -31,8 +31,8 @@
 svg{max-width:100%;height:auto}
 </style></head><body>
 <h1>jay-load experiment</h1>
-<p>Seed {{.Seed}}. Least load can carry{{range $mix, $rate := .LeastLoadRate}} {{$mix}}: {{printf "%.1f" $rate}} calls/s;{{end}}
-times to first token count from when a call was due. LL is least load, full is full knowledge (ask-all).</p>
+<p>Seed {{.Seed}}. Rate that the least-load policy can serve:{{range $mix, $rate := .LeastLoadRate}} {{$mix}}: {{printf "%.1f" $rate}} calls/s;{{end}}
+times to first token are counted from when a call was due. LL is the least-load policy, full the ask-all policy.</p>
 {{range .Figures}}<figure>{{.SVG}}</figure>{{end}}
 <table><tr><th>mix</th><th>load</th><th>entries</th><th>fault</th><th>policy</th><th>calls</th><th>not served</th>
 <th>hit rate</th><th>bound</th><th>/LL</th><th>/full</th><th>wasted</th><th>/LL</th><th>p50 ms</th><th>p99 ms</th><th>/LL</th><th>/full</th>
@@ -46,10 +46,10 @@
 {{end}}</table></body></html>
 `))
 
-// NotServed is the calls without a whole answer.
+// NotServed returns the number of calls without a complete answer.
 func (c Compared) NotServed() int { return c.Calls - c.Served }
 
-// WriteHTML writes a page that needs nothing else.
+// WriteHTML writes the report as one self-contained HTML page.
 func (r Report) WriteHTML(w io.Writer) error {
 	figures, err := r.figures()
 	if err != nil {
--- a/internal/experiment/ladder.go
+++ b/internal/experiment/ladder.go
@@ -6,27 +6,29 @@
 	"github.com/jayproxy/jayproxy/internal/load"
 )
 
-// inTimeShare of first tokens must come within the objective for a load to
-// count as carried.
+// inTimeShare is the share of first tokens that must arrive within load.Objective
+// for a load to count as sustained.
 const inTimeShare = 0.95
 
-// SustainedLoad is the highest offered load at which a policy kept the objective.
+// SustainedLoad is the highest offered load at which a policy met the objective.
 type SustainedLoad struct {
 	Mix    string `json:"mix"`
 	Policy string `json:"policy"`
-	// Share of what least load can carry by its prefill; 0: not even the lowest.
+	// Share is the load relative to what the least-load policy can serve; 0 means that
+	// the policy did not meet the objective at any load.
 	Share float64 `json:"share"`
-	Rate  float64 `json:"rate"`
+	// Rate is the load in calls per second.
+	Rate float64 `json:"rate"`
 }
 
-// Ladder runs each policy at each load and returns the highest that it carried,
-// and the results themselves. Plan.Shares are the steps.
+// Ladder runs each policy at each load in Plan.Shares. It returns the report and the
+// highest load that each policy sustained.
 func (p Plan) Ladder(ctx context.Context) (Report, []SustainedLoad, error) {
 	report, err := p.Run(ctx)
 	if err != nil {
 		return report, nil, err
 	}
-	var carried []SustainedLoad
+	var sustained []SustainedLoad
 	for _, mix := range p.Mixes {
 		for _, policy := range p.Policies {
 			best := SustainedLoad{Mix: mix, Policy: policy}
@@ -35,13 +37,14 @@
 					best.Share, best.Rate = result.Share, result.Rate
 				}
 			}
-			carried = append(carried, best)
+			sustained = append(sustained, best)
 		}
 	}
-	return report, carried, nil
+	return report, sustained, nil
 }
 
-// GreedyComparison compares the p99 of the others with and without a greedy workspace.
+// GreedyComparison compares the p99 time to first token of the other workspaces with
+// and without a greedy workspace.
 type GreedyComparison struct {
 	Mix     string  `json:"mix"`
 	Policy  string  `json:"policy"`
@@ -50,9 +53,10 @@
 	With    float64 `json:"others_p99_with_ms"`
 }
 
-// RunGreedy runs each policy with and without a workspace at factor times its share.
+// RunGreedy runs each policy with and without one workspace that sends factor times
+// its share of the calls.
 func (p Plan) RunGreedy(ctx context.Context, factor float64) ([]GreedyComparison, []Result, error) {
-	var greeds []GreedyComparison
+	var comparisons []GreedyComparison
 	var all []Result
 	for _, name := range p.Mixes {
 		mix := load.Mixes()[name]
@@ -70,11 +74,11 @@
 				return nil, nil, err
 			}
 			all = append(all, results...)
-			greeds = append(greeds, GreedyComparison{
+			comparisons = append(comparisons, GreedyComparison{
 				Mix: name, Policy: policy, Factor: factor,
 				Without: results[0].Others.FirstToken.P99, With: results[1].Others.FirstToken.P99,
 			})
 		}
 	}
-	return greeds, all, nil
+	return comparisons, all, nil
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -55,14 +55,14 @@
 	if _, err := canvas.WriteTo(&svg); err != nil {
 		return figure{}, eris.Wrapf(err, "write plot %s", title)
 	}
-	// Only the inside of the document may stand within a page.
+	// Drops the XML declaration, which must not occur inside an HTML page.
 	text := svg.Bytes()
 	text = text[max(0, bytes.Index(text, []byte("<svg"))):]
-	return figure{Title: title, SVG: template.HTML(text)}, nil //nolint:gosec // made here from numbers and fixed names
+	return figure{Title: title, SVG: template.HTML(text)}, nil //nolint:gosec // generated from numbers and fixed names
 }
 
-// overLoad draws a measure over the load, a line a policy, for one mix and
-// number of entries without faults.
+// overLoad plots a value over the load, one line per policy, for one mix and number
+// of entries, without faults.
 func (r Report) overLoad(mix string, entries int, title, y string, value func(Result) float64) (figure, error) {
 	var lines []line
 	for _, result := range r.Results {
@@ -76,10 +76,10 @@
 		}
 		lines[at].points = append(lines[at].points, plotter.XY{X: result.Share, Y: value(result)})
 	}
-	return draw(title, "load, as a share of what least load can carry", y, lines)
+	return draw(title, "load, relative to what the least-load policy can serve", y, lines)
 }
 
-// overTime draws the hit rate of each second of the runs with a fault.
+// overTime plots the hit rate of each second of the runs with a fault.
 func (r Report) overTime(fault Fault, mix string) (figure, error) {
 	var lines []line
 	for _, result := range r.Results {
--- a/internal/experiment/ready.go
+++ b/internal/experiment/ready.go
@@ -15,7 +15,7 @@
 	readyPause   = 50 * time.Millisecond
 )
 
-// awaitReady sends calls of its own until every entry serves.
+// awaitReady sends probe calls until every entry returns a complete answer.
 func awaitReady(ctx context.Context, c *cluster.Cluster) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -1,6 +1,6 @@
-// Package experiment runs seeded loads against in-process clusters, several
-// policies in one go, with faults injected, and reports what came back. The
-// shells and sockets are the real ones, the engines are stand-ins.
+// Package experiment compares routing policies: it runs seeded loads against
+// in-process clusters, with faults injected, and reports the results. Entries, agents
+// and sockets are real, the engines are stand-ins.
 package experiment
 
 import (
@@ -16,53 +16,55 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-// Spec is one run: a mix at a rate, through some entries by one policy.
+// Spec describes one run: a mix at a rate, through some entries with one policy.
 type Spec struct {
 	Mix     load.Mix `json:"-"`
 	MixName string   `json:"mix"`
 	Policy  string   `json:"policy"`
 	Entries int      `json:"entries"`
-	// Share of the load that least load can carry, and the calls a second it makes.
+	// Share is the load relative to what the least-load policy can serve, Rate the same
+	// in calls per second.
 	Share float64 `json:"share"`
 	Rate  float64 `json:"rate"`
 	Fault Fault   `json:"fault,omitempty"`
 	Seed  uint64  `json:"seed"`
-	// WarmUp fills the caches and is not counted; Measured follows.
+	// WarmUp is the time to fill the caches, not counted; Measured follows it.
 	WarmUp   time.Duration `json:"-"`
 	Measured time.Duration `json:"-"`
-	// Greedy multiplies the calls of the workspace GreedyWorkspace from the end of the warm-up; 0: none.
+	// Greedy multiplies the calls of the workspace GreedyWorkspace from the end of the
+	// warm-up; 0 means no greedy workspace.
 	Greedy float64 `json:"greedy,omitempty"`
-	// Prefill rate of each engine, tokens a second.
+	// Prefill rate of each engine, in tokens per second.
 	Prefill float64 `json:"prefill_tokens_per_second"`
 }
 
-// Result is what a run showed.
+// Result holds the figures of one run.
 type Result struct {
 	Spec
 	load.Summary
 	// Before and After are the hit rates of the 5 s before and after the fault.
 	Before float64 `json:"hit_before,omitempty"`
 	After  float64 `json:"hit_after,omitempty"`
-	// Messages and bytes a call on the entries' links, both ways.
+	// Messages and Bytes per call on the entries' links, both directions.
 	Messages float64 `json:"messages_per_call"`
 	Bytes    float64 `json:"bytes_per_call"`
-	// Others sums up the calls of all workspaces but the greedy one.
+	// Others summarizes the calls of all workspaces except GreedyWorkspace.
 	Others load.Summary `json:"others"`
 }
 
 const (
-	// cacheShare is the part of the working set that all caches hold together.
+	// cacheShare is the share of the working set that all caches can hold together.
 	cacheShare = 0.75
-	// blockTokens in a cached block of the stand-ins.
+	// blockTokens is the number of tokens in a cached block of the stand-ins.
 	blockTokens = 16
-	// faultWindow is compared before and after a fault.
+	// faultWindow is the length of the windows compared before and after a fault.
 	faultWindow = 5 * time.Second
-	// GreedyWorkspace is the rank of the workspace that turns greedy.
+	// GreedyWorkspace is the index of the greedy workspace.
 	GreedyWorkspace = 2
 	decodeStep      = 8 * time.Millisecond
 )
 
-// faultAt is when a fault strikes, after the start of the load.
+// faultAt returns when a fault is injected, from the start of the load.
 func (s Spec) faultAt() time.Duration { return s.WarmUp + s.Measured/2 }
 
 func (s Spec) traffic() load.Traffic {
@@ -76,7 +78,7 @@
 	return traffic
 }
 
-// String names the run.
+// String describes the run for progress output and errors.
 func (s Spec) String() string {
 	name := fmt.Sprintf("%s load %.2f, %d entries, %s", s.Mix.Name, s.Share, s.Entries, s.Policy)
 	if s.Fault != "" {
@@ -88,7 +90,7 @@
 	return name
 }
 
-// start sizes the caches by the working set of the calls.
+// start starts the cluster, with caches sized by the working set of the calls.
 func (s Spec) start(ctx context.Context, workingSetTokens int) (*cluster.Cluster, error) {
 	blocks := int(cacheShare * float64(workingSetTokens) / blockTokens / float64(s.Mix.Servers))
 	workspaces := make([]string, s.Mix.Workspaces)
@@ -105,10 +107,10 @@
 	})
 }
 
-// deadline to the first token, after which a call is given up.
+// deadline is the entries' deadline for the first token of a call.
 const deadline = 30 * time.Second
 
-// Run starts a cluster, sends the load, strikes the fault and sums up.
+// Run starts a cluster, sends the load, injects the fault and returns the figures.
 func Run(ctx context.Context, spec Spec) (Result, error) {
 	calls := load.Generate(spec.traffic())
 	bound := load.UnlimitedCache(calls)
@@ -120,26 +122,26 @@
 	if err := awaitReady(ctx, c); err != nil {
 		return Result{}, err
 	}
-	struck := make(chan error, 1)
+	injected := make(chan error, 1)
 	faultCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go func() { struck <- spec.Fault.strike(faultCtx, c, spec.faultAt()) }()
+	go func() { injected <- spec.Fault.inject(faultCtx, c, spec.faultAt()) }()
 	before := countLinks(c)
 	samples := load.Send(ctx, calls, load.Target{URLs: urlsOf(c), Key: cluster.Key, Model: cluster.Model, Seed: spec.Seed})
 	after := countLinks(c)
 	cancel()
-	if err := <-struck; err != nil {
-		return Result{}, eris.Wrapf(err, "fault of %s", spec)
+	if err := <-injected; err != nil {
+		return Result{}, eris.Wrapf(err, "inject fault into %s", spec)
 	}
-	result := spec.sumUp(samples, bound)
-	if spec.Fault != FaultRestart { // The counts of the old entries are gone.
+	result := spec.summarize(samples, bound)
+	if spec.Fault != FaultRestart { // The counts of the replaced entries are lost.
 		result.Messages = float64(after.frames-before.frames) / float64(max(1, len(calls)))
 		result.Bytes = float64(after.bytes-before.bytes) / float64(max(1, len(calls)))
 	}
 	return result, ctx.Err()
 }
 
-func (s Spec) sumUp(samples []load.Sample, bound load.Bound) Result {
+func (s Spec) summarize(samples []load.Sample, bound load.Bound) Result {
 	measured := load.Window{From: s.WarmUp, To: s.WarmUp + s.Measured}
 	at := s.faultAt()
 	result := Result{Spec: s, Summary: load.Summarize(samples, bound, measured, nil)}
@@ -164,8 +166,8 @@
 
 type links struct{ frames, bytes uint64 }
 
-// countLinks sums up the entries' ends of their links; every message between
-// an entry and an agent or another entry passes one.
+// countLinks adds up the traffic of the entries' links, which carry all messages
+// between entries and agents and between entries.
 func countLinks(c *cluster.Cluster) links {
 	var sum links
 	for _, e := range c.Entries() {
--- a/internal/experiment/suite.go
+++ b/internal/experiment/suite.go
@@ -13,7 +13,7 @@
 	"github.com/jayproxy/jayproxy/internal/routing"
 )
 
-// Plan says what an experiment runs.
+// Plan describes the runs of an experiment.
 type Plan struct {
 	Mixes    []string
 	Policies []string
@@ -24,16 +24,17 @@
 	WarmUp   time.Duration
 	Measured time.Duration
 	Prefill  float64
-	// Rate is what least load can carry, in calls a second, when an earlier run
-	// with the same mix, seed and engines measured it; 0: measure it.
+	// Rate is the rate that the least-load policy can serve, in calls per second, as
+	// found by an earlier run with the same mix, seed and engines; 0 means find it.
 	Rate float64
-	// Parallel runs go at once, each with its own cluster.
+	// Parallel is the number of runs at once, each with its own cluster.
 	Parallel int
-	// Progress gets a line for each run.
+	// Progress, if not nil, receives a line for each run.
 	Progress io.Writer
 }
 
-// DefaultPlan compares all policies at three loads through 1, 3 and 12 entries.
+// DefaultPlan returns a plan that compares all policies at three loads through 1, 3
+// and 12 entries.
 func DefaultPlan() Plan {
 	return Plan{
 		Mixes: []string{"association", "darovnica"}, Policies: routing.Policies(),
@@ -42,16 +43,16 @@
 	}
 }
 
-// Report is all that an experiment showed.
+// Report holds the results of an experiment.
 type Report struct {
 	Seed uint64 `json:"seed"`
-	// LeastLoadRate is the calls a second that least load can carry, by mix.
+	// LeastLoadRate is the calls per second that the least-load policy can serve, by mix.
 	LeastLoadRate map[string]float64 `json:"least_load_rate"`
 	Results       []Result           `json:"results"`
 	Overhead      *Overhead          `json:"overhead,omitempty"`
 }
 
-// Run runs the plan. An experiment that is cut short returns what it has.
+// Run runs the plan. On an error it returns the results so far as well.
 func (p Plan) Run(ctx context.Context) (Report, error) {
 	report := Report{Seed: p.Seed, LeastLoadRate: map[string]float64{}}
 	for _, name := range p.Mixes {
@@ -64,7 +65,7 @@
 			return report, err
 		}
 		report.LeastLoadRate[name] = rate
-		p.say("%s: least load can carry %.1f calls/s", name, rate)
+		p.logProgress("%s: the least-load policy can serve %.1f calls/s", name, rate)
 		results, err := p.runAll(ctx, p.specs(mix, rate))
 		report.Results = append(report.Results, results...)
 		if err != nil {
@@ -74,8 +75,8 @@
 	return report, nil
 }
 
-// leastLoadRate measures the hit rate of least load at half of a first guess
-// and works out at which rate its missed tokens keep all engines busy.
+// leastLoadRate determines the hit rate of the least-load policy at an estimated
+// rate, and returns the rate at which its cache misses keep all engines busy.
 func (p Plan) leastLoadRate(ctx context.Context, mix load.Mix) (float64, error) {
 	if p.Rate > 0 {
 		return p.Rate, nil
@@ -84,9 +85,9 @@
 	spec.Policy, spec.Entries = routing.PolicyLeastLoad, 3
 	tokens := meanTokens(mix, p.Seed)
 	capacity := float64(mix.Servers) * p.Prefill
-	const guessedHitRate, guessedShare = 0.5, 0.7
-	spec.Rate = guessedShare * capacity / (tokens * (1 - guessedHitRate))
-	spec.Share = guessedShare
+	const estimatedHitRate, estimatedShare = 0.5, 0.7
+	spec.Rate = estimatedShare * capacity / (tokens * (1 - estimatedHitRate))
+	spec.Share = estimatedShare
 	result, err := Run(ctx, spec)
 	if err != nil {
 		return 0, err
@@ -107,7 +108,7 @@
 	return Spec{Mix: mix, MixName: mix.Name, Seed: p.Seed, WarmUp: p.WarmUp, Measured: p.Measured, Prefill: p.Prefill}
 }
 
-// specs lists the runs; those that are compared with each other stand together.
+// specs lists the runs; runs that are compared with each other are adjacent.
 func (p Plan) specs(mix load.Mix, rate float64) []Spec {
 	var all []Spec
 	faults := p.Faults
@@ -145,7 +146,7 @@
 			defer done.Unlock()
 			results[i] = result
 			finished++
-			p.say("%d/%d %s: hit rate %.3f, p99 %.0f ms, in time %.3f, served %d of %d", finished, len(specs),
+			p.logProgress("%d/%d %s: hit rate %.3f, p99 %.0f ms, in time %.3f, served %d of %d", finished, len(specs),
 				spec, result.HitRate, result.FirstToken.P99, result.InTime, result.Served, result.Calls)
 			return nil
 		})
@@ -154,7 +155,7 @@
 	return results, err
 }
 
-func (p Plan) say(format string, args ...any) {
+func (p Plan) logProgress(format string, args ...any) {
 	if p.Progress != nil {
 		_, _ = fmt.Fprintf(p.Progress, time.Now().Format("15:04:05 ")+format+"\n", args...)
 	}
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -8,7 +8,7 @@
 	"github.com/jayproxy/jayproxy/internal/routing"
 )
 
-// key of the runs that are compared with each other.
+// key identifies the runs that are compared with each other.
 type key struct {
 	mix     string
 	share   float64
@@ -21,19 +21,20 @@
 	return key{r.MixName, r.Share, r.Entries, r.Fault, r.Greedy}
 }
 
-// Compared is a result beside the baselines of the same cell.
+// Compared is a result with its ratios to the baseline policies, least-load and
+// ask-all ("full"), in the same configuration.
 type Compared struct {
 	Result
-	// Hit rate over that of least load, and over that of full knowledge.
+	// Hit rate divided by that of least-load and of ask-all.
 	HitOverLeastLoad, HitOverFull float64
-	// The same of the p99 to first token.
+	// p99 time to first token divided by that of least-load and of ask-all.
 	P99OverLeastLoad, P99OverFull float64
-	// Wasted recomputation over that of least load.
+	// Wasted divided by that of least-load.
 	WastedOverLeastLoad float64
 }
 
-// Compare puts every result beside its cell's baselines. Ratios to a baseline
-// that did not run are 0.
+// Compare returns every result with its ratios to the baselines in the same
+// configuration. Ratios to a baseline that did not run are 0.
 func (r Report) Compare() []Compared {
 	least, full := map[key]Result{}, map[key]Result{}
 	for _, result := range r.Results {
@@ -66,8 +67,8 @@
 	return a / b
 }
 
-// WriteTable writes the results as text, ratios to least load (LL) and full
-// knowledge (full) beside them.
+// WriteTable writes the results as a text table, with the ratios to the least-load
+// (LL) and ask-all (full) policies.
 func (r Report) WriteTable(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "mix\tload\tentries\tfault\tpolicy\tcalls\tnot served\thit\tbound\t/LL\t/full\twasted\t/LL\tp50 ms\tp99 ms\t/LL\t/full\tin time\tmsg\tbytes\tbefore\tafter\t")
--- a/internal/load/body.go
+++ b/internal/load/body.go
@@ -30,7 +30,7 @@
 	return "user"
 }
 
-// Body is the JSON of a call for /v1/chat/completions.
+// Body returns the JSON body of a call to /v1/chat/completions.
 func Body(call *Call, model string) ([]byte, error) {
 	b := body{Model: model, MaxTokens: call.Output, Stream: true, Options: options{IncludeUsage: true}}
 	for i, part := range call.Parts {
@@ -40,8 +40,8 @@
 	return text, eris.Wrap(err, "encode request body")
 }
 
-// Rendered is the canonical prompt of a call, in the parts that prefix.Render
-// makes of its body.
+// Rendered returns the canonical prompt of a call, in the same parts as
+// prefix.Render returns for its body.
 func Rendered(call *Call) []string {
 	parts := make([]string, len(call.Parts))
 	for i, part := range call.Parts {
--- a/internal/load/bound.go
+++ b/internal/load/bound.go
@@ -6,23 +6,25 @@
 	"github.com/zeebo/xxh3"
 )
 
-// blockBytes is the text of one cached block of the stand-in engines.
+// blockBytes is the size in bytes of the text of one cached block in the stand-in
+// engines.
 const blockBytes = 64
 
-// Bound is what an unlimited cache would do with a trace.
+// Bound is the result of an unlimited cache on a list of calls.
 type Bound struct {
 	PromptTokens int
 	HitTokens    int
-	// Hits of each call, by its index.
+	// Hits are the tokens hit by each call, by Call.Index.
 	Hits []int
-	// SharedTokens is the text that more than one call has: the working set.
+	// SharedTokens is the size of the blocks that more than one call contains: the
+	// working set.
 	SharedTokens int
 }
 
-// HitRate is the token-weighted hit rate that no router can exceed.
+// HitRate returns the token-weighted hit rate, an upper bound for any router.
 func (b Bound) HitRate() float64 { return share(float64(b.HitTokens), float64(b.PromptTokens)) }
 
-// UnlimitedCache replays the calls against one cache that never evicts.
+// UnlimitedCache replays the calls, in order, against one cache that never evicts.
 func UnlimitedCache(calls []Call) Bound {
 	seen, shared := map[uint64]bool{}, map[uint64]bool{}
 	bound := Bound{Hits: make([]int, len(calls))}
@@ -44,15 +46,15 @@
 	return bound
 }
 
-// share is a part of a whole, 0 of an empty one.
-func share(part, whole float64) float64 {
-	if whole == 0 {
+// share returns part divided by total, or 0 if total is 0.
+func share(part, total float64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return part / whole
+	return part / total
 }
 
-// PromptBytes is the length of a call's prompt as the engines see it.
+// PromptBytes returns the length in bytes of a call's canonical prompt.
 func PromptBytes(call *Call) int {
 	total := 0
 	for _, part := range Rendered(call) {
@@ -61,7 +63,8 @@
 	return total
 }
 
-// BlockChain returns the nested hashes of a prompt's whole blocks.
+// BlockChain returns the cumulative hashes of a prompt's complete blocks; each hash
+// covers the workspace and the prompt up to the end of its block.
 func BlockChain(call *Call) []uint64 {
 	text := strings.Join(Rendered(call), "")
 	hash := xxh3.New()
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -13,36 +13,39 @@
 
 // Call is one request of the load.
 type Call struct {
-	// At is the time of sending after the start of the load.
+	// At is the due time of sending, from the start of the load.
 	At        time.Duration
 	Index     int
 	Workspace string
 	Kind      string
 	Class     jayv1.Class
 	// Parts of the prompt: instruction, template, document if any, question.
-	Parts  []string
+	Parts []string
+	// Output is the number of tokens requested.
 	Output int
 }
 
-// Traffic says how a mix is offered.
+// Traffic describes the load to generate from a mix.
 type Traffic struct {
 	Mix Mix
-	// Rate is the calls a second, Poisson.
+	// Rate is the mean number of calls per second; arrivals are a Poisson process.
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
-	// ShiftAt is when the hottest templates are replaced by new ones; 0: never.
+	// ShiftAt is when the most popular templates are replaced by new ones; 0: never.
 	ShiftAt time.Duration
-	// Greedy multiplies the calls of the workspace GreedyWorkspace from GreedyAt on; 0: none.
+	// Greedy multiplies the rate of the workspace GreedyWorkspace from GreedyAt on; 0
+	// means no such workspace.
 	Greedy          float64
 	GreedyWorkspace int
 	GreedyAt        time.Duration
 }
 
-// shiftedRanks is how many of the hottest templates a shift replaces.
+// shiftedRanks is the number of most popular templates that a shift replaces.
 const shiftedRanks = 3
 
-// Generate makes the calls in order of time. The same traffic gives the same calls.
+// Generate returns the calls in order of time. It is deterministic: equal traffic
+// gives equal calls.
 func Generate(traffic Traffic) []Call {
 	g := &generator{
 		traffic:    traffic,
@@ -76,7 +79,7 @@
 	unique     int
 }
 
-// stream makes Poisson arrivals; workspace -1 draws one for each call.
+// stream generates Poisson arrivals; workspace -1 draws a workspace for each call.
 func (g *generator) stream(rate float64, from time.Duration, workspace int) []Call {
 	var calls []Call
 	for at := from; ; {
@@ -141,14 +144,14 @@
 	return text
 }
 
-// WorkspaceName is the name of a mix's workspace.
+// WorkspaceName returns the name of the workspace with an index.
 func WorkspaceName(index int) string { return fmt.Sprintf("workspace-%d", index) }
 
 var words = strings.Fields("crusher jaw cone hire site quarry claim donor charity rulebook contract report belt feed screen plate " +
 	"clause party delivery notice return period amount eligible declaration relief total office deadline review")
 
-// prose makes the text of an id: the same id gives the same text, and two ids
-// differ from the start.
+// prose returns a text of the given length that depends only on id. It begins with
+// id, so that the texts of two ids differ near their start.
 func prose(id string, tokens int) string {
 	size := tokens * BytesPerToken
 	var seed uint64 = 14695981039346656037
@@ -167,29 +170,29 @@
 }
 
 // zipf draws ranks with probability proportional to 1/(rank+1)^exponent.
-type zipf struct{ cumulated []float64 }
+type zipf struct{ cumulative []float64 }
 
 func newZipf(n int, exponent float64) zipf {
-	z := zipf{cumulated: make([]float64, n)}
+	z := zipf{cumulative: make([]float64, n)}
 	total := 0.0
 	for i := range n {
 		total += 1 / math.Pow(float64(i+1), exponent)
-		z.cumulated[i] = total
+		z.cumulative[i] = total
 	}
-	for i := range z.cumulated {
-		z.cumulated[i] /= total
+	for i := range z.cumulative {
+		z.cumulative[i] /= total
 	}
 	return z
 }
 
 func (z zipf) draw(random *rand.Rand) int {
 	drawn := random.Float64()
-	return min(sort.SearchFloat64s(z.cumulated, drawn), len(z.cumulated)-1)
+	return min(sort.SearchFloat64s(z.cumulative, drawn), len(z.cumulative)-1)
 }
 
 func (z zipf) share(rank int) float64 {
 	if rank == 0 {
-		return z.cumulated[0]
+		return z.cumulative[0]
 	}
-	return z.cumulated[rank] - z.cumulated[rank-1]
+	return z.cumulative[rank] - z.cumulative[rank-1]
 }
--- a/internal/load/generator_test.go
+++ b/internal/load/generator_test.go
@@ -15,7 +15,7 @@
 	return load.Traffic{Mix: mix, Rate: 50, Duration: 20 * time.Second, Seed: 7}
 }
 
-func TestSameSeedSameCallsAndAnotherSeedOthers(t *testing.T) {
+func TestCallsDependOnlyOnTrafficAndSeed(t *testing.T) {
 	one, two := load.Generate(traffic(load.Association())), load.Generate(traffic(load.Association()))
 	assert.Equal(t, one, two)
 	other := traffic(load.Association())
@@ -23,7 +23,7 @@
 	assert.NotEqual(t, one, load.Generate(other))
 }
 
-func TestRenderedPromptIsWhatTheRouterSees(t *testing.T) {
+func TestRenderedMatchesPrefixRender(t *testing.T) {
 	for _, mix := range load.Mixes() {
 		for _, call := range load.Generate(traffic(mix))[:50] {
 			body, err := load.Body(&call, "m")
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestRateAndClassesAreAsDeclared(t *testing.T) {
+func TestRateAndKindsMatchTheMix(t *testing.T) {
 	for _, mix := range load.Mixes() {
 		calls := load.Generate(traffic(mix))
 		assert.InDelta(t, 1000, len(calls), 130, "four standard deviations of 1,000 arrivals")
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestShiftReplacesTheHottestTemplates(t *testing.T) {
+func TestShiftReplacesMostPopularTemplates(t *testing.T) {
 	shifted := traffic(load.Darovnica())
 	shifted.ShiftAt = 10 * time.Second
 	before, after := map[string]bool{}, map[string]bool{}
@@ -69,7 +69,7 @@
 	assert.GreaterOrEqual(t, fresh, 10)
 }
 
-func TestUnlimitedCacheCountsOnlyWhatCameBefore(t *testing.T) {
+func TestUnlimitedCacheHitsOnlyEarlierCalls(t *testing.T) {
 	calls := load.Generate(traffic(load.Association()))
 	assert.Zero(t, load.UnlimitedCache(calls[:1]).HitTokens)
 	twice := load.UnlimitedCache([]load.Call{calls[0], calls[0]})
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -1,27 +1,30 @@
-// Package load makes seeded open-loop traffic with nested shared prefixes,
-// sends it at entries and measures what came back. It routes nothing.
+// Package load generates seeded open-loop traffic with nested shared prefixes,
+// sends it to entries and summarizes the responses.
 package load
 
 import jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 
-// BytesPerToken of generated text, as the stand-in engines count.
+// BytesPerToken is the number of bytes of generated text that the stand-in engines
+// count as one token.
 const BytesPerToken = 4
 
-// Kind is one sort of call in a mix. A prompt has three shared levels, the
-// instruction, the contract template or rulebook, and the document, and ends
-// in a question that no other call has. Sizes are in tokens.
+// Kind is one type of call in a mix. A prompt consists of up to three shared
+// levels, the instruction, the template (of a contract, or a rulebook) and the
+// document, and a question that is unique to the call. Sizes are in tokens.
 type Kind struct {
 	Name  string
 	Class jayv1.Class
-	// Share of the mix's calls.
-	Share       float64
+	// Share of the mix's calls that are of this kind.
+	Share float64
+	// Instruction is the size of the instruction, one per workspace and kind.
 	Instruction int
-	// Templates of Template tokens each workspace has, with Zipf popularity.
+	// Templates is the number of templates per workspace, each of Template tokens.
+	// Their popularity follows a Zipf distribution with exponent TemplateZipf.
 	Template     int
 	Templates    int
 	TemplateZipf float64
-	// Documents of Document tokens for each template; 0 documents: every
-	// call has its own, read once.
+	// Documents is the number of documents per template, each of Document tokens; 0
+	// means that every call has a document of its own.
 	Document     int
 	Documents    int
 	DocumentZipf float64
@@ -29,19 +32,19 @@
 	Output       int
 }
 
-// Mix is the traffic of a deployment.
+// Mix is the typical traffic of a deployment.
 type Mix struct {
 	Name          string
 	Workspaces    int
 	WorkspaceZipf float64
 	Kinds         []Kind
-	// RecomputeWeight and Servers of the pool that the mix goes to.
+	// RecomputeWeight and Servers configure the pool that serves the mix.
 	RecomputeWeight float64
 	Servers         int
 }
 
-// Association is the mix of the Crusher Hire Association: breakdown calls that
-// a foreman waits for, reviews of hire contracts, and a nightly batch.
+// Association returns a mix with 45% interactive breakdown calls, 40% contract
+// reviews and 15% batch calls.
 func Association() Mix {
 	return Mix{
 		Name: "association", Workspaces: 8, WorkspaceZipf: 0.9, Servers: 12,
@@ -62,8 +65,8 @@
 	}
 }
 
-// Darovnica is the mix of Darovnica Systems: drafts of claims against a
-// charity's rulebook, eligibility checks, and month-end batches.
+// Darovnica returns a mix with 25% interactive eligibility checks, 30% drafts of
+// claims against a rulebook and 45% batch calls.
 func Darovnica() Mix {
 	return Mix{
 		Name: "darovnica", Workspaces: 8, WorkspaceZipf: 1, Servers: 9, RecomputeWeight: 0.5,
@@ -84,7 +87,7 @@
 	}
 }
 
-// Mixes lists the mixes by name.
+// Mixes returns all mixes by name.
 func Mixes() map[string]Mix {
 	all := map[string]Mix{}
 	for _, mix := range []Mix{Association(), Darovnica()} {
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -16,7 +16,7 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// classHeader names a call's class for the rules of the catalog.
+// classHeader holds the class label that the catalog's rules match.
 const classHeader = "X-Jay-Class"
 
 var classLabels = map[jayv1.Class]string{
@@ -25,42 +25,44 @@
 	jayv1.Class_CLASS_BATCH:       "batch",
 }
 
-// Sample is what came of one call.
+// Sample is the result of one call.
 type Sample struct {
 	Call *Call
-	// FirstToken after the time at which the call was due, so that a sender
-	// that falls behind does not hide the wait; 0: none came.
+	// FirstToken is the time from when the call was due to its first token, so that
+	// delays of the sender are included; 0 means no token arrived.
 	FirstToken time.Duration
 	Total      time.Duration
-	// Status of the answer, 0 when there was none.
+	// Status is the HTTP status, 0 if there was no response.
 	Status       int
 	PromptTokens int
 	CachedTokens int
 	OutputTokens int
-	// Complete: the stream ended as a whole one does.
+	// Complete means that the stream ended with [DONE].
 	Complete bool
 	Err      string
 }
 
-// Target is where a load is sent.
+// Target describes where a load is sent.
 type Target struct {
-	// URLs of the entries; asked for each call, so that entries may be replaced.
+	// URLs returns the base URLs of the entries. It is called for each call, since
+	// entries may be replaced during the load.
 	URLs func() []string
-	// Key of a workspace.
+	// Key returns the API key of a workspace.
 	Key   func(workspace string) string
 	Model string
 	Seed  uint64
-	// Direct sends plain calls to an engine, without class or key.
+	// Direct omits the class header and the API key, for calls to an engine itself.
 	Direct bool
-	// OnSample gets each sample as it is complete; may be nil.
+	// OnSample, if not nil, is called with each sample, from several goroutines.
 	OnSample func(Sample)
 }
 
-// connectionsPerEntry bounds idle connections that are kept.
+// connectionsPerEntry bounds the idle connections kept per entry.
 const connectionsPerEntry = 1024
 
-// Send sends the calls when they are due, whatever became of earlier ones, and
-// returns their samples in order.
+// Send sends each call when it is due, regardless of earlier ones (open loop), and
+// returns the samples in order of the calls. When ctx ends it returns the samples
+// of the calls sent so far.
 func Send(ctx context.Context, calls []Call, target Target) []Sample {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connectionsPerEntry, DisableCompression: true}}
 	defer client.CloseIdleConnections()
@@ -145,8 +147,8 @@
 	doneData  = "[DONE]"
 )
 
-// read reads an answer's stream. Any other answer than 200 is read to its end
-// and counted by its status alone.
+// read reads a response to its end. A response with a status other than 200 is not
+// evaluated.
 func (s *Sample) read(reader *bufio.Reader, due time.Time) error {
 	for {
 		line, err := reader.ReadString('\n')
@@ -154,7 +156,7 @@
 			if s.Complete || s.Status != http.StatusOK {
 				return nil
 			}
-			return eris.Wrap(err, "stream broken")
+			return eris.Wrap(err, "stream ended before [DONE]")
 		}
 		data, ok := strings.CutPrefix(strings.TrimRight(line, "\r\n"), dataField)
 		if !ok || s.Status != http.StatusOK {
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -7,41 +7,40 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles of times to first token, in milliseconds.
+// Quantiles are quantiles of the time to first token, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
 	P99 float64 `json:"p99_ms"`
 }
 
-// Second is one second of a run.
+// Second contains the figures of one second of a run.
 type Second struct {
 	Second  int     `json:"second"`
 	HitRate float64 `json:"hit_rate"`
 	P95     float64 `json:"p95_ms"`
 }
 
-// Summary is what a run showed after its warm-up.
+// Summary contains the figures of a run, without its warm-up.
 type Summary struct {
 	Calls   int `json:"calls"`
 	Served  int `json:"served"`
 	Refused int `json:"refused"`
-	// Failed calls got no whole answer and no refusal.
+	// Failed calls got neither a complete answer nor a refusal with status 429 or 503.
 	Failed int `json:"failed"`
-	// HitRate is token-weighted, over served calls; Bound that of an unlimited cache.
+	// HitRate is token-weighted, over served calls; Bound is that of an unlimited cache.
 	HitRate float64 `json:"hit_rate"`
 	Bound   float64 `json:"bound_hit_rate"`
-	// Wasted is the share of prompt tokens computed that had been computed before.
+	// Wasted is the share of prompt tokens that were computed again: Bound - HitRate.
 	Wasted     float64              `json:"wasted"`
 	FirstToken Quantiles            `json:"first_token"`
 	ByKind     map[string]Quantiles `json:"by_kind"`
-	// InTime is the share of all calls whose first token came within Objective.
+	// InTime is the share of all calls whose first token arrived within Objective.
 	InTime  float64  `json:"in_time"`
 	Seconds []Second `json:"seconds,omitempty"`
 }
 
-// Objective is the time to first token that a caller is promised in the
-// experiments.
+// Objective is the time-to-first-token objective of the experiments.
 const Objective = time.Second
 
 const (
@@ -58,19 +57,21 @@
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99)}
 }
 
-// Window is a part of a run, by the times at which calls were due.
+// Window is an interval of a run, by the times at which calls were due. From is
+// included, To is not.
 type Window struct{ From, To time.Duration }
 
-func (w Window) holds(at time.Duration) bool { return at >= w.From && at < w.To }
+func (w Window) contains(at time.Duration) bool { return at >= w.From && at < w.To }
 
-// Summarize sums up the samples of the window that the predicate takes, nil: all.
-func Summarize(samples []Sample, bound Bound, window Window, takes func(*Call) bool) Summary {
+// Summarize aggregates the samples of the window for whose calls matches returns
+// true; a nil matches selects all. The bound must be that of the same calls.
+func Summarize(samples []Sample, bound Bound, window Window, matches func(*Call) bool) Summary {
 	s := Summary{ByKind: map[string]Quantiles{}}
 	all, kinds := newHistogram(), map[string]*hdrhistogram.Histogram{}
 	var prompt, cached, possible, inTime int
 	for i := range samples {
 		sample := &samples[i]
-		if !window.holds(sample.Call.At) || (takes != nil && !takes(sample.Call)) {
+		if !window.contains(sample.Call.At) || (matches != nil && !matches(sample.Call)) {
 			continue
 		}
 		s.Calls++
@@ -102,7 +103,8 @@
 	return s
 }
 
-// countOutcome tells whether the call was served.
+// countOutcome counts the call as served, refused or failed, and reports whether it
+// was served.
 func (s *Summary) countOutcome(sample *Sample) bool {
 	switch {
 	case sample.Complete:
@@ -116,7 +118,7 @@
 	return false
 }
 
-// Series cuts a run into seconds.
+// Series returns the figures of each second of a run of the given length.
 func Series(samples []Sample, length time.Duration) []Second {
 	var series []Second
 	for at := time.Duration(0); at < length; at += time.Second {
@@ -124,7 +126,7 @@
 		second := Second{Second: int(at / time.Second)}
 		prompt, cached, first := 0, 0, newHistogram()
 		for i := range samples {
-			if window.holds(samples[i].Call.At) && samples[i].Complete {
+			if window.contains(samples[i].Call.At) && samples[i].Complete {
 				prompt += samples[i].PromptTokens
 				cached += samples[i].CachedTokens
 				_ = first.RecordValue(samples[i].FirstToken.Microseconds())
