--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -9,7 +9,7 @@
 	"github.com/jayproxy/jayproxy/internal/capacity"
 )
 
-func line(name string, perUnit, fixed float64) capacity.Slope {
+func fittedSlope(name string, perUnit, fixed float64) capacity.Slope {
 	s := capacity.Slope{Name: name}
 	for _, x := range []float64{1, 2, 4} {
 		s.Points = append(s.Points, capacity.Point{X: x, Y: fixed + perUnit*x})
@@ -21,8 +21,8 @@
 	return fitted
 }
 
-func TestFitFindsTheLineAndWantsThreePoints(t *testing.T) {
-	s := line("x", 3, 7)
+func TestFitFindsTheLineAndNeedsThreePoints(t *testing.T) {
+	s := fittedSlope("x", 3, 7)
 	assert.InDelta(t, 3, s.PerUnit, 1e-9)
 	assert.InDelta(t, 7, s.Fixed, 1e-9)
 	assert.InDelta(t, 1, s.R2, 1e-9)
@@ -30,10 +30,10 @@
 	require.Error(t, err)
 }
 
-func TestRowsSayWhatHoldsFallsShortAndIsNotKnown(t *testing.T) {
+func TestRowVerdicts(t *testing.T) {
 	set := capacity.Set{
-		"control_entry_bytes": line("control_entry_bytes", 100, 0),
-		"control_agent_bytes": line("control_agent_bytes", 1, 0),
+		"control_entry_bytes": fittedSlope("control_entry_bytes", 100, 0),
+		"control_agent_bytes": fittedSlope("control_agent_bytes", 1, 0),
 	}
 	verdicts := map[string]capacity.Verdict{}
 	for _, row := range capacity.Rows(capacity.TwoYearForecast(), set) {
@@ -44,9 +44,9 @@
 	assert.Equal(t, capacity.NotKnown, verdicts["agent: memory: index of cached blocks"])
 }
 
-func TestSlopesSurviveTheirFile(t *testing.T) {
+func TestSaveAndLoadKeepSlopes(t *testing.T) {
 	file := t.TempDir() + "/slopes.json"
-	require.NoError(t, capacity.Save(file, []capacity.Slope{line("x", 3, 7)}))
+	require.NoError(t, capacity.Save(file, []capacity.Slope{fittedSlope("x", 3, 7)}))
 	set, err := capacity.Load(file)
 	require.NoError(t, err)
 	assert.InDelta(t, 3, set["x"].PerUnit, 1e-9)
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// Verdict on a row.
+// Verdict is the result of comparing a row's value with its bound.
 type Verdict string
 
-// The verdicts. NoBound rows are told for their own sake.
+// The verdicts. A NoBound row is informative only; a NotKnown row needs a slope that
+// is missing.
 const (
 	Holds      Verdict = "holds"
 	FallsShort Verdict = "falls short"
@@ -13,22 +14,23 @@
 	NoBound    Verdict = ""
 )
 
-// Row is one figure of a role at the size of two years.
+// Row is one figure of a role at the forecast size.
 type Row struct {
 	Role string
 	What string
-	// Value in Unit; Known is false when a slope it needs was not measured.
+	// Value in Unit; Known is false when a slope that it needs is missing.
 	Value float64
 	Unit  string
 	Known bool
-	// Bound in Unit; 0: none.
+	// Bound in Unit; 0 means none.
 	Bound float64
-	// From is how the value was worked out, with the slopes' names.
-	From      string
+	// From says how the value was computed, with the names of the slopes.
+	From string
+	// Mechanism says which design decision determines the value.
 	Mechanism string
 }
 
-// Verdict compares the value with its bound.
+// Verdict compares the value with the bound.
 func (r Row) Verdict() Verdict {
 	switch {
 	case !r.Known:
@@ -41,7 +43,7 @@
 	return FallsShort
 }
 
-// Roles of the page, in its order.
+// Roles, in the order of the page.
 const (
 	RoleEntry          = "entry"
 	RoleAgent          = "agent"
@@ -51,36 +53,38 @@
 	RoleDataCentreLoss = "loss of a data centre, its load on the others of its region"
 )
 
-// builder collects rows over a set of slopes.
+// builder computes rows from a set of slopes.
 type builder struct {
 	sizes  Sizes
 	slopes Set
 	rows   []Row
 }
 
-// Rows works out every figure of the page.
+// Rows computes all rows of the page.
 func Rows(sizes Sizes, slopes Set) []Row {
 	b := &builder{sizes: sizes, slopes: slopes}
 	b.entry()
 	b.agent()
-	b.holder()
+	b.leaseHolder()
 	b.operators()
 	b.platform()
 	b.lostDataCentre()
 	return b.rows
 }
 
-// term is one product of a row: the slope's value per unit, or its fixed part
-// plus the slope at a count, times a factor.
+// term is one summand of a row: the slope's value per unit, or its line's value at a
+// count, times a factor.
 type term struct {
 	slope string
-	// at: the line's value at this count; perUnit: the slope alone.
+	// at is the count at which the line is evaluated; perUnit takes the value per unit
+	// instead.
 	at      float64
 	perUnit bool
 	factor  float64
 }
 
-// sum adds terms up. It is not known when a slope is missing.
+// sum appends the row with the sum of the terms as its value, or as not known when a
+// slope is missing.
 func (b *builder) sum(row Row, terms ...term) {
 	row.Known = true
 	for _, t := range terms {
@@ -200,7 +204,7 @@
 		term{slope: "relay_chunk_memory", at: 64, factor: s.requestsPerServer() * s.TokensPerSec / s.RequestsPerSec * s.SecondsBetweenTokens / megabyte})
 }
 
-func (b *builder) holder() {
+func (b *builder) leaseHolder() {
 	s := b.sizes
 	const renewSeconds = 5
 	leases := s.Models
@@ -244,7 +248,8 @@
 		term{slope: "catalog_snapshot_bytes", at: s.objects(), factor: s.entriesPerDC() / megabyte})
 }
 
-// claims that group commit carries within half of the platform's writes.
+// claims computes the claims per second that group commit can write with half of the
+// platform's writes.
 func (b *builder) claims() {
 	row := Row{Role: RolePlatform, What: "claims of non-repeatable calls that fit into half of the writes", Unit: "claims/s",
 		From: fmt.Sprintf("%.0f writes/s / writes_per_claim; one entry's groups, smaller where calls are spread thin", b.sizes.PlatformWrites/2), Mechanism: "group commit"}
@@ -254,25 +259,26 @@
 	b.rows = append(b.rows, row)
 }
 
-// lostDataCentre works out what the others of a region of three carry, which
-// is half as much again, and what the loss costs the fleet in messages.
+// lostDataCentre computes the load on the other two data centres of a region of
+// three after the loss of one, 1.5 times their own, and the messages that the loss
+// causes.
 func (b *builder) lostDataCentre() {
 	s := b.sizes
 	const (
-		ofThree       = 1.5
-		probesAServer = 3
+		remainingLoadFactor = 1.5
+		offersPerServer     = 3
 	)
 	b.sum(Row{Role: RoleDataCentreLoss, What: "routing decisions (request path)", Unit: "% of a core",
-		From: fmt.Sprintf("%.0f requests/s x route_decision_cpu", ofThree*s.requestsPerEntry()), Mechanism: "further data centres by expected time"},
-		term{slope: "route_decision_cpu", at: 2 * s.serversPerDC(), factor: ofThree * s.requestsPerEntry() * nanoseconds * percent})
+		From: fmt.Sprintf("%.0f requests/s x route_decision_cpu", remainingLoadFactor*s.requestsPerEntry()), Mechanism: "further data centres by expected time"},
+		term{slope: "route_decision_cpu", at: 2 * s.serversPerDC(), factor: remainingLoadFactor * s.requestsPerEntry() * nanoseconds * percent})
 	b.sum(Row{Role: RoleDataCentreLoss, What: "open streams, memory (request path)", Unit: "MB",
-		From: fmt.Sprintf("%.0f streams", ofThree*s.openStreamsPerEntry()), Mechanism: "one QUIC stream a request"},
-		term{slope: "connection_open_bytes", perUnit: true, factor: ofThree * s.openStreamsPerEntry() / 2 / megabyte},
-		term{slope: "connection_idle_bytes", perUnit: true, factor: -ofThree * s.openStreamsPerEntry() / 2 / megabyte})
+		From: fmt.Sprintf("%.0f streams", remainingLoadFactor*s.openStreamsPerEntry()), Mechanism: "one QUIC stream a request"},
+		term{slope: "connection_open_bytes", perUnit: true, factor: remainingLoadFactor * s.openStreamsPerEntry() / 2 / megabyte},
+		term{slope: "connection_idle_bytes", perUnit: true, factor: -remainingLoadFactor * s.openStreamsPerEntry() / 2 / megabyte})
 	b.rows = append(b.rows,
-		Row{Role: RoleDataCentreLoss, What: "requests at a backend server of the region", Unit: "requests/s", Value: ofThree * s.requestsPerServer(), Known: true,
+		Row{Role: RoleDataCentreLoss, What: "requests at a backend server of the region", Unit: "requests/s", Value: remainingLoadFactor * s.requestsPerServer(), Known: true,
 			From: "half as much again as on an ordinary day", Mechanism: "pools need a third of their room free; admission sheds the lowest class first"},
-		Row{Role: RoleDataCentreLoss, What: "offers of one entry to dead servers until all are ejected", Unit: "offers", Value: probesAServer * s.serversPerDC(), Known: true,
+		Row{Role: RoleDataCentreLoss, What: "offers of one entry to dead servers until all are ejected", Unit: "offers", Value: offersPerServer * s.serversPerDC(), Known: true,
 			From: "three failures a server, only for traffic that prefers the lost data centre", Mechanism: "own evidence, then the list of VMs"})
 	b.sum(Row{Role: RoleDataCentreLoss, What: "handshakes of one entry with the region's other agents, once", Unit: "MB",
 		From:      fmt.Sprintf("%.0f connections x connection_handshake_bytes, spread over the requests that need them", 2*s.serversPerDC()),
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Page renders the rows and the slopes they come from as Markdown.
+// Page renders the rows and the slopes that they are computed from as Markdown.
 func Page(sizes Sizes, rows []Row, slopes Set) string {
 	var p strings.Builder
 	p.WriteString(head)
--- a/internal/capacity/sizes.go
+++ b/internal/capacity/sizes.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Sizes is what the users expect within two years (letter 1).
+// Sizes is the size and load of a deployment, and the limits that apply to it.
 type Sizes struct {
 	Entries           float64
 	BackendServers    float64
@@ -14,19 +14,22 @@
 	Models            float64
 	ChangesPerDay     float64
 	VMsReplacedPerDay float64
-	// What the platform grants, and the share of a node's budget for control.
+	// PlatformReads and PlatformWrites are the rates per second that the platform allows.
 	PlatformReads  float64
 	PlatformWrites float64
-	CoreShare      float64
-	MemoryBytes    float64
-	BytesPerSec    float64
-	// SecondsBetweenTokens at the bound of the letter.
+	// CoreShare, MemoryBytes and BytesPerSec are the limits of control work per process:
+	// share of a core, memory, and network traffic.
+	CoreShare   float64
+	MemoryBytes float64
+	BytesPerSec float64
+	// SecondsBetweenTokens is the required time between two tokens of an answer.
 	SecondsBetweenTokens float64
-	ChangeSeconds        float64
+	// ChangeSeconds bounds the time until a change is in force.
+	ChangeSeconds float64
 }
 
-// TwoYearForecast is the size of the letter, with the brief's platform: several
-// hundred writes, read as 400, and about two thousand reads a second.
+// TwoYearForecast returns the size that the users expect in two years. The platform
+// allows several hundred writes per second, taken as 400, and about 2,000 reads.
 func TwoYearForecast() Sizes {
 	return Sizes{
 		Entries: 810, BackendServers: 7000, DataCentres: 22, Regions: 7,
@@ -52,8 +55,8 @@
 	return s.BackendServers + s.Models + s.Workspaces*(1+rulesPerWorkspace)
 }
 
-// openStreamsPerEntry by Little's law: requests a second times their duration,
-// which is the tokens of an answer times the time between two.
+// openStreamsPerEntry follows from Little's law: requests per second times their
+// duration, the tokens of an answer times the time between two tokens.
 func (s Sizes) openStreamsPerEntry() float64 {
 	tokens := s.TokensPerSec / s.RequestsPerSec
 	return s.requestsPerEntry() * tokens * s.SecondsBetweenTokens
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -1,5 +1,5 @@
-// Package capacity works out what each role needs at the size of two years
-// from slopes that were measured here. It measures nothing itself.
+// Package capacity extrapolates the resources that each role needs at the size
+// forecast for two years, from the slopes that tools/slopes determines.
 package capacity
 
 import (
@@ -10,31 +10,33 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement: Y at a count of X.
+// Point is one data point: Y at a count of X.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Slope is a straight line through at least three measurements, the count
-// doubled at each.
+// Slope is a straight line fitted through at least MinPoints points, whose counts
+// double from one to the next.
 type Slope struct {
 	Name string `json:"name"`
-	// XUnit and YUnit, e.g. "blocks" and "bytes".
-	XUnit   string  `json:"x_unit"`
-	YUnit   string  `json:"y_unit"`
+	// XUnit and YUnit are the units of the points, e.g. "blocks" and "bytes".
+	XUnit string `json:"x_unit"`
+	YUnit string `json:"y_unit"`
+	// Command reproduces the points.
 	Command string  `json:"command"`
 	Points  []Point `json:"points"`
-	// PerUnit is the slope, Fixed the value at X = 0, R2 the fit.
+	// PerUnit is the slope, Fixed the value at X = 0, R2 the coefficient of determination.
 	PerUnit float64 `json:"per_unit"`
 	Fixed   float64 `json:"fixed"`
 	R2      float64 `json:"r2"`
 }
 
-// MinPoints that a slope needs.
+// MinPoints is the number of points that a slope needs.
 const MinPoints = 3
 
-// Fit puts a straight line through the points.
+// Fit fits a straight line through the points by linear regression. It fails with
+// fewer than MinPoints points.
 func Fit(slope Slope) (Slope, error) {
 	if len(slope.Points) < MinPoints {
 		return slope, eris.Errorf("slope %s has %d points, needs %d", slope.Name, len(slope.Points), MinPoints)
@@ -49,10 +51,10 @@
 	return slope, nil
 }
 
-// Set is all slopes of one run of `make slopes`, by name.
+// Set contains slopes by name.
 type Set map[string]Slope
 
-// Load reads what Save wrote.
+// Load reads a file written by Save.
 func Load(file string) (Set, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -69,7 +71,7 @@
 	return set, nil
 }
 
-// Save writes slopes as JSON.
+// Save writes slopes to a file as JSON.
 func Save(file string, slopes []Slope) error {
 	text, err := json.MarshalIndent(slopes, "", " ")
 	if err != nil {
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,5 +1,5 @@
-// Package dev is what jay-dev does: it starts a cluster on loopback, says how
-// to talk to it, and checks that a request is served from end to end.
+// Package dev implements jay-dev: it starts a cluster on loopback, prints how to use
+// it, and checks that requests are served end to end.
 package dev
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/jayproxy/jayproxy/internal/standin/cluster"
 )
 
-// Options of a run.
+// Options configure a run. An empty Policy means the default; Out receives the output.
 type Options struct {
 	Engines int
 	Entries int
@@ -40,7 +40,7 @@
 	})
 }
 
-// Run serves until the context ends.
+// Run starts a cluster, prints how to use it and serves until the context ends.
 func Run(ctx context.Context, options Options) error {
 	c, err := start(ctx, options)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// describe lists the addresses and commands that work as pasted.
+// describe returns the cluster's addresses and example commands to paste into a shell.
 func describe(c *cluster.Cluster) string {
 	var b strings.Builder
 	workspace := c.Options.Workspaces[0]
@@ -74,14 +74,14 @@
 		url, cluster.Key(workspace), checkBody)
 	fmt.Fprintf(&b, "A booking that runs at most once:\n\ncurl %s/services/%s/confirm -H 'Authorization: Bearer %s' -H 'Idempotency-Key: booking-1' -d '{\"crusher\":\"cone-7\"}'\n\n",
 		url, cluster.Service, cluster.Key(workspace))
-	fmt.Fprintf(&b, "What is in force where:\n\njayctl status --entry %s --keys %s\n\n",
+	fmt.Fprintf(&b, "The configuration in force in each process:\n\njayctl status --entry %s --keys %s\n\n",
 		strings.TrimPrefix(c.Entries()[0].OperatorsURL(), "https://"), c.OperatorKeys())
 	fmt.Fprintln(&b, "Stop with Ctrl-C.")
 	return b.String()
 }
 
-// SelfCheck starts a cluster, sends one request through each entry and reports
-// what came back.
+// SelfCheck starts a cluster, sends one request through each entry and prints the
+// number of events received. It fails if an entry does not serve within 15 s.
 func SelfCheck(ctx context.Context, options Options) error {
 	c, err := start(ctx, options)
 	if err != nil {
@@ -95,14 +95,15 @@
 		if err != nil {
 			return eris.Wrapf(err, "request through %s", cluster.EntryName(i))
 		}
-		if _, err := fmt.Fprintf(options.Out, "%s: %d events, whole\n", cluster.EntryName(i), lines); err != nil {
+		if _, err := fmt.Fprintf(options.Out, "%s: %d events, complete\n", cluster.EntryName(i), lines); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// untilServed asks again while the declaration spreads.
+// untilServed repeats the request until it succeeds, since the declaration takes time
+// to reach all processes.
 func untilServed(ctx context.Context, url, workspace string) (int, error) {
 	for {
 		events, err := ask(ctx, url, workspace)
@@ -117,7 +118,8 @@
 	}
 }
 
-// ask sends a streamed request and counts its events; it must end as a whole one does.
+// ask sends a streamed request and returns its number of events. It fails unless the
+// stream is complete.
 func ask(ctx context.Context, url, workspace string) (int, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", strings.NewReader(checkBody))
 	if err != nil {
@@ -139,7 +141,7 @@
 		}
 	}
 	if response.StatusCode != http.StatusOK || last != "data: [DONE]" {
-		return 0, eris.Errorf("status %d after %d events", response.StatusCode, events)
+		return 0, eris.Errorf("incomplete answer: status %d, %d events", response.StatusCode, events)
 	}
 	return events, eris.Wrap(scanner.Err(), "read answer")
 }
