--- a/cmd/jay-dev/main.go
+++ b/cmd/jay-dev/main.go
@@ -36,8 +36,8 @@
 	flags := cmd.Flags()
 	flags.IntVar(&options.Engines, "engines", 3, "stand-in engines")
 	flags.IntVar(&options.Entries, "entries", 2, "entries")
-	flags.StringVar(&options.Policy, "policy", "", "routing policy; empty takes the default")
-	flags.BoolVar(&selfCheck, "self-check", false, "send one request through every part, print what came back and exit")
+	flags.StringVar(&options.Policy, "policy", "", "routing policy; empty means the default")
+	flags.BoolVar(&selfCheck, "self-check", false, "send one request through every entry, print the result and exit")
 	cli.AddLogFlags(cmd)
 	return cmd
 }
--- a/cmd/jay-load/experiment.go
+++ b/cmd/jay-load/experiment.go
@@ -16,7 +16,7 @@
 	"github.com/jayproxy/jayproxy/internal/load"
 )
 
-// experimentFlags are what the experiment commands have in common.
+// experimentFlags are the flags shared by the experiment commands.
 type experimentFlags struct {
 	plan   experiment.Plan
 	faults []string
@@ -30,7 +30,7 @@
 		Short: "Compare routing policies over in-process clusters",
 		Args:  cobra.NoArgs,
 		PersistentPreRun: func(*cobra.Command, []string) {
-			// The clusters' processes log much that says nothing of an experiment.
+			// Discards the logs of the clusters' processes.
 			klog.LogToStderr(false)
 			klog.SetOutput(io.Discard)
 			f.plan.Progress = os.Stderr
@@ -47,7 +47,7 @@
 		},
 	}
 	f.register(cmd)
-	cmd.AddCommand(f.carriedCommand(), f.greedyCommand(), f.overheadCommand())
+	cmd.AddCommand(f.sustainedCommand(), f.greedyCommand(), f.overheadCommand())
 	return cmd
 }
 
@@ -55,32 +55,32 @@
 	flags := cmd.PersistentFlags()
 	flags.StringSliceVar(&f.plan.Mixes, "mix", f.plan.Mixes, "mixes: association, darovnica")
 	flags.StringSliceVar(&f.plan.Policies, "policy", f.plan.Policies, "routing policies")
-	flags.Float64SliceVar(&f.plan.Shares, "load", f.plan.Shares, "loads, as shares of what least load can carry")
+	flags.Float64SliceVar(&f.plan.Shares, "load", f.plan.Shares, "loads, relative to what the least-load policy can serve")
 	flags.IntSliceVar(&f.plan.Entries, "entries", f.plan.Entries, "numbers of entries")
-	flags.StringSliceVar(&f.faults, "fault", nil, fmt.Sprintf("faults to inject, one a run; none when empty: %q", experiment.Faults()))
+	flags.StringSliceVar(&f.faults, "fault", nil, fmt.Sprintf("faults to inject, one per run; none when empty: %q", experiment.Faults()))
 	flags.Uint64Var(&f.plan.Seed, "seed", f.plan.Seed, "seed of load and engines")
 	flags.DurationVar(&f.plan.WarmUp, "warm-up", f.plan.WarmUp, "time to fill the caches, not counted")
 	flags.DurationVar(&f.plan.Measured, "measured", f.plan.Measured, "time that is counted")
-	flags.Float64Var(&f.plan.Prefill, "prefill", f.plan.Prefill, "prompt tokens that an engine computes a second")
-	flags.Float64Var(&f.plan.Rate, "least-load-rate", 0, "calls a second that least load can carry, from an earlier run; 0: measure it")
+	flags.Float64Var(&f.plan.Prefill, "prefill", f.plan.Prefill, "prompt tokens that an engine computes per second")
+	flags.Float64Var(&f.plan.Rate, "least-load-rate", 0, "calls per second that the least-load policy can serve, from an earlier run; 0 measures it")
 	flags.IntVar(&f.plan.Parallel, "parallel", f.plan.Parallel, "runs at once, each with its own cluster")
 	flags.StringVar(&f.out, "out", f.out, "folder for results.json and report.html")
 }
 
-func (f *experimentFlags) carriedCommand() *cobra.Command {
+func (f *experimentFlags) sustainedCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "carried",
-		Short: "Find the highest load at which 95 in 100 first tokens come in time",
+		Short: "Find the highest load at which 95% of first tokens meet the objective",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			report, carried, err := f.plan.Ladder(cmd.Context())
+			report, sustained, err := f.plan.Ladder(cmd.Context())
 			if err != nil {
 				return err
 			}
-			for _, c := range carried {
-				fmt.Printf("%s %s: %.2f of least load's (%.1f calls/s)\n", c.Mix, c.Policy, c.Share, c.Rate)
+			for _, c := range sustained {
+				fmt.Printf("%s %s: %.2f of the least-load rate (%.1f calls/s)\n", c.Mix, c.Policy, c.Share, c.Rate)
 			}
-			return f.write(report, carried)
+			return f.write(report, sustained)
 		},
 	}
 }
@@ -89,21 +89,21 @@
 	factor := 10.0
 	cmd := &cobra.Command{
 		Use:   "greedy",
-		Short: "Compare the others' first tokens with and without a greedy workspace",
+		Short: "Compare the other workspaces' first tokens with and without a greedy workspace",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			greeds, results, err := f.plan.RunGreedy(cmd.Context(), factor)
+			comparisons, results, err := f.plan.RunGreedy(cmd.Context(), factor)
 			if err != nil {
 				return err
 			}
-			for _, g := range greeds {
-				fmt.Printf("%s %s: others' p99 %.0f ms without, %.0f ms with a workspace at %.0f times its share\n",
+			for _, g := range comparisons {
+				fmt.Printf("%s %s: p99 of other workspaces %.0f ms without, %.0f ms with a workspace at %.0f times its share\n",
 					g.Mix, g.Policy, g.Without, g.With, g.Factor)
 			}
-			return f.write(experiment.Report{Seed: f.plan.Seed, Results: results}, greeds)
+			return f.write(experiment.Report{Seed: f.plan.Seed, Results: results}, comparisons)
 		},
 	}
-	cmd.Flags().Float64Var(&factor, "factor", factor, "share of the greedy workspace, as a multiple")
+	cmd.Flags().Float64Var(&factor, "factor", factor, "multiple of its share that the greedy workspace sends")
 	return cmd
 }
 
@@ -127,8 +127,8 @@
 			return writeJSON(f.out, o)
 		},
 	}
-	cmd.Flags().Float64Var(&rate, "rate", rate, "calls a second")
-	cmd.Flags().DurationVar(&length, "length", length, "time of each part")
+	cmd.Flags().Float64Var(&rate, "rate", rate, "calls per second")
+	cmd.Flags().DurationVar(&length, "length", length, "duration of each part, direct and through")
 	return cmd
 }
 
@@ -137,7 +137,7 @@
 	fileMode   = 0o644
 )
 
-// write prints the table and leaves JSON and the report in the output folder.
+// write prints the table and writes results.json and report.html to the output folder.
 func (f *experimentFlags) write(report experiment.Report, results any) error {
 	if err := report.WriteTable(os.Stdout); err != nil {
 		return err
--- a/cmd/jay-load/main.go
+++ b/cmd/jay-load/main.go
@@ -1,5 +1,5 @@
-// Command jay-load sends a seeded open-loop load at entries, or compares
-// routing policies over clusters of its own.
+// Command jay-load sends a seeded open-loop load to entries, or compares routing
+// policies on in-process clusters.
 package main
 
 import (
--- a/cmd/jay-load/run.go
+++ b/cmd/jay-load/run.go
@@ -14,7 +14,7 @@
 	"github.com/jayproxy/jayproxy/internal/load"
 )
 
-// progressEvery is the time between two lines of progress.
+// progressEvery is the interval between progress lines.
 const progressEvery = 5 * time.Second
 
 type runFlags struct {
@@ -34,19 +34,19 @@
 	f := &runFlags{mix: "association", rate: 20, length: 30 * time.Second, warmUp: 5 * time.Second, seed: 1, out: "out"}
 	cmd := &cobra.Command{
 		Use:   "run",
-		Short: "Send a load at entries and sum up what came back",
+		Short: "Send a load to entries and summarize the responses",
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return f.run(cmd.Context()) },
 	}
 	flags := cmd.Flags()
 	flags.StringSliceVar(&f.entries, "entry", nil, "base URL of an entry's callers' API; may be given several times")
-	flags.StringSliceVar(&f.keys, "key", nil, "API key of a workspace; the mix's workspaces take them in turn")
-	flags.StringVar(&f.model, "model", "", "model to ask for")
+	flags.StringSliceVar(&f.keys, "key", nil, "API key of a workspace; assigned to the mix's workspaces round-robin")
+	flags.StringVar(&f.model, "model", "", "model to request")
 	flags.StringVar(&f.mix, "mix", f.mix, "mix: association or darovnica")
-	flags.Float64Var(&f.rate, "rate", f.rate, "calls a second")
-	flags.DurationVar(&f.length, "length", f.length, "time of the whole run")
+	flags.Float64Var(&f.rate, "rate", f.rate, "calls per second")
+	flags.DurationVar(&f.length, "length", f.length, "duration of the run, warm-up included")
 	flags.DurationVar(&f.warmUp, "warm-up", f.warmUp, "time at the start that is not counted")
-	flags.DurationVar(&f.shiftAt, "shift-at", 0, "when the hottest templates change; 0: never")
+	flags.DurationVar(&f.shiftAt, "shift-at", 0, "when the most popular templates change; 0 means never")
 	flags.Uint64Var(&f.seed, "seed", f.seed, "seed of the load")
 	flags.StringVar(&f.out, "out", f.out, "folder for results.json")
 	for _, required := range []string{"entry", "key", "model"} {
@@ -77,14 +77,14 @@
 	return writeJSON(f.out, summary)
 }
 
-// keyOf gives each workspace of the mix a key, in turn.
+// keyOf returns the key of a workspace; keys are assigned round-robin.
 func (f *runFlags) keyOf(workspace string) string {
 	index := 0
 	_, _ = fmt.Sscanf(workspace, strings.TrimSuffix(load.WorkspaceName(0), "0")+"%d", &index)
 	return f.keys[index%len(f.keys)]
 }
 
-func progress(ctx context.Context, done *atomic.Int64, all int) {
+func progress(ctx context.Context, done *atomic.Int64, total int) {
 	ticker := time.NewTicker(progressEvery)
 	defer ticker.Stop()
 	for {
@@ -92,7 +92,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			fmt.Fprintf(os.Stderr, "%d of %d calls answered\n", done.Load(), all)
+			fmt.Fprintf(os.Stderr, "%d of %d calls answered\n", done.Load(), total)
 		}
 	}
 }
--- a/cmd/jay-standin/commands.go
+++ b/cmd/jay-standin/commands.go
@@ -33,27 +33,27 @@
 	flags.StringVar(&options.Name, "name", "", "name in logs")
 	flags.StringVar(&options.Vendor, "vendor", engine.Merle, "dialect: merle or pica")
 	flags.IntVar(&sim.CacheBlocks, "cache-blocks", 0, "capacity of the prefix cache in blocks of 16 tokens")
-	flags.Float64Var(&sim.PrefillTokensPerSecond, "prefill-rate", 0, "prompt tokens computed a second, shared")
+	flags.Float64Var(&sim.PrefillTokensPerSecond, "prefill-rate", 0, "prompt tokens computed per second, shared by all requests")
 	flags.DurationVar(&sim.DecodeStep, "decode-step", 0, "time between two tokens of a request")
 	flags.IntVar(&sim.MaxRunning, "max-running", 0, "requests that run at once")
-	flags.IntVar(&sim.MaxWaiting, "max-waiting", 0, "requests that may wait; 0: no bound")
-	flags.IntVar(&sim.OutputTokens, "output-tokens", 0, "tokens of an answer to a request that names no number")
+	flags.IntVar(&sim.MaxWaiting, "max-waiting", 0, "requests that may wait; 0 means no bound")
+	flags.IntVar(&sim.OutputTokens, "output-tokens", 0, "tokens of an answer whose request sets no maximum")
 	flags.StringSliceVar(&sim.Versions, "version", []string{"v1"}, "digests of the weights loaded at the start")
 	flags.StringSliceVar(&sim.Adapters, "adapter", nil, "adapters loaded at the start")
 	flags.DurationVar(&sim.LoadTime, "load-time", 0, "time to load a version")
-	flags.BoolVar(&sim.ChecksFencing, "checks-fencing", false, "refuse orders with an old fencing number")
+	flags.BoolVar(&sim.ChecksFencing, "checks-fencing", false, "refuse orders with a stale fencing number")
 	flags.IntVar(&sim.EventBuffer, "event-buffer", 0, "published cache events kept for subscribers")
 	flags.IntVar(&sim.KVBytesPerBlock, "kv-bytes-per-block", 0, "size of a block in an export")
-	flags.Float64Var(&options.KVBlocksPerSecond, "kv-rate", 0, "blocks exported or imported a second; 0: at once")
-	flags.Uint64Var(&sim.Incarnation, "incarnation", 0, "boot number; 0: one that rises with the clock")
-	flags.Uint64Var(&sim.Seed, "seed", 0, "seed of faults that strike at random")
+	flags.Float64Var(&options.KVBlocksPerSecond, "kv-rate", 0, "blocks exported or imported per second; 0 means no delay")
+	flags.Uint64Var(&sim.Incarnation, "incarnation", 0, "boot number; 0 takes the current time")
+	flags.Uint64Var(&sim.Seed, "seed", 0, "seed of random faults")
 	faultFlags(cmd, &sim.Faults)
 	cmd.PreRun = func(*cobra.Command, []string) { bootNumber(sim) }
 	return cmd
 }
 
-// bootNumber gives a process that was started again a higher number than the
-// one before it, which had nowhere to keep its own.
+// bootNumber sets the boot number from the clock if it is not given, so that a
+// restarted process gets a higher number without persistent state.
 func bootNumber(options *sim.Options) {
 	if options.Incarnation == 0 {
 		options.Incarnation = uint64(time.Now().UnixMilli())
@@ -64,7 +64,7 @@
 	flags := cmd.Flags()
 	flags.IntVar(&faults.EventDelayMS, "event-delay-ms", 0, "age at which a cache event is published")
 	flags.Float64Var(&faults.EventLoss, "event-loss", 0, "share of cache events lost")
-	flags.IntVar(&faults.StateLagMS, "state-lag-ms", 0, "age at which a load report shows")
+	flags.IntVar(&faults.StateLagMS, "state-lag-ms", 0, "age of the load in state reports")
 	flags.Float64Var(&faults.Slow, "slow", 0, "factor on the time of all work")
 }
 
@@ -87,12 +87,12 @@
 	}
 	listenFlag(cmd, &options.Listen)
 	flags := cmd.Flags()
-	flags.Float64Var(&options.WritesPerSecond, "writes", platform.DefaultWritesPerSecond, "writes granted a second")
-	flags.Float64Var(&options.ReadsPerSecond, "reads", platform.DefaultReadsPerSecond, "reads granted a second")
-	flags.IntVar(&options.WeightBytesPerSecond, "weight-rate", platform.DefaultWeightRate, "bytes of weights sent a second")
-	flags.DurationVar(&options.VMLag, "vm-lag", 0, "age at which a change of the list of VMs shows")
+	flags.Float64Var(&options.WritesPerSecond, "writes", platform.DefaultWritesPerSecond, "writes allowed per second")
+	flags.Float64Var(&options.ReadsPerSecond, "reads", platform.DefaultReadsPerSecond, "reads allowed per second")
+	flags.IntVar(&options.WeightBytesPerSecond, "weight-rate", platform.DefaultWeightRate, "bytes of weights sent per second")
+	flags.DurationVar(&options.VMLag, "vm-lag", 0, "age at which a change of the list of VMs becomes visible")
 	flags.Uint64Var(&options.Seed, "seed", 0, "seed of the lost answers")
-	flags.StringToInt64Var(&weights, "weights", nil, "known weights, digest=bytes")
+	flags.StringToInt64Var(&weights, "weights", nil, "available weights, digest=bytes")
 	return cmd
 }
 
@@ -100,7 +100,7 @@
 	var options service.Options
 	cmd := &cobra.Command{
 		Use:   "service",
-		Short: "A plain service that counts what ran",
+		Short: "A plain HTTP service that counts the calls it ran",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := service.Start(options)
@@ -112,8 +112,8 @@
 		},
 	}
 	listenFlag(cmd, &options.Listen)
-	cmd.Flags().StringVar(&options.Name, "name", "", "name in every answer")
-	cmd.Flags().DurationVar(&options.Work, "work", 0, "time that a call takes")
+	cmd.Flags().StringVar(&options.Name, "name", "", "name returned in every answer")
+	cmd.Flags().DurationVar(&options.Work, "work", 0, "duration of a call")
 	cmd.Flags().IntVar(&options.Concurrency, "concurrency", 0, "calls that run at once")
 	return cmd
 }
@@ -122,7 +122,7 @@
 	var options kvstore.Options
 	cmd := &cobra.Command{
 		Use:   "kvstore",
-		Short: "The store of kept KV cache",
+		Short: "The KV cache store",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := kvstore.Start(options)
@@ -134,6 +134,6 @@
 		},
 	}
 	listenFlag(cmd, &options.Listen)
-	cmd.Flags().IntVar(&options.Blobs, "blobs", kvstore.DefaultBlobs, "blobs kept")
+	cmd.Flags().IntVar(&options.Blobs, "blobs", kvstore.DefaultBlobs, "capacity in blobs")
 	return cmd
 }
--- a/cmd/jay-standin/main.go
+++ b/cmd/jay-standin/main.go
@@ -1,6 +1,6 @@
-// Command jay-standin runs small fakes of what the system works with: a model
-// engine, the platform, a plain service, the store of kept KV cache. For tests
-// and development; faults are switched under /faults of each.
+// Command jay-standin runs a stand-in for one of the system's dependencies, for tests
+// and development: a model engine, the platform, a plain service or the KV cache
+// store. Faults of each are set under /faults.
 package main
 
 import (
@@ -16,20 +16,20 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:          "jay-standin",
-		Short:        "Run a fake engine, platform, service or KV store",
+		Short:        "Run a stand-in engine, platform, service or KV cache store",
 		SilenceUsage: true,
 	}
 	root.AddCommand(engineCommand(), platformCommand(), serviceCommand(), kvstoreCommand())
 	return root
 }
 
-// standIn is what all fakes have in common.
+// standIn is implemented by all stand-ins.
 type standIn interface {
 	URL() string
 	Close()
 }
 
-// serve announces the address on standard output and waits for a signal.
+// serve prints the URL to standard output and waits until the command's context ends.
 func serve(cmd *cobra.Command, s standIn) {
 	defer s.Close()
 	_, _ = fmt.Fprintf(cmd.OutOrStdout(), "listening url=%s\n", s.URL())
@@ -37,5 +37,5 @@
 }
 
 func listenFlag(cmd *cobra.Command, listen *string) {
-	cmd.Flags().StringVar(listen, "listen", "127.0.0.1:0", "ip:port to listen on; port 0 takes a free one")
+	cmd.Flags().StringVar(listen, "listen", "127.0.0.1:0", "ip:port to listen on; port 0 selects a free port")
 }
--- a/tools/capacity/main.go
+++ b/tools/capacity/main.go
@@ -1,4 +1,4 @@
-// Command capacity computes docs/CAPACITY.md from the measured slopes.
+// Command capacity generates docs/CAPACITY.md from docs/slopes.json.
 package main
 
 import (
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	in := flag.String("in", "docs/slopes.json", "slopes as `make slopes` wrote them")
+	in := flag.String("in", "docs/slopes.json", "slopes file written by `make slopes`")
 	out := flag.String("out", "docs/CAPACITY.md", "page to write")
 	flag.Parse()
 	slopes, err := capacity.Load(*in)
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -1,7 +1,7 @@
 // Command knownred reads the output of `go test -json`, prints failures and a
-// summary, and passes over just the failing tests that KNOWN-RED.txt lists.
-// A listed test that passes is a failure too: its line must go. One that fails at
-// times only, as its line says, is printed whether it fails or passes.
+// summary, and tolerates the failures of exactly the tests that KNOWN-RED.txt lists.
+// A listed test that passes counts as a failure, so that stale lines are removed,
+// unless its line marks it as failing only at times.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	Output  string
 }
 
-// run is what one reading of the test output found.
+// run is the outcome of a test run.
 type run struct {
 	output  map[string][]string
 	failed  map[string]bool
@@ -36,7 +36,7 @@
 }
 
 func main() {
-	list := flag.String("list", "KNOWN-RED.txt", "file with the tests that are known to fail")
+	list := flag.String("list", "KNOWN-RED.txt", "file that lists the tests known to fail")
 	flag.Parse()
 	known, err := readList(*list)
 	if err != nil {
@@ -48,7 +48,8 @@
 	}
 }
 
-// readList returns the listed tests as package.Test, each with its whole line.
+// readList returns the lines of the listed tests by package.Test. It fails if more
+// than maxListed tests are listed.
 func readList(file string) (map[string]string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -64,7 +65,7 @@
 		known[strings.TrimSpace(name)] = line
 	}
 	if len(known) > maxListed {
-		return nil, fmt.Errorf("%s lists %d tests, %d at most", file, len(known), maxListed)
+		return nil, fmt.Errorf("%s lists %d tests, at most %d are allowed", file, len(known), maxListed)
 	}
 	return known, nil
 }
@@ -107,15 +108,15 @@
 	}
 }
 
-// report prints the verdict and tells whether it is green.
+// report prints failures and a summary, and returns whether the run passes.
 func report(r run, known map[string]string) bool {
-	green := true
+	passes := true
 	failedTests := 0
 	for _, name := range sorted(r.failed) {
-		if excused(name, r, known) {
+		if tolerated(name, r, known) {
 			continue
 		}
-		green = false
+		passes = false
 		if strings.Contains(name[strings.LastIndex(name, "/")+1:], ".") {
 			failedTests++
 		}
@@ -128,16 +129,16 @@
 		case r.passed[name] && failsAtTimes(line):
 			fmt.Printf("known red at times, passed now: %s\n", line)
 		case r.passed[name]:
-			green = false
+			passes = false
 			fmt.Printf("%s passes: remove its line from the list\n", name)
 		}
 	}
 	fmt.Printf("%d passed, %d failed, %d skipped\n", len(r.passed), failedTests, r.skipped)
-	return green && len(r.passed) > 0
+	return passes && len(r.passed) > 0
 }
 
-// atTimes begins the second field of a line whose fault shows only at times, as
-// under load.
+// atTimes begins the second field of a line whose test fails only at times, for
+// example under load.
 const atTimes = "at times:"
 
 func failsAtTimes(line string) bool {
@@ -145,13 +146,13 @@
 	return strings.HasPrefix(strings.TrimSpace(rest), atTimes)
 }
 
-// excused: the test is listed, or it is the package or parent of listed tests
-// and of no other failing test.
-func excused(name string, r run, known map[string]string) bool {
+// tolerated reports whether a failure is tolerated: the test is listed, or it is the
+// package or parent of listed tests and of no other failing test.
+func tolerated(name string, r run, known map[string]string) bool {
 	if _, ok := known[name]; ok {
 		return true
 	}
-	below := 0
+	listedInside := 0
 	for other := range r.failed {
 		inside := strings.HasPrefix(other, name+".") || strings.HasPrefix(other, name+"/")
 		if other == name || !inside {
@@ -160,9 +161,9 @@
 		if _, ok := known[other]; !ok {
 			return false
 		}
-		below++
+		listedInside++
 	}
-	return below > 0
+	return listedInside > 0
 }
 
 func sorted(set map[string]bool) []string {
--- a/tools/recovery/main.go
+++ b/tools/recovery/main.go
@@ -1,6 +1,6 @@
-// Command recovery measures, over a whole system on loopback, how long after
-// each failure callers get whole answers again at every entry. It prints a
-// table; docs/MEASUREMENTS.md takes it over.
+// Command recovery measures, on a complete system on loopback, the time from each
+// failure until callers get complete answers again from every entry. It prints a
+// Markdown table for docs/MEASUREMENTS.md.
 package main
 
 import (
@@ -29,44 +29,45 @@
 const (
 	engines = 3
 	entries = 3
-	// steady is the number of whole answers in a row, at each entry, that count
-	// as recovered.
-	steady = 10
-	// patience bounds the wait for recovery.
-	patience = 60 * time.Second
-	// pauseAfter lets the system forget one failure before the next.
-	pauseAfter  = 3 * time.Second
+	// steadyAnswers is the number of consecutive complete answers from an entry that
+	// count as recovery.
+	steadyAnswers = 10
+	// recoveryTimeout bounds the wait for recovery.
+	recoveryTimeout = 60 * time.Second
+	// settleTime lets the effects of one failure end before the next.
+	settleTime  = 3 * time.Second
 	callTimeout = 10 * time.Second
 )
 
-// failure is one thing that breaks; strike returns when it is done.
+// failure is one kind of failure. inject returns once the failure is in effect; heal,
+// if not nil, removes it.
 type failure struct {
 	name   string
-	strike func(ctx context.Context, c *cluster.Cluster) error
+	inject func(ctx context.Context, c *cluster.Cluster) error
 	heal   func(c *cluster.Cluster)
 }
 
 func failures() []failure {
 	return []failure{
-		{name: "engine crashes and comes back cold at once", strike: func(_ context.Context, c *cluster.Cluster) error {
+		{name: "engine crashes and restarts at once with an empty cache", inject: func(_ context.Context, c *cluster.Cluster) error {
 			c.Engines[0].Crash(0)
 			return nil
 		}},
-		{name: "engine is down for 2 s", strike: func(_ context.Context, c *cluster.Cluster) error {
+		{name: "engine is down for 2 s", inject: func(_ context.Context, c *cluster.Cluster) error {
 			go c.Engines[0].Crash(2 * time.Second)
 			return nil
 		}},
-		{name: "engine fails all work behind a good face", strike: func(_ context.Context, c *cluster.Cluster) error {
+		{name: "engine fails all requests, reports healthy state", inject: func(_ context.Context, c *cluster.Cluster) error {
 			c.Engines[0].SetFaults(sim.Faults{Grey: "fail"})
 			return nil
 		}, heal: func(c *cluster.Cluster) { c.Engines[0].SetFaults(sim.Faults{}) }},
-		{name: "agent killed and started again", strike: func(ctx context.Context, c *cluster.Cluster) error {
+		{name: "agent killed and started again", inject: func(ctx context.Context, c *cluster.Cluster) error {
 			return c.RestartAgent(ctx, 0)
 		}},
-		{name: "all entries killed and replaced, platform up", strike: func(ctx context.Context, c *cluster.Cluster) error {
+		{name: "all entries killed and replaced, platform up", inject: func(ctx context.Context, c *cluster.Cluster) error {
 			return c.RestartEntries(ctx)
 		}},
-		{name: "all entries killed and replaced, platform down", strike: func(ctx context.Context, c *cluster.Cluster) error {
+		{name: "all entries killed and replaced, platform down", inject: func(ctx context.Context, c *cluster.Cluster) error {
 			c.Platform.SetFaults(platform.Faults{Outage: true})
 			return c.RestartEntries(ctx)
 		}, heal: func(c *cluster.Cluster) { c.Platform.SetFaults(platform.Faults{}) }},
@@ -74,7 +75,7 @@
 }
 
 func main() {
-	rounds := flag.Int("rounds", 5, "times that each failure is caused")
+	rounds := flag.Int("rounds", 5, "number of times that each failure is injected")
 	flag.Parse()
 	cli.SilenceLogs()
 	if err := measure(*rounds); err != nil {
@@ -90,16 +91,16 @@
 		return err
 	}
 	defer c.Close()
-	if _, _, err := recovered(c); err != nil {
+	if _, _, err := awaitRecovery(c); err != nil {
 		return err
 	}
-	fmt.Println("| failure | median | worst | answers that were not whole, median |")
+	fmt.Println("| failure | median | worst | incomplete answers, median |")
 	fmt.Println("|---|---|---|---|")
 	for _, f := range failures() {
 		var times []time.Duration
 		var failed []int
 		for range rounds {
-			taken, n, err := once(ctx, c, f)
+			taken, n, err := measureOnce(ctx, c, f)
 			if err != nil {
 				return fmt.Errorf("%s: %w", f.name, err)
 			}
@@ -112,28 +113,28 @@
 	return nil
 }
 
-func once(ctx context.Context, c *cluster.Cluster, f failure) (time.Duration, int, error) {
-	if err := f.strike(ctx, c); err != nil {
+func measureOnce(ctx context.Context, c *cluster.Cluster, f failure) (time.Duration, int, error) {
+	if err := f.inject(ctx, c); err != nil {
 		return 0, 0, err
 	}
-	taken, failed, err := recovered(c)
+	taken, failed, err := awaitRecovery(c)
 	if f.heal != nil {
 		f.heal(c)
 	}
-	time.Sleep(pauseAfter)
+	time.Sleep(settleTime)
 	return taken, failed, err
 }
 
-// recovered calls every entry, all at once, until each has given whole answers
-// in a row. It returns the time to the first answer of the last such row, and
-// the answers that were not whole.
-func recovered(c *cluster.Cluster) (time.Duration, int, error) {
+// awaitRecovery calls every entry concurrently until each has returned steadyAnswers
+// complete answers in a row. It returns the time until the slowest entry's first
+// answer of that row, and the number of incomplete answers.
+func awaitRecovery(c *cluster.Cluster) (time.Duration, int, error) {
 	var group errgroup.Group
 	all := c.Entries()
 	times, failed := make([]time.Duration, len(all)), make([]int, len(all))
 	for i, one := range all {
 		group.Go(func() (err error) {
-			times[i], failed[i], err = recoveredAt(c, one)
+			times[i], failed[i], err = awaitRecoveryAt(c, one)
 			return err
 		})
 	}
@@ -145,28 +146,28 @@
 	return slices.Max(times), total, err
 }
 
-func recoveredAt(c *cluster.Cluster, one *entry.Entry) (time.Duration, int, error) {
-	start, failed, row, began := time.Now(), 0, 0, time.Duration(0)
-	for n := 0; row < steady; n++ {
-		if time.Since(start) > patience {
-			return 0, failed, fmt.Errorf("no %d whole answers in a row within %s", steady, patience)
+func awaitRecoveryAt(c *cluster.Cluster, one *entry.Entry) (time.Duration, int, error) {
+	start, failed, consecutive, recoveredAfter := time.Now(), 0, 0, time.Duration(0)
+	for n := 0; consecutive < steadyAnswers; n++ {
+		if time.Since(start) > recoveryTimeout {
+			return 0, failed, fmt.Errorf("no %d consecutive complete answers within %s", steadyAnswers, recoveryTimeout)
 		}
-		if !whole(c, one, n) {
-			row = 0
+		if !complete(c, one, n) {
+			consecutive = 0
 			failed++
 			continue
 		}
-		if row == 0 {
-			began = time.Since(start)
+		if consecutive == 0 {
+			recoveredAfter = time.Since(start)
 		}
-		row++
+		consecutive++
 	}
-	return began, failed, nil
+	return recoveredAfter, failed, nil
 }
 
-// whole makes a streamed call with a prompt of its own, so that it may go to
-// any backend server, and tells whether the answer is whole.
-func whole(c *cluster.Cluster, one *entry.Entry, n int) bool {
+// complete makes a streamed call with a unique prompt, so that any backend server may
+// be chosen, and reports whether the answer is complete.
+func complete(c *cluster.Cluster, one *entry.Entry, n int) bool {
 	body, err := json.Marshal(map[string]any{
 		"model": cluster.Model, "stream": true, "max_tokens": 4,
 		"messages": []map[string]string{{"role": "user", "content": fmt.Sprintf("recovery %d %d", n, time.Now().UnixNano())}},
--- a/tools/settingsdoc/main.go
+++ b/tools/settingsdoc/main.go
@@ -1,5 +1,4 @@
-// Command settingsdoc writes docs/operating/settings.md from the settings
-// structs, so that the page can't fall behind the code.
+// Command settingsdoc generates docs/operating/settings.md from the settings structs.
 package main
 
 import (
