--- a/tools/slopes/agent.go
+++ b/tools/slopes/agent.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// blocksAnEvent is how many blocks one cache event stores or removes here.
-	blocksAnEvent = 1
-	// claimants wait for their claims at once.
+	// blocksPerEvent is the number of blocks that one cache event stores or removes.
+	blocksPerEvent = 1
+	// claimants is the number of goroutines that take claims concurrently.
 	claimants = 512
-	// writeDelay of the platform stand-in, about that of a table 2 ms away.
+	// writeDelay simulates the round trip to the platform's table.
 	writeDelay = 2 * time.Millisecond
-	// chunkBytes is a token's event as engines send it.
+	// chunkBytes is the size of the event of one token.
 	chunkBytes = 200
 )
 
@@ -44,16 +44,16 @@
 			measure: func(n int) (float64, error) {
 				const answers = 500
 				cost, err := heapOf(func() (any, error) {
-					kept := make([]*relay.Buffer, answers)
-					for i := range kept {
-						kept[i] = relay.NewBuffer(1 << 20)
+					buffers := make([]*relay.Buffer, answers)
+					for i := range buffers {
+						buffers[i] = relay.NewBuffer(1 << 20)
 						for range n {
-							if err := kept[i].Append(make([]byte, chunkBytes)); err != nil {
-								return kept, err
+							if err := buffers[i].Append(make([]byte, chunkBytes)); err != nil {
+								return buffers, err
 							}
 						}
 					}
-					return kept, nil
+					return buffers, nil
 				})
 				return cost / answers, err
 			},
@@ -66,7 +66,7 @@
 }
 
 func storeEvent(seq uint64, block int) engine.CacheEvent {
-	blocks := make([]engine.BlockHash, blocksAnEvent)
+	blocks := make([]engine.BlockHash, blocksPerEvent)
 	for i := range blocks {
 		blocks[i] = engine.BlockHash(uint64(block+i) * 0x9e3779b97f4a7c15)
 	}
@@ -89,7 +89,8 @@
 	return index
 }
 
-// eventCPU keeps n blocks cached: each store is followed by a removal.
+// eventCPU returns the nanoseconds per event at n cached blocks. Each store is
+// followed by a removal, so that the number stays constant.
 func eventCPU(n int) (float64, error) {
 	index := filledIndex(n)
 	now, seq, oldest := time.Unix(1000, 0), uint64(n), 0
@@ -101,11 +102,11 @@
 	if index.Len() != n {
 		return 0, fmt.Errorf("index holds %d blocks, want %d", index.Len(), n)
 	}
-	const eventsARun = 2
-	return cost / eventsARun, nil
+	const eventsPerRun = 2
+	return cost / eventsPerRun, nil
 }
 
-// slowTable answers each commit after the delay of a network.
+// slowTable delays each commit by writeDelay.
 type slowTable struct{ platform.Table }
 
 // Commit implements platform.Table.
@@ -119,19 +120,19 @@
 	book := ledger.New(slowTable{memory}, ledger.Options{})
 	defer book.Close()
 	var wg sync.WaitGroup
-	faults := make(chan error, claimants)
+	errs := make(chan error, claimants)
 	for worker := range claimants {
 		wg.Go(func() {
 			for i := worker; i < n; i += claimants {
 				if _, err := book.Take(context.Background(), "w", fmt.Sprint("key-", i), "request"); err != nil {
-					faults <- err
+					errs <- err
 					return
 				}
 			}
 		})
 	}
 	wg.Wait()
-	close(faults)
+	close(errs)
 	_, writes := memory.Counts()
-	return float64(writes), <-faults
+	return float64(writes), <-errs
 }
--- a/tools/slopes/catalog.go
+++ b/tools/slopes/catalog.go
@@ -13,7 +13,7 @@
 	"github.com/jayproxy/jayproxy/internal/platform/platformtest"
 )
 
-// shortRun is enough for a mean of operations that take microseconds.
+// shortRun is long enough to average operations that take microseconds.
 const shortRun = 300 * time.Millisecond
 
 func catalogMeasurements() []measurement {
@@ -36,9 +36,9 @@
 			measure: func(n int) (float64, error) {
 				table := catalog.Build(declared(n))
 				change := &jayv1.Change{Generation: 2, Put: []*jayv1.Resource{backendServer(0)}}
-				var fault error
-				cost := nanosecondsPer(shortRun, func() { _, fault = table.Advance(change) })
-				return cost, fault
+				var lastErr error
+				cost := nanosecondsPer(shortRun, func() { _, lastErr = table.Advance(change) })
+				return cost, lastErr
 			},
 		},
 		{
@@ -78,16 +78,17 @@
 	}}}
 }
 
-// acceptCPU is the time to accept a change of one object, the check of the
-// whole catalog included, with a table that answers at once.
+// acceptCPU returns the nanoseconds to accept a change of one object in a catalog of n
+// backend servers, including the check of the complete catalog, with an in-memory
+// table.
 func acceptCPU(n int) (float64, error) {
 	memory := platformtest.New()
 	store := catalogstore.New(memory, memory, catalogstore.Options{Check: catalog.Check})
-	at := 0
+	proposals := 0
 	propose := func(resources []*jayv1.Resource) error {
-		at++
+		proposals++
 		_, err := store.Accept(context.Background(), catalogstore.Proposal{
-			ChangeID: fmt.Sprint("change-", at),
+			ChangeID: fmt.Sprint("change-", proposals),
 			Edit: func(table *catalog.Table) (catalog.Difference, error) {
 				return catalog.Diff(table, resources, false), nil
 			},
@@ -101,16 +102,16 @@
 	if err := propose(resources); err != nil {
 		return 0, err
 	}
-	var fault error
+	var lastErr error
 	cost := nanosecondsPer(shortRun, func() {
-		if err := propose([]*jayv1.Resource{declaredPool(0, uint32(at))}); err != nil {
-			fault = err
+		if err := propose([]*jayv1.Resource{declaredPool(0, uint32(proposals))}); err != nil {
+			lastErr = err
 		}
 	})
-	return cost, fault
+	return cost, lastErr
 }
 
-// poolCount is the number of pools that backendServer spreads over.
+// poolCount is the number of pools that backendServer assigns servers to.
 const poolCount = 26
 
 func declaredPool(i int, minReady uint32) *jayv1.Resource {
--- a/tools/slopes/control.go
+++ b/tools/slopes/control.go
@@ -17,26 +17,29 @@
 )
 
 const (
-	// agentsPerEntry is the ratio of the letter: 7,000 runners behind 810 nodes.
+	// agentsPerEntry is the forecast ratio of 7,000 backend servers to 810 entries,
+	// rounded up.
 	agentsPerEntry = 9
-	// changesPerSecond is 16,000 changes a day.
+	// changesPerSecond is the forecast rate of 16,000 changes a day.
 	changesPerSecond = 16000.0 / 86400
-	// controlWarmup lets the processes find each other and open connections.
-	controlWarmup = 8 * time.Second
-	controlWatch  = 60 * time.Second
-	// headersPerPacket of IPv4 and UDP, which QUIC does not count.
+	// controlWarmup lets the processes discover each other and open connections.
+	controlWarmup   = 8 * time.Second
+	controlInterval = 60 * time.Second
+	// headersPerPacket is the size in bytes of the IPv4 and UDP headers, which the
+	// traffic counters of transport do not include.
 	headersPerPacket = 28
 )
 
-// controlCost is what control costs a node, on the mean of its role.
+// controlCost is the cost of control traffic per process, as the mean of its role
+// unless a field says otherwise.
 type controlCost struct {
-	entryBytes, agentBytes float64 // a second, sent and received
-	entryBytesMost         float64
-	entryFrames            float64 // messages a second, sent and received
+	entryBytes, agentBytes float64 // bytes per second, sent and received
+	entryBytesMost         float64 // the same of the entry with the most
+	entryFrames            float64 // messages per second, sent and received
 	agentFrames            float64
-	cpuShare               float64 // of a core, a node, both roles together
-	reads                  float64 // of the platform a second, all nodes
-	spreadSeconds          float64 // of the slowest change, until in force everywhere
+	cpuShare               float64 // share of a core per process, mean of both roles
+	reads                  float64 // platform reads per second, all processes
+	spreadSeconds          float64 // time until in force in all processes, slowest change
 }
 
 var controlRuns = map[int]controlCost{}
@@ -76,7 +79,8 @@
 	}
 }
 
-// member is one light process: a node, a holder and the spread.
+// member is one simulated entry or agent with only the parts that control traffic
+// needs: transport node, catalog holder and spread service.
 type member struct {
 	node   *transport.Node
 	holder *catalog.Holder
@@ -92,7 +96,7 @@
 	_ = m.node.Close()
 }
 
-// controlFleet is light entries and agents on one in-memory platform.
+// controlFleet is a set of simulated entries and agents with an in-memory platform.
 type controlFleet struct {
 	dir       string
 	authority *keys.Authority
@@ -111,7 +115,7 @@
 		return controlCost{}, err
 	}
 	time.Sleep(controlWarmup)
-	return f.watch()
+	return f.measure()
 }
 
 func newControlFleet(entries, agents int) (*controlFleet, error) {
@@ -121,13 +125,13 @@
 	}
 	f := &controlFleet{dir: dir, platform: platformtest.New()}
 	f.store = catalogstore.New(f.platform, f.platform, catalogstore.Options{})
-	if f.authority, err = keys.NewAuthority(keyLifetime); err != nil {
+	if f.authority, err = keys.NewAuthority(keyValidity); err != nil {
 		return f, err
 	}
 	var vms []platform.VM
 	var declared []*jayv1.Resource
 	for i := range agents {
-		m, err := f.join(keys.Identity{Role: keys.RoleAgent, Name: fmt.Sprintf("runner-%05d", i)})
+		m, err := f.addMember(keys.Identity{Role: keys.RoleAgent, Name: fmt.Sprintf("runner-%05d", i)})
 		if err != nil {
 			return f, err
 		}
@@ -142,7 +146,7 @@
 	}
 	for i := range entries {
 		name := fmt.Sprintf("entry-%04d", i)
-		m, err := f.join(keys.Identity{Role: keys.RoleEntry, Name: name})
+		m, err := f.addMember(keys.Identity{Role: keys.RoleEntry, Name: name})
 		if err != nil {
 			return f, err
 		}
@@ -153,8 +157,8 @@
 	return f, f.startSpread()
 }
 
-func (f *controlFleet) join(id keys.Identity) (*member, error) {
-	cert, err := f.authority.Issue(id, keyLifetime)
+func (f *controlFleet) addMember(id keys.Identity) (*member, error) {
+	cert, err := f.authority.Issue(id, keyValidity)
 	if err != nil {
 		return nil, err
 	}
@@ -195,7 +199,7 @@
 	return nil
 }
 
-// declare returns the generation that the change made.
+// declare applies a change and returns its generation.
 func (f *controlFleet) declare(resources []*jayv1.Resource) (uint64, error) {
 	accepted, err := f.store.Accept(context.Background(), catalogstore.Proposal{
 		ChangeID: fmt.Sprintf("change-%d", time.Now().UnixNano()),
@@ -206,8 +210,9 @@
 	return accepted.Generation, err
 }
 
-// watch counts what control costs while changes come at the letter's rate.
-func (f *controlFleet) watch() (controlCost, error) {
+// measure determines the cost of control traffic while changes arrive at
+// changesPerSecond.
+func (f *controlFleet) measure() (controlCost, error) {
 	all := append(append([]*member{}, f.entries...), f.agents...)
 	for _, m := range all {
 		m.before, m.frames = m.node.Traffic(), m.allFrames()
@@ -215,7 +220,7 @@
 	readsBefore, _ := f.platform.Counts()
 	cpu, start := cpuSeconds(), time.Now()
 	cost := controlCost{}
-	for n := 1; time.Since(start) < controlWatch; n++ {
+	for n := 1; time.Since(start) < controlInterval; n++ {
 		next := start.Add(time.Duration(float64(n) / changesPerSecond * float64(time.Second)))
 		changed := time.Now()
 		generation, err := f.declare([]*jayv1.Resource{changedPool(n)})
@@ -246,7 +251,8 @@
 	return cost, nil
 }
 
-// awaitGeneration waits until the generation is in force in every process.
+// awaitGeneration waits until the generation is in force in every process and returns
+// the time since the change.
 func awaitGeneration(all []*member, generation uint64, since time.Time) (time.Duration, error) {
 	const limit = 30 * time.Second
 	for time.Since(since) < limit {
@@ -259,15 +265,16 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return 0, fmt.Errorf("a change was not in force everywhere after %s", limit)
+	return 0, fmt.Errorf("a change was not in force in all processes after %s", limit)
 }
 
-// allFrames is the messages sent and received so far.
+// allFrames returns the number of messages sent and received so far.
 func (m *member) allFrames() uint64 {
 	return m.node.Stats.FramesSent.Load() + m.node.Stats.FramesReceived.Load()
 }
 
-// bytesSince the watch began, sent and received, with UDP and IP headers.
+// bytesSince returns the bytes sent and received since measure began, with UDP and IP
+// headers.
 func (m *member) bytesSince() float64 {
 	now := m.node.Traffic()
 	payload := now.BytesSent - m.before.BytesSent + now.BytesReceived - m.before.BytesReceived
--- a/tools/slopes/gossip.go
+++ b/tools/slopes/gossip.go
@@ -14,8 +14,8 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// exchangeGap lets acknowledgements that are held back go out between two
-// exchanges, as they do in service.
+// exchangeGap separates two exchanges so that delayed acknowledgements are sent in
+// between, as in production.
 const exchangeGap = 30 * time.Millisecond
 
 func gossipMeasurements() []measurement {
@@ -45,7 +45,7 @@
 
 type exchangeCost struct{ bytes, cpu float64 }
 
-// exchanges makes n exchanges of digests on one connection.
+// exchanges makes n exchanges of digests on one connection and returns their total cost.
 func exchanges(n int) (exchangeCost, error) {
 	f, err := newFleet(1)
 	if err != nil {
@@ -98,18 +98,18 @@
 	router := routing.New(routing.Options{Seed: 1})
 	now := time.Unix(1000, 0)
 	state := agentState(versions)
-	var fault error
+	var lastErr error
 	cost := nanosecondsPer(shortRun, func() {
 		encoded, err := proto.Marshal(state)
 		if err != nil {
-			fault = err
+			lastErr = err
 		}
 		decoded := &jayv1.AgentState{}
 		if err := proto.Unmarshal(encoded, decoded); err != nil {
-			fault = err
+			lastErr = err
 		}
 		now = now.Add(time.Millisecond)
 		router.Learn(now, decoded.GetBackendServer(), decoded)
 	})
-	return cost, fault
+	return cost, lastErr
 }
--- a/tools/slopes/main.go
+++ b/tools/slopes/main.go
@@ -1,6 +1,6 @@
-// Command slopes measures how cost grows with count, at least three counts
-// each doubled, and writes the lines fitted through them as JSON.
-// docs/CAPACITY.md is computed from that file.
+// Command slopes measures how costs grow with counts, at three or more counts that
+// double each time, and writes the fitted lines as JSON. tools/capacity computes
+// docs/CAPACITY.md from that file.
 package main
 
 import (
@@ -14,20 +14,20 @@
 	"github.com/jayproxy/jayproxy/internal/capacity"
 )
 
-// measurement gives one slope: the value at each count.
+// measurement defines one slope.
 type measurement struct {
 	name  string
 	xUnit string
 	yUnit string
-	// counts, each the double of the one before.
+	// counts at which to measure, each double the previous one.
 	counts []int
 	// measure returns the value at a count.
 	measure func(count int) (float64, error)
 }
 
 func main() {
-	out := flag.String("out", "docs/slopes.json", "file to write; slopes in it that are not run now stay")
-	only := flag.String("only", ".", "regular expression of the names to run")
+	out := flag.String("out", "docs/slopes.json", "file to write; slopes in it that are not measured now are kept")
+	only := flag.String("only", ".", "regular expression of the names to measure")
 	flag.Parse()
 	pattern, err := regexp.Compile(*only)
 	if err != nil {
@@ -90,7 +90,7 @@
 	os.Exit(1)
 }
 
-// doubled returns n counts from the first, each the double of the one before.
+// doubled returns n counts from first on, each double the previous one.
 func doubled(first, n int) []int {
 	counts := make([]int, n)
 	for i := range counts {
--- a/tools/slopes/measure.go
+++ b/tools/slopes/measure.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// heapOf returns the bytes of heap and stacks that keep alive what build returns.
+// heapOf returns the growth of heap and stacks in bytes while the result of build is
+// reachable.
 func heapOf(build func() (keep any, err error)) (float64, error) {
 	before := liveBytes()
 	keep, err := build()
@@ -17,7 +18,7 @@
 }
 
 func liveBytes() float64 {
-	// Twice: finalizers of the first run free more in the second.
+	// Twice, since objects with finalizers are freed only by the second collection.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -25,8 +26,8 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// nanosecondsPer runs the function for at least the time and returns the mean
-// nanoseconds of one run.
+// nanosecondsPer calls run repeatedly for at least the given time and returns the mean
+// nanoseconds per call.
 func nanosecondsPer(least time.Duration, run func()) float64 {
 	run()
 	start := time.Now()
@@ -38,7 +39,7 @@
 	return float64(time.Since(start).Nanoseconds()) / float64(n)
 }
 
-// cpuSeconds is the processor time that this process has used, user and system.
+// cpuSeconds returns the CPU time used by this process, user and system.
 func cpuSeconds() float64 {
 	var usage unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
--- a/tools/slopes/routing.go
+++ b/tools/slopes/routing.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// document is one request of a rulebook.
+// document returns a request whose prompt begins with the text of a rulebook.
 func document(rulebook, number int) *routing.Request {
 	chain := prefix.Chain(prefix.Seed{Workspace: "w"}, []string{
 		strings.Repeat("i", 2000), fmt.Sprint("rulebook ", rulebook, strings.Repeat("r", 8000)), fmt.Sprint("line ", number),
@@ -99,7 +99,8 @@
 
 var poolPolicy = &routing.PoolPolicy{Pool: "p", RecomputeWeight: 0.5, BytesPerToken: 4, SharedLevel: 2}
 
-// warmRouter has heard of n servers and remembers about the number of points.
+// warmRouter returns a router that has the state of n servers and the locations of at
+// least the given number of prefix points.
 func warmRouter(n, points int) (*routing.Router, error) {
 	r := routing.New(routing.Options{DataCentre: "dc-00", Region: "region-0", Seed: 1})
 	set := routing.NewSet("p", servers(n))
@@ -129,13 +130,13 @@
 		requests[i] = document(i, i)
 	}
 	now, at := time.Unix(1000, 0), 0
-	var fault error
+	var lastErr error
 	cost := nanosecondsPer(shortRun, func() {
 		at++
 		now = now.Add(time.Millisecond)
 		if _, err := r.Choose(now, requests[at%len(requests)], poolPolicy, set, nil); err != nil {
-			fault = err
+			lastErr = err
 		}
 	})
-	return cost, fault
+	return cost, lastErr
 }
--- a/tools/slopes/transport.go
+++ b/tools/slopes/transport.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	keyLifetime = time.Hour
-	// idleWatch is how long idle connections are watched for their cost.
-	idleWatch = 6 * time.Second
+	keyValidity = time.Hour
+	// idleInterval is how long the CPU time of idle connections is measured.
+	idleInterval = 6 * time.Second
 )
 
 func transportMeasurements() []measurement {
@@ -40,7 +40,7 @@
 	}
 }
 
-// fleet is one dialling node and some accepting ones, in this process.
+// fleet is one client node and several server nodes in this process.
 type fleet struct {
 	client  *transport.Node
 	servers []*transport.Node
@@ -54,12 +54,12 @@
 		return nil, err
 	}
 	f := &fleet{dir: dir}
-	authority, err := keys.NewAuthority(keyLifetime)
+	authority, err := keys.NewAuthority(keyValidity)
 	if err != nil {
 		return nil, err
 	}
 	listen := func(role keys.Role, name string) (*transport.Node, error) {
-		cert, err := authority.Issue(keys.Identity{Role: role, Name: name}, keyLifetime)
+		cert, err := authority.Issue(keys.Identity{Role: role, Name: name}, keyValidity)
 		if err != nil {
 			return nil, err
 		}
@@ -70,7 +70,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return transport.Listen(transport.Options{Address: "127.0.0.1:0"}, creds, hold)
+		return transport.Listen(transport.Options{Address: "127.0.0.1:0"}, creds, serveStream)
 	}
 	if f.client, err = listen(keys.RoleEntry, "entry"); err != nil {
 		return nil, err
@@ -85,8 +85,8 @@
 	return f, nil
 }
 
-// hold answers each frame and keeps the stream until the peer ends it.
-func hold(_ context.Context, _ keys.Identity, s *transport.Stream) {
+// serveStream answers each frame until the peer ends the stream.
+func serveStream(_ context.Context, _ keys.Identity, s *transport.Stream) {
 	var in jayv1.ClientFrame
 	for s.Receive(&in) == nil {
 		if s.Send(&jayv1.ServerFrame{Frame: &jayv1.ServerFrame_Status{Status: &jayv1.ProcessStatus{Role: "agent"}}}) != nil {
@@ -95,7 +95,8 @@
 	}
 }
 
-// connect opens a connection to every server and leaves some streams open on each.
+// connect opens a connection to every server and leaves the given number of streams
+// open on each.
 func (f *fleet) connect(streams int) error {
 	for _, server := range f.servers {
 		for i := range max(streams, 1) {
@@ -146,13 +147,13 @@
 		return 0, err
 	}
 	before := cpuSeconds()
-	time.Sleep(idleWatch)
+	time.Sleep(idleInterval)
 	const microseconds = 1e6
-	return (cpuSeconds() - before) / idleWatch.Seconds() * microseconds, nil
+	return (cpuSeconds() - before) / idleInterval.Seconds() * microseconds, nil
 }
 
-// handshakeBytes counts what opening n connections costs, with the one small
-// question that each is opened for.
+// handshakeBytes returns the bytes sent and received to open n connections, each with
+// one small request.
 func handshakeBytes(n int) (float64, error) {
 	f, err := newFleet(n)
 	if err != nil {
--- a/tools/soak/callers.go
+++ b/tools/soak/callers.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	// callTimeout bounds one call of a caller.
+	// callTimeout bounds one call.
 	callTimeout = 30 * time.Second
-	// thinkTime between two calls of a caller, at most.
+	// thinkTime is the maximum pause between two calls of a caller.
 	thinkTime = 60 * time.Millisecond
 	maxTokens = 40
 	rulebooks = 12
-	// bookingShare of the calls are bookings.
+	// bookingShare is the share of calls that are bookings.
 	bookingShare = 0.3
 )
 
-// caller sends one call after the other.
+// caller sends calls one after the other.
 type caller struct {
 	id       int
 	random   *rand.Rand
@@ -43,7 +43,7 @@
 	for id := range callers {
 		c := &caller{
 			id: id, random: rand.New(rand.NewPCG(seed, uint64(id)+1)), recorder: r,
-			// Without kept connections the client never sends a call twice by itself.
+			// Without keep-alive connections the client never retries a call by itself.
 			client: &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 		}
 		wg.Go(func() {
@@ -92,28 +92,27 @@
 
 func (c *caller) workspace() int { return c.id % len(c.recorder.cluster.Options.Workspaces) }
 
-// book confirms a booking, now and then again under a key that was used.
+// book confirms a booking, at times with an idempotency key used before.
 func (c *caller) book(url string, n int) {
 	id := fmt.Sprintf("b%d-%d", c.id, n)
 	key := ""
 	const keyed = 4
 	if c.random.IntN(keyed) > 0 {
-		// Callers of one workspace share keys; those of different ones do not,
-		// since a key belongs to its workspace and may run once in each.
+		// Keys are unique per workspace: the same key may run once in each workspace.
 		key = fmt.Sprintf("k%d-%d", c.workspace(), n-c.random.IntN(3))
 	}
 	response, err := c.post(url+"/services/"+cluster.Service+"/confirm", key, []byte(`{"id":"`+id+`"}`))
 	if err != nil {
-		c.recorder.booked(key, id, "", err)
+		c.recorder.recordBooking(key, id, "", err)
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err == nil && response.StatusCode == http.StatusOK {
-		c.recorder.booked(key, id, "done", nil)
+		c.recorder.recordBooking(key, id, "done", nil)
 		return
 	}
-	c.recorder.booked(key, id, outcomeOf(body), err)
+	c.recorder.recordBooking(key, id, outcomeOf(body), err)
 }
 
 func outcomeOf(body []byte) string {
@@ -126,7 +125,7 @@
 	return answer.Error.Outcome
 }
 
-// chat reads a stream and checks each word of it.
+// chat makes a streamed call and checks each token of the answer.
 func (c *caller) chat(url string, n int) {
 	messages := []map[string]string{
 		{"role": "system", "content": strings.Repeat("instructions ", 40)},
@@ -136,33 +135,33 @@
 	tokens := 1 + c.random.IntN(maxTokens)
 	body, err := json.Marshal(map[string]any{"model": cluster.Model, "stream": true, "max_tokens": tokens, "messages": messages})
 	if err != nil {
-		c.recorder.fault(err.Error())
+		c.recorder.violation(err.Error())
 		return
 	}
 	parts, err := prefix.Render(body)
 	if err != nil {
-		c.recorder.fault(err.Error())
+		c.recorder.violation(err.Error())
 		return
 	}
 	response, err := c.post(url+"/v1/chat/completions", "", body)
 	if err != nil {
-		c.recorder.streamed("", "cut", nil)
+		c.recorder.recordStream("", "cut", nil)
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
 	id := response.Header.Get(entry.HeaderRequestID)
 	if response.StatusCode != http.StatusOK {
 		refusal, _ := io.ReadAll(response.Body)
-		c.recorder.streamed(id, "refused "+outcomeOf(refusal), nil)
+		c.recorder.recordStream(id, "refused "+outcomeOf(refusal), nil)
 		return
 	}
 	ended, err := checkStream(response.Body, sim.TagText(sim.Tag(parts)), tokens)
-	c.recorder.streamed(id, ended, err)
+	c.recorder.recordStream(id, ended, err)
 }
 
-// checkStream reads an answer to its end and returns how it ended. The error
-// tells of words that are not the caller's own, missing or doubled, and of an
-// end without a word.
+// checkStream reads an answer to its end and returns how it ended. The error reports
+// tokens that belong to another request, are missing or repeated, and a stream that
+// ended without [DONE] or an error event.
 func checkStream(body io.Reader, tag string, tokens int) (string, error) {
 	scanner := bufio.NewScanner(body)
 	next, failed := 0, false
@@ -172,7 +171,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			return wholeOrNot(failed, next, tokens)
+			return checkComplete(failed, next, tokens)
 		}
 		var event struct {
 			Error   *struct{} `json:"error"`
@@ -183,16 +182,16 @@
 			} `json:"choices"`
 		}
 		if err := json.Unmarshal([]byte(data), &event); err != nil {
-			return "broken", fmt.Errorf("event is no JSON: %s", data)
+			return "invalid", fmt.Errorf("event is not valid JSON: %s", data)
 		}
 		if event.Error != nil {
 			failed = true
 			continue
 		}
 		for _, choice := range event.Choices {
-			for _, word := range strings.Fields(choice.Delta.Content) {
-				if want := fmt.Sprintf("%s.%d", tag, next); word != want {
-					return "wrong", fmt.Errorf("got %q, want %q", word, want)
+			for _, token := range strings.Fields(choice.Delta.Content) {
+				if want := fmt.Sprintf("%s.%d", tag, next); token != want {
+					return "wrong", fmt.Errorf("got %q, want %q", token, want)
 				}
 				next++
 			}
@@ -202,17 +201,17 @@
 		return "error event", nil
 	}
 	if scanner.Err() != nil {
-		return "cut", nil // The entry was killed: the connection itself broke.
+		return "cut", nil // The entry was killed and the connection closed.
 	}
-	return "silent", fmt.Errorf("the stream ended without a word after %d tokens", next)
+	return "truncated", fmt.Errorf("the stream ended without [DONE] or an error event after %d tokens", next)
 }
 
-func wholeOrNot(failed bool, got, want int) (string, error) {
+func checkComplete(failed bool, got, want int) (string, error) {
 	switch {
 	case failed:
-		return "both", fmt.Errorf("an error event and [DONE] in one stream")
+		return "both", fmt.Errorf("the stream has both an error event and [DONE]")
 	case got != want:
 		return "short", fmt.Errorf("[DONE] after %d of %d tokens", got, want)
 	}
-	return "whole", nil
+	return "complete", nil
 }
--- a/tools/soak/faults.go
+++ b/tools/soak/faults.go
@@ -12,34 +12,34 @@
 	"github.com/jayproxy/jayproxy/internal/standin/service"
 )
 
-// faultGap is the time from one step of the injector to the next.
-const faultGap = 400 * time.Millisecond
+// faultInterval is the time between two steps of the injector.
+const faultInterval = 400 * time.Millisecond
 
-// injector breaks one thing at each step, by a seeded plan, and mends most of
-// what it broke some steps later.
+// injector applies one step at a time, chosen at random from a seed. One of the steps
+// removes all faults of engines, services and platform.
 type injector struct {
 	cluster *cluster.Cluster
 	random  *rand.Rand
 	steps   []step
 }
 
-// step is one kind of fault; weight is how often it comes.
+// step is one kind of fault; weight is its relative frequency.
 type step struct {
 	name   string
 	weight int
-	strike func(ctx context.Context) error
+	inject func(ctx context.Context) error
 }
 
 func newInjector(c *cluster.Cluster, seed uint64) *injector {
 	i := &injector{cluster: c, random: rand.New(rand.NewPCG(seed, seed))}
 	i.steps = []step{
-		{"heal all", 8, i.heal},
+		{"clear all faults", 8, i.clearFaults},
 		{"engine crash", 4, i.crash},
 		{"engine events lost", 3, i.engineFaults(sim.Faults{EventLoss: 0.5, EventDoubled: 0.1, EventReordered: 0.1})},
 		{"engine answers crossed", 3, i.engineFaults(sim.Faults{AnswerCrossed: 0.2, AnswerDoubled: 0.2, AnswerLate: 0.1})},
 		{"engine answers swapped", 2, i.engineFaults(sim.Faults{AnswerSwapped: 0.2})},
 		{"engine streams break", 3, i.engineFaults(sim.Faults{BreakShare: 0.3, BreakAfter: 3})},
-		{"engine fails behind a good face", 2, i.engineFaults(sim.Faults{Grey: "fail"})},
+		{"engine fails, reports healthy state", 2, i.engineFaults(sim.Faults{Grey: "fail"})},
 		{"engine slow", 3, i.engineFaults(sim.Faults{Slow: 8, StateLagMS: 2000})},
 		{"platform outage", 2, i.platformFaults(platform.Faults{Outage: true})},
 		{"platform loses answers", 4, i.platformFaults(platform.Faults{LostAnswers: 0.4})},
@@ -53,19 +53,19 @@
 }
 
 func (i *injector) run(ctx context.Context, r *recorder) {
-	ticker := time.NewTicker(faultGap)
+	ticker := time.NewTicker(faultInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			_ = i.heal(context.Background())
+			_ = i.clearFaults(context.Background())
 			return
 		case <-ticker.C:
 		}
 		chosen := i.choose()
-		r.struck(chosen.name)
-		if err := chosen.strike(context.Background()); err != nil {
-			r.fault(fmt.Sprintf("injector: %s: %v", chosen.name, err))
+		r.recordFault(chosen.name)
+		if err := chosen.inject(context.Background()); err != nil {
+			r.violation(fmt.Sprintf("injector: %s: %v", chosen.name, err))
 		}
 	}
 }
@@ -84,7 +84,7 @@
 	return i.steps[0]
 }
 
-func (i *injector) heal(context.Context) error {
+func (i *injector) clearFaults(context.Context) error {
 	for _, one := range i.cluster.Engines {
 		one.SetFaults(sim.Faults{})
 	}
@@ -125,7 +125,7 @@
 
 func (i *injector) killEntries(ctx context.Context) error { return i.cluster.RestartEntries(ctx) }
 
-// killAgent takes the agent of an engine or of a service.
+// killAgent restarts the agent of an engine or of a service.
 func (i *injector) killAgent(ctx context.Context) error {
 	return i.cluster.RestartAgent(ctx, i.random.IntN(len(i.cluster.Agents)))
 }
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -1,7 +1,7 @@
-// Command soak runs a whole system on loopback under seeded random faults and
-// checks all the while what must always hold: every stream is whole and its
-// caller's own or ends in an explicit error, "not run" is true, a booking with
-// a key runs at most once. `make soak` runs it for ten minutes.
+// Command soak runs a complete system on loopback under seeded random faults and
+// checks its invariants: every stream is complete and belongs to its caller, or ends
+// in an explicit error; a call reported as "not run" did not run; a booking with an
+// idempotency key runs at most once. `make soak` runs it for ten minutes.
 package main
 
 import (
@@ -21,24 +21,24 @@
 	engines  = 4
 	services = 2
 	entries  = 3
-	// progressEvery is how often a line says how far the run is.
+	// progressEvery is the interval between progress lines.
 	progressEvery = 30 * time.Second
-	// settleTime lets calls end after the last fault.
+	// settleTime bounds the wait for recovery after the last fault.
 	settleTime = 30 * time.Second
 )
 
 func main() {
 	length := flag.Duration("for", 10*time.Minute, "length of the run")
 	seed := flag.Uint64("seed", 1, "seed of faults and callers")
-	callers := flag.Int("callers", 24, "callers at once")
+	callers := flag.Int("callers", 24, "number of concurrent callers")
 	flag.Parse()
 	cli.SilenceLogs()
-	faults, err := run(*length, *seed, *callers)
+	violations, err := run(*length, *seed, *callers)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	if faults > 0 {
+	if violations > 0 {
 		os.Exit(1)
 	}
 }
@@ -69,9 +69,9 @@
 	go progress(faultCtx, r)
 	callAll(faultCtx, r, seed, callers)
 	<-done
-	settled, cancel := context.WithTimeout(ctx, settleTime)
+	settleCtx, cancel := context.WithTimeout(ctx, settleTime)
 	defer cancel()
-	r.checkRecovered(settled)
+	r.checkRecovered(settleCtx)
 	r.checkRuns()
 	return r.report(os.Stdout), nil
 }
--- a/tools/soak/recorder.go
+++ b/tools/soak/recorder.go
@@ -14,20 +14,21 @@
 	"github.com/jayproxy/jayproxy/internal/standin/cluster"
 )
 
-// shownFaults bounds the violations that the report spells out.
-const shownFaults = 20
+// shownViolations bounds the violations that the report lists.
+const shownViolations = 20
 
-// recorder notes what callers heard and checks it against what ran.
+// recorder records the outcomes that callers received and compares them with the runs
+// that the stand-ins counted.
 type recorder struct {
 	cluster *cluster.Cluster
 	began   time.Time
 
-	mu      sync.Mutex
-	faults  []string
-	ends    map[string]int
-	strikes map[string]int
-	// notRun holds request ids of streams, and ids of bookings without a key,
-	// that were refused as not run.
+	mu         sync.Mutex
+	violations []string
+	ends       map[string]int
+	injected   map[string]int
+	// notRunStreams and notRunBookings are the request ids of streams, and the ids of
+	// bookings without a key, that were reported as not run.
 	notRunStreams  []string
 	notRunBookings []string
 	doneKeys       map[string]bool
@@ -35,24 +36,24 @@
 }
 
 func newRecorder(c *cluster.Cluster) *recorder {
-	return &recorder{cluster: c, began: time.Now(), ends: map[string]int{}, strikes: map[string]int{}, doneKeys: map[string]bool{}}
+	return &recorder{cluster: c, began: time.Now(), ends: map[string]int{}, injected: map[string]int{}, doneKeys: map[string]bool{}}
 }
 
-func (r *recorder) fault(text string) {
+func (r *recorder) violation(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = append(r.faults, fmt.Sprintf("%s: %s", time.Since(r.began).Round(time.Millisecond), text))
+	r.violations = append(r.violations, fmt.Sprintf("%s: %s", time.Since(r.began).Round(time.Millisecond), text))
 }
 
-func (r *recorder) struck(name string) {
+func (r *recorder) recordFault(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.strikes[name]++
+	r.injected[name]++
 }
 
-func (r *recorder) streamed(id, ended string, err error) {
+func (r *recorder) recordStream(id, ended string, err error) {
 	if err != nil {
-		r.fault(fmt.Sprintf("stream %s: %v", id, err))
+		r.violation(fmt.Sprintf("stream %s: %v", id, err))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,11 +62,11 @@
 		r.notRunStreams = append(r.notRunStreams, id)
 	}
 	if ended == "refused " {
-		r.faults = append(r.faults, "stream "+id+" refused without an outcome")
+		r.violations = append(r.violations, "stream "+id+" refused without an outcome")
 	}
 }
 
-func (r *recorder) booked(key, id, outcome string, err error) {
+func (r *recorder) recordBooking(key, id, outcome string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil || outcome == "" {
@@ -80,7 +81,8 @@
 	}
 }
 
-// checkRuns compares what callers heard with what the stand-ins counted.
+// checkRuns compares the outcomes that callers received with the runs that the
+// stand-ins counted.
 func (r *recorder) checkRuns() {
 	engineRuns, serviceRuns := map[string]int{}, map[string]int{}
 	for _, one := range r.cluster.Engines {
@@ -96,34 +98,34 @@
 	}
 	for id, n := range serviceRuns {
 		if n > 1 {
-			r.fault(fmt.Sprintf("booking %s ran %d times", id, n))
+			r.violation(fmt.Sprintf("booking %s ran %d times", id, n))
 		}
 	}
 	for key := range r.doneKeys {
 		if serviceRuns[key] != 1 {
-			r.fault(fmt.Sprintf("booking %s was told done and ran %d times", key, serviceRuns[key]))
+			r.violation(fmt.Sprintf("booking %s was reported done and ran %d times", key, serviceRuns[key]))
 		}
 	}
 	for _, id := range r.notRunBookings {
 		if serviceRuns[id] > 0 {
-			r.fault("booking " + id + " was told not run and ran")
+			r.violation("booking " + id + " was reported not run and ran")
 		}
 	}
 	for _, id := range r.notRunStreams {
 		if engineRuns[id] > 0 {
-			r.fault("request " + id + " was told not run and ran")
+			r.violation("request " + id + " was reported not run and ran")
 		}
 	}
 }
 
-// checkRecovered waits until a stream is whole again at every entry.
+// checkRecovered waits until every entry serves a complete stream again.
 func (r *recorder) checkRecovered(ctx context.Context) {
 	start := time.Now()
 	for i, one := range r.cluster.Entries() {
 		c := &caller{id: i, random: rand.New(rand.NewPCG(1, 1)), recorder: r, client: &http.Client{Timeout: callTimeout}}
 		for !c.works(one.CallersURL()) {
 			if ctx.Err() != nil {
-				r.fault(fmt.Sprintf("entry %d serves no whole stream after the faults", i))
+				r.violation(fmt.Sprintf("entry %d serves no complete stream after the faults", i))
 				return
 			}
 			time.Sleep(20 * time.Millisecond)
@@ -132,38 +134,38 @@
 	r.recovery = time.Since(start)
 }
 
-// works tells whether a short stream through the entry is whole.
+// works reports whether a stream through the entry is complete.
 func (c *caller) works(url string) bool {
 	r := c.recorder
 	r.mu.Lock()
-	before := r.ends["stream whole"]
+	before := r.ends["stream complete"]
 	r.mu.Unlock()
 	c.chat(url, -1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ends["stream whole"] > before
+	return r.ends["stream complete"] > before
 }
 
 func (r *recorder) summary() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fmt.Sprintf("%s: %s; violations %d", time.Since(r.began).Round(time.Second), counts(r.ends), len(r.faults))
+	return fmt.Sprintf("%s: %s; violations %d", time.Since(r.began).Round(time.Second), counts(r.ends), len(r.violations))
 }
 
-// report prints the end of the run and returns the number of violations.
+// report prints the results of the run and returns the number of violations.
 func (r *recorder) report(out io.Writer) int {
 	_, _ = fmt.Fprintln(out, r.summary())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, _ = fmt.Fprintf(out, "faults injected: %s\nwhole streams at every entry %s after the last fault\n", counts(r.strikes), r.recovery.Round(time.Millisecond))
-	for i, fault := range r.faults {
-		if i == shownFaults {
-			_, _ = fmt.Fprintf(out, "and %d more\n", len(r.faults)-shownFaults)
+	_, _ = fmt.Fprintf(out, "faults injected: %s\ncomplete streams at every entry %s after the last fault\n", counts(r.injected), r.recovery.Round(time.Millisecond))
+	for i, violation := range r.violations {
+		if i == shownViolations {
+			_, _ = fmt.Fprintf(out, "and %d more\n", len(r.violations)-shownViolations)
 			break
 		}
-		_, _ = fmt.Fprintln(out, "VIOLATION", fault)
+		_, _ = fmt.Fprintln(out, "VIOLATION", violation)
 	}
-	return len(r.faults)
+	return len(r.violations)
 }
 
 func counts(of map[string]int) string {
