--- a/test/history/catalog_test.go
+++ b/test/history/catalog_test.go
@@ -19,15 +19,15 @@
 	"github.com/jayproxy/jayproxy/internal/platform/platformtest"
 )
 
-// catalogInput is an apply of a value, on condition of a generation when expect
-// is not 0, or a read.
+// catalogInput is either a read or a write of a value, conditional on a generation
+// when expect is not 0.
 type catalogInput struct {
 	read   bool
 	value  uint32
 	expect uint64
 }
 
-// catalogOutput is what the operator was told.
+// catalogOutput is the result that the operator received.
 type catalogOutput struct {
 	generation uint64
 	value      uint32
@@ -36,19 +36,19 @@
 	unknown    bool
 }
 
-// catalogState is the register: its value and the generation that set it.
+// catalogState is the state of the register: its value and the generation that set it.
 type catalogState struct {
 	generation uint64
 	value      uint32
 }
 
-// catalogModel is a register whose generation rises by one with each write.
+// catalogModel is a register whose generation increases by one with each write.
 var catalogModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{catalogState{}} },
 	Step: func(state, input, output any) []any {
 		s, in, out := state.(catalogState), input.(catalogInput), output.(catalogOutput)
 		written := catalogState{generation: s.generation + 1, value: in.value}
-		fits := in.expect == 0 || in.expect == s.generation
+		conditionMet := in.expect == 0 || in.expect == s.generation
 		switch {
 		case in.read && out.generation == s.generation && out.value == s.value:
 			return []any{s}
@@ -61,11 +61,11 @@
 				return []any{s}
 			}
 			return nil
-		case out.unknown && fits:
+		case out.unknown && conditionMet:
 			return []any{s, written}
 		case out.unknown:
 			return []any{s}
-		case fits && out.generation == written.generation:
+		case conditionMet && out.generation == written.generation:
 			return []any{written}
 		}
 		return nil
@@ -79,7 +79,7 @@
 	return &jayv1.Resource{Kind: &jayv1.Resource_Service{Service: &jayv1.Service{Name: historyService, Concurrency: value}}}
 }
 
-// operatorRun is one operator at one entry's store.
+// operatorRun is one operator that uses the store of one entry.
 type operatorRun struct {
 	store  *catalogstore.Store
 	random *rand.Rand
@@ -122,11 +122,10 @@
 	return catalogInput{read: true}, catalogOutput{generation: table.Generation(), value: service.GetConcurrency()}, nil
 }
 
-// Operators at several entries race, the platform loses requests and answers
-// and is away now and then. The history of all that they were told must be one
-// of a register whose generations rise by one: nothing accepted is lost or
-// comes back, nothing refused is in force.
-func TestHistoryOfAppliesAndReadsIsThatOfARegister(t *testing.T) {
+// Guards against accepted changes that are lost or undone and refused changes that
+// take effect, with concurrent operators and a platform that loses requests and
+// answers.
+func TestAppliesAndReadsAreLinearizable(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			operations := catalogHistory(seed)
@@ -169,13 +168,13 @@
 				if err != nil {
 					continue
 				}
-				back := time.Since(began).Nanoseconds()
+				returned := time.Since(began).Nanoseconds()
 				if out.unknown {
 					// It may take effect at any later time.
-					back = time.Hour.Nanoseconds()
+					returned = time.Hour.Nanoseconds()
 				}
 				mu.Lock()
-				history = append(history, porcupine.Operation{ClientId: id, Input: in, Call: call, Output: out, Return: back})
+				history = append(history, porcupine.Operation{ClientId: id, Input: in, Call: call, Output: out, Return: returned})
 				mu.Unlock()
 			}
 		})
--- a/test/history/crash_test.go
+++ b/test/history/crash_test.go
@@ -15,10 +15,10 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine"
 )
 
-// Guards against a request that crashes each engine that runs it and is sent on
-// by every entry of jay-entry.
-func TestARequestThatCrashesEnginesIsKeptFromThem(t *testing.T) {
-	const marker, down, contact = "crashes its engine", 300 * time.Millisecond, 3 * time.Second
+// Guards against entries sending a request that crashes every engine that runs it to
+// more and more engines.
+func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
+	const marker, down, quarantineDelay = "crashes its engine", 300 * time.Millisecond, 3 * time.Second
 	c, err := cluster.Start(t.Context(), cluster.Options{Engines: 6, Entries: 3})
 	require.NoError(t, err)
 	defer c.Close()
@@ -42,23 +42,23 @@
 	}
 	require.Eventually(t, func() bool { return ask(0, "hello") == http.StatusOK }, 5*time.Second, 50*time.Millisecond)
 	statuses := map[int]int{}
-	begun, third := time.Now(), time.Time{}
-	late := 0
-	for n := 0; time.Since(begun) < contact+3*time.Second; n++ {
+	start, thirdCrash := time.Now(), time.Time{}
+	lateCrashes := 0
+	for n := 0; time.Since(start) < quarantineDelay+3*time.Second; n++ {
 		before := crashes(c.Engines)
 		statuses[ask(n, marker)]++
 		after := crashes(c.Engines)
-		if third.IsZero() && after >= 3 {
-			third = time.Now()
+		if thirdCrash.IsZero() && after >= 3 {
+			thirdCrash = time.Now()
 		}
-		if !third.IsZero() && time.Since(third) > contact {
-			late += after - before
+		if !thirdCrash.IsZero() && time.Since(thirdCrash) > quarantineDelay {
+			lateCrashes += after - before
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Logf("%d engines crashed, %d late, answers %v", crashes(c.Engines), late, statuses)
-	assert.GreaterOrEqual(t, crashes(c.Engines), 3, "the request crashes engines")
-	assert.LessOrEqual(t, late, 3)
+	t.Logf("%d engines crashed, %d late, answers %v", crashes(c.Engines), lateCrashes, statuses)
+	assert.GreaterOrEqual(t, crashes(c.Engines), 3, "the request must crash engines")
+	assert.LessOrEqual(t, lateCrashes, 3)
 	assert.Equal(t, http.StatusOK, ask(1, "another body"))
 }
 
--- a/test/history/ledger_test.go
+++ b/test/history/ledger_test.go
@@ -17,7 +17,7 @@
 	"github.com/jayproxy/jayproxy/internal/platform/platformtest"
 )
 
-// runCounter counts the runs of each key and who ran.
+// runCounter records the requests that ran under each key.
 type runCounter struct {
 	mu   sync.Mutex
 	runs map[string][]string
@@ -29,7 +29,7 @@
 	s.runs[key] = append(s.runs[key], request)
 }
 
-// steps of a call at which an entry is killed.
+// Steps of a call at which an entry can be killed.
 const (
 	killedBeforeClaim = iota
 	killedAfterClaim
@@ -38,8 +38,8 @@
 	killSteps
 )
 
-// world is several entries over one table and one service.
-type world struct {
+// ledgerSystem is several entries that share one table and one service.
+type ledgerSystem struct {
 	t       *testing.T
 	table   *platformtest.Memory
 	service *runCounter
@@ -48,62 +48,60 @@
 	mu        sync.Mutex
 	histories map[string][]porcupine.Operation
 	notRun    map[string]bool
-	heard     map[outcome]int
+	outcomes  map[outcome]int
 }
 
-// call is one caller's request at an entry that may be killed at a step (-1:
-// not) and whose hand-over may be refused.
-func (w *world) call(l *ledger.Ledger, client int, key, request string, kill int, refused bool) {
+// call makes one caller's request at an entry that is killed at step kill (-1: never);
+// if refused, the service does not accept the request.
+func (w *ledgerSystem) call(l *ledger.Ledger, client int, key, request string, kill int, refused bool) {
 	begin := time.Since(w.began)
-	heard := w.attempt(l, key, request, kill, refused)
+	got := w.attempt(l, key, request, kill, refused)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	end := time.Since(w.began)
-	if heard == heardNothing {
-		end = time.Hour // It may run at any later time.
+	if got == outcomeUnknown {
+		end = time.Hour // It may take effect at any later time.
 	}
-	w.notRun[request] = heard == heardNotRun || heard == heardDuplicate || heard == heardDuplicateDone
-	w.heard[heard]++
+	w.notRun[request] = got == outcomeNotRun || got == outcomeDuplicate || got == outcomeDuplicateDone
+	w.outcomes[got]++
 	w.histories[key] = append(w.histories[key], porcupine.Operation{
-		ClientId: client, Input: request, Call: int64(begin), Output: heard, Return: int64(end),
+		ClientId: client, Input: request, Call: int64(begin), Output: got, Return: int64(end),
 	})
 }
 
-func (w *world) attempt(l *ledger.Ledger, key, request string, kill int, refused bool) outcome {
+func (w *ledgerSystem) attempt(l *ledger.Ledger, key, request string, kill int, refused bool) outcome {
 	if kill == killedBeforeClaim {
-		return heardNothing
+		return outcomeUnknown
 	}
 	claim, err := l.Take(w.t.Context(), "quarry", key, request)
 	var duplicate *ledger.DuplicateError
 	switch {
 	case errors.As(err, &duplicate) && duplicate.First.State == ledger.StateDone:
-		return heardDuplicateDone
+		return outcomeDuplicateDone
 	case errors.As(err, &duplicate):
-		return heardDuplicate
+		return outcomeDuplicate
 	case err != nil:
-		return heardNotRun
+		return outcomeNotRun
 	case kill == killedAfterClaim:
-		return heardNothing
+		return outcomeUnknown
 	case refused:
 		_ = l.Release(w.t.Context(), claim)
-		return heardNotRun
+		return outcomeNotRun
 	}
 	w.service.run(key, request)
 	if kill == killedAfterRun {
-		return heardNothing
+		return outcomeUnknown
 	}
 	_ = l.Done(w.t.Context(), claim)
 	if kill == killedAfterDone {
-		return heardNothing
+		return outcomeUnknown
 	}
-	return heardDone
+	return outcomeDone
 }
 
-// Story: a booking is confirmed by a caller that repeats its call with the same
-// key through several entries, because answers did not come. Entries are killed
-// at each step; the store loses answers before and after writes and refuses
-// others. Two confirmations would promise one crusher to two sites.
-func TestAKeyRunsAtMostOnceWhateverFails(t *testing.T) {
+// Guards against a key that runs twice when callers repeat calls through several
+// entries, entries are killed at any step and the store fails or loses answers.
+func TestKeyRunsAtMostOnceUnderFailures(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { runHistory(t, seed) })
 	}
@@ -111,9 +109,9 @@
 
 func runHistory(t *testing.T, seed uint64) {
 	const entries, keys, callers, calls = 4, 12, 8, 30
-	w := &world{
+	w := &ledgerSystem{
 		t: t, table: platformtest.New(), service: &runCounter{runs: map[string][]string{}}, began: time.Now(),
-		histories: map[string][]porcupine.Operation{}, notRun: map[string]bool{}, heard: map[outcome]int{},
+		histories: map[string][]porcupine.Operation{}, notRun: map[string]bool{}, outcomes: map[outcome]int{},
 	}
 	w.table.OnCommit(faults(seed))
 	var ledgers []*ledger.Ledger
@@ -140,19 +138,19 @@
 	for key, runs := range w.service.runs {
 		assert.LessOrEqual(t, len(runs), 1, "%s ran for %v", key, runs)
 		for _, request := range runs {
-			assert.False(t, w.notRun[request], "%s was told that it did not run", request)
+			assert.False(t, w.notRun[request], "%s was reported as not run", request)
 		}
 	}
 	model := onceModel.ToModel()
 	for key, history := range w.histories {
 		assert.True(t, porcupine.CheckOperations(model, history), "history of %s", key)
 	}
-	require.NotZero(t, w.heard[heardDone])
-	t.Logf("heard done %d, not run %d, duplicate %d, duplicate of done %d, nothing %d", w.heard[heardDone], w.heard[heardNotRun],
-		w.heard[heardDuplicate], w.heard[heardDuplicateDone], w.heard[heardNothing])
+	require.NotZero(t, w.outcomes[outcomeDone])
+	t.Logf("outcomes: done %d, not run %d, duplicate %d, duplicate of done %d, unknown %d", w.outcomes[outcomeDone], w.outcomes[outcomeNotRun],
+		w.outcomes[outcomeDuplicate], w.outcomes[outcomeDuplicateDone], w.outcomes[outcomeUnknown])
 }
 
-// faults of the table's commits: one in three fails in some way.
+// faults returns the faults of the table's commits: one in three fails.
 func faults(seed uint64) func(platform.Txn) platformtest.Fault {
 	random := rand.New(rand.NewPCG(seed, 99))
 	var mu sync.Mutex
--- a/test/history/once_model_test.go
+++ b/test/history/once_model_test.go
@@ -1,39 +1,41 @@
-// Package history_test records histories of concurrent runs under failures and
-// hands them to Porcupine.
+// Package history_test records histories of concurrent operations under failures and
+// checks them for linearizability with Porcupine.
 package history_test
 
 import "github.com/anishathalye/porcupine"
 
-// outcome is what a caller heard of its call.
+// outcome is the result of a call that its caller received.
 type outcome int
 
 const (
-	heardDone outcome = iota
-	heardNotRun
-	heardDuplicate
-	heardDuplicateDone
-	// heardNothing: the entry was killed under the call.
-	heardNothing
+	outcomeDone outcome = iota
+	outcomeNotRun
+	outcomeDuplicate
+	outcomeDuplicateDone
+	// outcomeUnknown means that no definite result arrived, for example since the entry
+	// was killed during the call.
+	outcomeUnknown
 )
 
-// onceModel is one key of a service: it has run or not. A call that was told
-// not_run changes nothing, one that heard nothing may have run.
+// onceModel is the model of one key of a service, which has run or not. A call with
+// outcomeNotRun or outcomeDuplicate changes nothing; one with outcomeUnknown may have
+// run.
 var onceModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(state, _, output any) []any {
 		ran := state.(bool)
 		switch output.(outcome) {
-		case heardDone:
+		case outcomeDone:
 			if ran {
 				return nil
 			}
 			return []any{true}
-		case heardDuplicateDone:
+		case outcomeDuplicateDone:
 			if !ran {
 				return nil
 			}
 			return []any{true}
-		case heardNothing:
+		case outcomeUnknown:
 			if ran {
 				return []any{true}
 			}
--- a/test/history/once_test.go
+++ b/test/history/once_test.go
@@ -22,7 +22,7 @@
 	"github.com/jayproxy/jayproxy/internal/standin/service"
 )
 
-// bookings is a run of callers against a whole system.
+// bookings records the calls of all callers to a cluster.
 type bookings struct {
 	t       *testing.T
 	cluster *cluster.Cluster
@@ -30,17 +30,15 @@
 
 	mu        sync.Mutex
 	histories map[string][]porcupine.Operation
-	// unkeyed is what the callers of calls without a key heard, by body id.
-	unkeyed map[string]outcome
-	heard   map[outcome]int
+	// unkeyed contains the outcomes of calls without a key, by the id in their body.
+	unkeyed  map[string]outcome
+	outcomes map[outcome]int
 }
 
-// Story: callers confirm bookings through any entry and repeat what they got no
-// answer for. All the while entries die with calls under way and are replaced,
-// the store loses one answer in five and goes down, and the service breaks the
-// connection just after it booked. A second confirmation promises one crusher
-// to two sites; a "not run" that is not true loses one.
-func TestABookingRunsAtMostOnceThroughDyingEntries(t *testing.T) {
+// Guards against a booking that runs twice, or that is reported as not run although it
+// ran, while entries restart, the store fails and the service closes connections
+// after the run.
+func TestBookingRunsAtMostOnceAcrossEntryRestarts(t *testing.T) {
 	const callers, keys = 8, 25
 	length := 6 * time.Second
 	c, err := cluster.Start(t.Context(), cluster.Options{
@@ -51,7 +49,7 @@
 	defer c.Close()
 	b := &bookings{
 		t: t, cluster: c, began: time.Now(), histories: map[string][]porcupine.Operation{},
-		unkeyed: map[string]outcome{}, heard: map[outcome]int{},
+		unkeyed: map[string]outcome{}, outcomes: map[outcome]int{},
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), length)
 	defer cancel()
@@ -69,13 +67,13 @@
 			}
 		})
 	}
-	b.fail(ctx)
+	b.injectFaults(ctx)
 	wg.Wait()
 	b.check()
 }
 
-// fail breaks things, by a seeded plan, until the context ends.
-func (b *bookings) fail(ctx context.Context) {
+// injectFaults injects faults, determined by a seed, until the context ends.
+func (b *bookings) injectFaults(ctx context.Context) {
 	random := rand.New(rand.NewPCG(2, 2))
 	ticker := time.NewTicker(150 * time.Millisecond)
 	defer ticker.Stop()
@@ -94,7 +92,7 @@
 	}
 }
 
-// confirm makes one call and notes what its caller heard.
+// confirm makes one call and records its outcome.
 func (b *bookings) confirm(caller int, random *rand.Rand, key, id string) {
 	entries := b.cluster.Entries()
 	one := entries[random.IntN(len(entries))]
@@ -102,20 +100,20 @@
 		return
 	}
 	call := time.Since(b.began)
-	heard := b.post(one.CallersURL(), key, id)
+	got := b.post(one.CallersURL(), key, id)
 	end := time.Since(b.began)
-	if heard == heardNothing {
+	if got == outcomeUnknown {
 		end = time.Hour
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.heard[heard]++
+	b.outcomes[got]++
 	if key == "" {
-		b.unkeyed[id] = heard
+		b.unkeyed[id] = got
 		return
 	}
 	b.histories[key] = append(b.histories[key], porcupine.Operation{
-		ClientId: caller, Input: id, Call: int64(call), Output: heard, Return: int64(end),
+		ClientId: caller, Input: id, Call: int64(call), Output: got, Return: int64(end),
 	})
 }
 
@@ -123,7 +121,7 @@
 	request, err := http.NewRequestWithContext(b.t.Context(), http.MethodPost,
 		url+"/services/"+cluster.Service+"/confirm", strings.NewReader(`{"id":"`+id+`"}`))
 	require.NoError(b.t, err)
-	// Without GetBody the client never sends a request twice by itself.
+	// Without GetBody the client cannot retry a request by itself.
 	request.GetBody = nil
 	request.Header.Set("Authorization", "Bearer "+cluster.Key(b.cluster.Options.Workspaces[0]))
 	if key != "" {
@@ -132,19 +130,19 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(request)
 	if err != nil {
-		return heardNothing
+		return outcomeUnknown
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return heardNothing
+		return outcomeUnknown
 	}
 	return outcomeOf(response.StatusCode, body)
 }
 
 func outcomeOf(status int, body []byte) outcome {
 	if status == http.StatusOK {
-		return heardDone
+		return outcomeDone
 	}
 	var answer struct {
 		Error struct {
@@ -154,13 +152,13 @@
 	_ = json.Unmarshal(body, &answer)
 	switch {
 	case status == http.StatusConflict && answer.Error.Outcome == "done":
-		return heardDuplicateDone
+		return outcomeDuplicateDone
 	case status == http.StatusConflict:
-		return heardDuplicate
+		return outcomeDuplicate
 	case answer.Error.Outcome == "not_run":
-		return heardNotRun
+		return outcomeNotRun
 	}
-	return heardNothing
+	return outcomeUnknown
 }
 
 func (b *bookings) check() {
@@ -173,25 +171,25 @@
 	for key, n := range runs {
 		assert.LessOrEqual(b.t, n, 1, "%s ran %d times", key, n)
 	}
-	for id, heard := range b.unkeyed {
-		if heard == heardNotRun {
-			assert.Zero(b.t, runs[id], "%s was told that it did not run", id)
+	for id, got := range b.unkeyed {
+		if got == outcomeNotRun {
+			assert.Zero(b.t, runs[id], "%s was reported as not run", id)
 		}
-		if heard == heardDone {
-			assert.Equal(b.t, 1, runs[id], "%s was told that it ran", id)
+		if got == outcomeDone {
+			assert.Equal(b.t, 1, runs[id], "%s was reported as run", id)
 		}
 	}
 	model := onceModel.ToModel()
 	for key, history := range b.histories {
 		assert.True(b.t, porcupine.CheckOperations(model, history), "history of %s", key)
 		for _, op := range history {
-			if op.Output == heardDone {
-				assert.Equal(b.t, 1, runs[key], "%s was told that it ran", key)
+			if op.Output == outcomeDone {
+				assert.Equal(b.t, 1, runs[key], "%s was reported as run", key)
 			}
 		}
 	}
-	require.NotZero(b.t, b.heard[heardDone])
-	b.t.Logf("%d keys, %d calls without: heard done %d, not run %d, duplicate %d, duplicate of done %d, nothing or unknown %d",
-		len(b.histories), len(b.unkeyed), b.heard[heardDone], b.heard[heardNotRun], b.heard[heardDuplicate],
-		b.heard[heardDuplicateDone], b.heard[heardNothing])
+	require.NotZero(b.t, b.outcomes[outcomeDone])
+	b.t.Logf("%d keys, %d calls without key; outcomes: done %d, not run %d, duplicate %d, duplicate of done %d, unknown %d",
+		len(b.histories), len(b.unkeyed), b.outcomes[outcomeDone], b.outcomes[outcomeNotRun], b.outcomes[outcomeDuplicate],
+		b.outcomes[outcomeDuplicateDone], b.outcomes[outcomeUnknown])
 }
