--- a/test/scenario/call_test.go
+++ b/test/scenario/call_test.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-func (w *world) callers(entry string) (string, error) {
+func (w *scenario) callers(entry string) (string, error) {
 	at, ok := w.addresses[entry]
 	if !ok {
-		return "", fmt.Errorf("no entry %s", entry)
+		return "", fmt.Errorf("unknown entry %s", entry)
 	}
 	return "http://" + at.callers, nil
 }
 
-func (w *world) cmdCall(args []string) error {
-	if err := need(args, 4); err != nil {
+func (w *scenario) cmdCall(args []string) error {
+	if err := requireArgs(args, 4); err != nil {
 		return err
 	}
 	base, err := w.callers(args[1])
@@ -52,7 +52,7 @@
 		case "body":
 			r.body = value
 		default:
-			return r, fmt.Errorf("unknown option %s", option)
+			return r, fmt.Errorf("unknown option %s of call", option)
 		}
 	}
 	if method == "chat" {
@@ -62,21 +62,21 @@
 	return r, nil
 }
 
-func (w *world) answer(args []string, n int) (*answer, error) {
-	if err := need(args, n); err != nil {
+func (w *scenario) answer(args []string, n int) (*answer, error) {
+	if err := requireArgs(args, n); err != nil {
 		return nil, err
 	}
 	a, ok := w.answers[args[0]]
 	if !ok {
-		return nil, final{fmt.Errorf("no call %s", args[0])}
+		return nil, permanentError{fmt.Errorf("unknown call %s", args[0])}
 	}
 	return a, nil
 }
 
-// cmdResume asks an entry for the rest of a stream after its last event. What
-// came before counts as part of the answer.
-func (w *world) cmdResume(args []string) error {
-	if err := need(args, 3); err != nil {
+// cmdResume requests the rest of a stream after the last event received. The new
+// answer is expected to contain only the remaining text.
+func (w *scenario) cmdResume(args []string) error {
+	if err := requireArgs(args, 3); err != nil {
 		return err
 	}
 	before, err := w.answer(args[2:], 1)
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func (w *world) cmdProgress(args []string) error {
+func (w *scenario) cmdProgress(args []string) error {
 	a, err := w.answer(args, 2)
 	if err != nil {
 		return err
@@ -113,14 +113,14 @@
 		}
 		select {
 		case <-a.ended:
-			return final{fmt.Errorf("ended before: %s", a.describe())}
+			return permanentError{fmt.Errorf("answer ended too early: %s", a.describe())}
 		default:
-			return fmt.Errorf("%d events of %d", a.progress(), n)
+			return fmt.Errorf("got %d events, want %d", a.progress(), n)
 		}
 	})
 }
 
-func (w *world) cmdExpect(args []string) error {
+func (w *scenario) cmdExpect(args []string) error {
 	a, err := w.answer(args, 2)
 	if err != nil {
 		return err
@@ -128,39 +128,39 @@
 	if err := a.wait(); err != nil {
 		return err
 	}
-	word, err := a.outcome()
+	outcome, err := a.outcome()
 	if err != nil {
 		return err
 	}
-	if !slices.Contains(strings.Split(args[1], "|"), word) {
-		return fmt.Errorf("got %s: %s", word, a.describe())
+	if !slices.Contains(strings.Split(args[1], "|"), outcome) {
+		return fmt.Errorf("unexpected outcome %s: %s", outcome, a.describe())
 	}
 	if len(args) > 2 && (a.failure == nil || a.failure.Code != args[2]) {
-		return fmt.Errorf("got %s", a.describe())
+		return fmt.Errorf("unexpected error code: %s", a.describe())
 	}
 	return nil
 }
 
-// cmdRetry is for what comes back after a while: refusals are proper answers
-// until it does, everything else is not.
-func (w *world) cmdRetry(args []string) error {
+// cmdRetry repeats a call until its answer is complete. Refusals as not run are
+// tolerated until then; any other outcome fails the script.
+func (w *scenario) cmdRetry(args []string) error {
 	return poll(func() error {
 		if err := w.cmdCall(args); err != nil {
-			return final{err}
+			return permanentError{err}
 		}
 		a := w.answers[args[0]]
 		if err := a.wait(); err != nil {
-			return final{err}
+			return permanentError{err}
 		}
-		word, err := a.outcome()
+		outcome, err := a.outcome()
 		switch {
 		case err != nil:
-			return final{err}
-		case word == "whole" || word == "done":
+			return permanentError{err}
+		case outcome == "whole" || outcome == "done":
 			return nil
-		case word == "not_run":
+		case outcome == "not_run":
 			return errors.New(a.describe())
 		}
-		return final{fmt.Errorf("got %s: %s", word, a.describe())}
+		return permanentError{fmt.Errorf("unexpected outcome %s: %s", outcome, a.describe())}
 	})
 }
--- a/test/scenario/caller_test.go
+++ b/test/scenario/caller_test.go
@@ -17,7 +17,8 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-// Headers of the callers' API, written out: a script sees what a caller sees.
+// Headers of the callers' API, not taken from package entry so that accidental changes
+// of the API are noticed.
 const (
 	headerOutcome = "X-Jay-Outcome"
 	headerKey     = "Idempotency-Key"
@@ -26,17 +27,18 @@
 
 func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
 
-// request is what a script wants to send.
+// request is a request to send to an entry.
 type request struct {
 	method string
 	path   string
 	body   string
 	header http.Header
-	// want is the text that a whole answer to a prompt has; empty for services.
+	// want is the text of the complete answer to a prompt; empty for services.
 	want string
 }
 
-// chatRequest asks for so many tokens; the stand-in's answer follows from the prompt.
+// chatRequest makes a request for a number of tokens. The text of the expected answer
+// is known, since the stand-in engine derives it from the prompt.
 func chatRequest(prompt string, tokens int, stream bool) (request, error) {
 	body := fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
 		siteModel, stream, tokens, prompt)
@@ -50,7 +52,7 @@
 	}, nil
 }
 
-// answer is what a caller got so far.
+// answer is the part of an answer received so far.
 type answer struct {
 	mu      sync.Mutex
 	request request
@@ -58,12 +60,13 @@
 	header  http.Header
 	text    strings.Builder
 	events  int
-	// done: the stream's own end mark came. failure: an explicit error.
+	// done means that the answer ended regularly, a stream with [DONE]; failure is an
+	// explicit error.
 	done    bool
 	failure *apiError
-	// broken is an error of the connection.
-	broken error
-	ended  chan struct{}
+	// connErr is the error of the connection, if any.
+	connErr error
+	ended   chan struct{}
 }
 
 type apiError struct {
@@ -83,12 +86,14 @@
 	}
 }
 
-// newClient makes a caller's connection pool of its own, which sends nothing twice.
+// newClient returns a client without connection reuse, which never retries a request
+// by itself.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// send starts a request in the background.
+// send sends a request in the background and returns its answer, which grows until
+// ended is closed.
 func send(client *http.Client, base, key string, r request) *answer {
 	a := &answer{request: r, ended: make(chan struct{})}
 	go func() {
@@ -96,7 +101,7 @@
 		if err := a.run(client, base, key); err != nil {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			a.broken = err
+			a.connErr = err
 		}
 	}()
 	return a
@@ -123,7 +128,7 @@
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
 		return a.readStream(response.Body)
 	}
-	return a.readWhole(response.Body)
+	return a.readUnstreamed(response.Body)
 }
 
 func (a *answer) readStream(body io.Reader) error {
@@ -179,7 +184,7 @@
 	return nil
 }
 
-func (a *answer) readWhole(body io.Reader) error {
+func (a *answer) readUnstreamed(body io.Reader) error {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		return err
@@ -198,7 +203,7 @@
 	return nil
 }
 
-// progress is the number of events so far.
+// progress returns the number of events received so far.
 func (a *answer) progress() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -209,23 +214,25 @@
 	select {
 	case <-a.ended:
 		return nil
-	case <-time.After(patience):
-		return fmt.Errorf("no end after %d events", a.progress())
+	case <-time.After(waitTimeout):
+		return fmt.Errorf("answer not ended in time, after %d events", a.progress())
 	}
 }
 
-// outcome sums an ended answer up in one word: whole, done, error, not_run,
-// unknown or broken. An answer with wrong text is none of these.
+// outcome returns the outcome of an ended answer, as the scripts name it: whole (a
+// complete model answer), done (a service's answer), error (an error event in a
+// stream), not_run or unknown (a refusal with this outcome) or broken (the connection
+// failed). It fails if the answer violates the API, for example by wrong text.
 func (a *answer) outcome() (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	text := a.text.String()
 	if a.request.want != "" && !strings.HasPrefix(a.request.want, text) {
-		return "", fmt.Errorf("the answer has text that is not its own: got %q, want %q", text, a.request.want)
+		return "", fmt.Errorf("the answer contains wrong text: got %q, want %q", text, a.request.want)
 	}
 	switch {
 	case a.failure != nil && a.done:
-		return "", errors.New("the answer ends both whole and with an error")
+		return "", errors.New("the answer has both a regular end and an error")
 	case a.failure != nil && a.status == http.StatusOK:
 		return "error", nil
 	case a.failure != nil:
@@ -235,16 +242,16 @@
 	case a.done && text == a.request.want:
 		return "whole", nil
 	case a.done:
-		return "", fmt.Errorf("the answer calls itself whole and lacks text: got %q, want %q", text, a.request.want)
-	case a.broken != nil:
+		return "", fmt.Errorf("the answer has a regular end but lacks text: got %q, want %q", text, a.request.want)
+	case a.connErr != nil:
 		return "broken", nil
 	}
-	return "", fmt.Errorf("the answer ended without a word, status %d", a.status)
+	return "", fmt.Errorf("the answer ended without a regular end or an error, status %d", a.status)
 }
 
-// describe is for messages of failed scripts.
+// describe returns the state of the answer for error messages.
 func (a *answer) describe() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return "status " + strconv.Itoa(a.status) + fmt.Sprintf(", %d events, error %+v, connection %v", a.events, a.failure, a.broken)
+	return "status " + strconv.Itoa(a.status) + fmt.Sprintf(", %d events, error %+v, connection %v", a.events, a.failure, a.connErr)
 }
--- a/test/scenario/commands_test.go
+++ b/test/scenario/commands_test.go
@@ -18,75 +18,76 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// command does something in a world; its error fails the script.
-type command func(w *world, args []string) error
+// command implements a script command; an error fails the script.
+type command func(w *scenario, args []string) error
 
-// commands of the scripts:
+// commands returns the commands of the scripts:
 //
 //	site entries=N engines=N portals=N vendor=V [engine:--flag=v] [portal:--flag=v]
 //	start NAME [BINARY ARGS...]     starts a process, again as it was without a binary
-//	hold ENTRY                      holds the callers' socket of an entry that does not run, from its next start on
+//	hold ENTRY                      opens the callers' socket of a stopped entry and passes it to the entry at each start
 //	sigkill|freeze|thaw|term NAME   SIGKILL, SIGSTOP, SIGCONT, SIGTERM
-//	exited NAME                     waits for a clean end
-//	fault NAME PATH?QUERY           switches a fault of a stand-in
+//	exited NAME                     waits until the process has exited with status 0
+//	fault NAME PATH?QUERY           sets a fault of a stand-in
 //	vm NAME STATE                   changes the platform's list of VMs
-//	cutlink|heallink AGENT          the entries' link to an agent
+//	cutlink|heallink AGENT          drops all datagrams between the entries and an agent, or passes them again
 //	call ID ENTRY chat PROMPT [tokens=N] [plain]
 //	call ID ENTRY METHOD PATH [key=K] [body=B]
-//	resume ID ENTRY OF              continues the stream of another call, as its caller
-//	progress ID N                   waits for so many events
-//	expect ID WORD [CODE]           whole, done, error, not_run, unknown or broken
-//	retry ID ENTRY ...              calls until the answer is whole; until then only refusals
-//	runs NAME KEY N                 how often stand-ins ran a key; NAME may end in *, KEY * counts all
-//	watch NAME / quiet NAME SINCE D no run began at an engine later than D after a marked moment
+//	resume ID ENTRY OF              resumes the stream of the call OF as a new call
+//	progress ID N                   waits until N events have been received
+//	expect ID OUTCOME|... [CODE]    waits for the end and checks the outcome: whole, done, error, not_run, unknown or broken
+//	retry ID ENTRY ...              repeats a call until the answer is complete; until then only refusals are allowed
+//	runs NAME KEY N                 checks how often stand-ins ran a key; NAME is a pattern, KEY * counts all
+//	watch NAME / quiet NAME SINCE D checks that no run began at an engine later than D after a mark
 //	considered ENTRY SERVER         waits until an entry's latest decision has the server as a candidate
-//	busy NAME                       waits until a further run begins at a stand-in
-//	mark MOMENT                     names this moment
-//	since MOMENT D                  no more than a time has passed since a marked moment
-//	logged NAME TEXT                waits until a process logs a text
-//	ready ENTRY D                   the entry is ready within a time
-//	freezeserving                   freezes the agent of the one engine that has work; thawserving
-//	eventually COMMAND ARGS...      waits until a command succeeds
-//	load ID / endload ID            callers behind a balancer; no request may fail
+//	busy NAME                       waits until another run begins at a stand-in
+//	mark MOMENT                     stores the current time under a name
+//	since MOMENT D                  checks that at most D has passed since a mark
+//	logged NAME TEXT                waits until the log of a process contains a text
+//	ready ENTRY D                   checks that the entry becomes ready within D
+//	freezeserving / thawserving     freezes (thaws) the agent of the only engine that has run a request
+//	eventually COMMAND ARGS...      repeats a command until it succeeds
+//	load ID / endload ID            runs callers behind a load balancer; no request may fail
 //	loadmore ID N                   waits until a load has sent N more requests
-//	jayctl ARGS...                  as operator
+//	openai ENTRY PROMPT             calls the entry through the OpenAI client library
+//	jayctl ARGS...                  runs jayctl as operator
 func commands() map[string]func(*testscript.TestScript, bool, []string) {
 	all := map[string]command{
-		"site":     (*world).cmdSite,
-		"start":    (*world).cmdStart,
-		"hold":     (*world).cmdHold,
+		"site":     (*scenario).cmdSite,
+		"start":    (*scenario).cmdStart,
+		"hold":     (*scenario).cmdHold,
 		"sigkill":  withProcess((*process).kill),
 		"freeze":   withProcess(func(p *process) error { return p.signal(syscall.SIGSTOP) }),
 		"thaw":     withProcess(func(p *process) error { return p.signal(syscall.SIGCONT) }),
 		"term":     withProcess(func(p *process) error { return p.signal(syscall.SIGTERM) }),
 		"exited":   withProcess((*process).exited),
-		"fault":    (*world).cmdFault,
-		"vm":       (*world).cmdVM,
-		"cutlink":  func(w *world, args []string) error { return w.setLink(args, true) },
-		"heallink": func(w *world, args []string) error { return w.setLink(args, false) },
-		"call":     (*world).cmdCall,
-		"openai":   (*world).cmdOpenAI,
-		"resume":   (*world).cmdResume,
-		"progress": (*world).cmdProgress,
-		"expect":   (*world).cmdExpect,
-		"retry":    (*world).cmdRetry,
-		"runs":     (*world).cmdRuns,
-		"watch":    (*world).cmdWatch,
-		"quiet":    (*world).cmdQuiet,
-		"busy":     (*world).cmdBusy,
+		"fault":    (*scenario).cmdFault,
+		"vm":       (*scenario).cmdVM,
+		"cutlink":  func(w *scenario, args []string) error { return w.setLink(args, true) },
+		"heallink": func(w *scenario, args []string) error { return w.setLink(args, false) },
+		"call":     (*scenario).cmdCall,
+		"openai":   (*scenario).cmdOpenAI,
+		"resume":   (*scenario).cmdResume,
+		"progress": (*scenario).cmdProgress,
+		"expect":   (*scenario).cmdExpect,
+		"retry":    (*scenario).cmdRetry,
+		"runs":     (*scenario).cmdRuns,
+		"watch":    (*scenario).cmdWatch,
+		"quiet":    (*scenario).cmdQuiet,
+		"busy":     (*scenario).cmdBusy,
 
-		"considered": (*world).cmdConsidered,
-		"mark":       (*world).cmdMark,
-		"since":      (*world).cmdSince,
-		"logged":     (*world).cmdLogged,
-		"ready":      (*world).cmdReady,
-		"loadmore":   (*world).cmdLoadMore,
-		"load":       (*world).cmdLoad,
-		"endload":    (*world).cmdEndLoad,
-		"jayctl":     (*world).cmdCtl,
+		"considered": (*scenario).cmdConsidered,
+		"mark":       (*scenario).cmdMark,
+		"since":      (*scenario).cmdSince,
+		"logged":     (*scenario).cmdLogged,
+		"ready":      (*scenario).cmdReady,
+		"loadmore":   (*scenario).cmdLoadMore,
+		"load":       (*scenario).cmdLoad,
+		"endload":    (*scenario).cmdEndLoad,
+		"jayctl":     (*scenario).cmdCtl,
 
-		"freezeserving": (*world).cmdFreezeServing,
-		"thawserving":   (*world).cmdThawServing,
+		"freezeserving": (*scenario).cmdFreezeServing,
+		"thawserving":   (*scenario).cmdThawServing,
 	}
 	bound := map[string]func(*testscript.TestScript, bool, []string){}
 	for name, run := range all {
@@ -97,7 +98,7 @@
 			ts.Fatalf("usage: eventually COMMAND ARGS...")
 		}
 		run := all[args[0]]
-		bind(ts, false, "eventually "+args[0], func(w *world, args []string) error {
+		bind(ts, false, "eventually "+args[0], func(w *scenario, args []string) error {
 			return poll(func() error { return run(w, args) })
 		}, args[1:])
 	}
@@ -105,38 +106,38 @@
 }
 
 func bind(ts *testscript.TestScript, neg bool, name string, run command, args []string) {
-	w := ts.Value(worldKey{}).(*world)
+	w := ts.Value(scenarioKey{}).(*scenario)
 	err := run(w, args)
 	switch {
 	case neg && err == nil:
-		ts.Fatalf("%s succeeded, which it must not", name)
+		ts.Fatalf("%s succeeded, want an error", name)
 	case !neg && err != nil:
 		ts.Fatalf("%s %s: %v", name, strings.Join(args, " "), err)
 	}
 }
 
-// need checks the number of arguments.
-func need(args []string, n int) error {
+// requireArgs checks that there are at least n arguments.
+func requireArgs(args []string, n int) error {
 	if len(args) < n {
-		return final{fmt.Errorf("%d arguments are needed", n)}
+		return permanentError{fmt.Errorf("at least %d arguments are required", n)}
 	}
 	return nil
 }
 
 func withProcess(do func(*process) error) command {
-	return func(w *world, args []string) error {
-		if err := need(args, 1); err != nil {
+	return func(w *scenario, args []string) error {
+		if err := requireArgs(args, 1); err != nil {
 			return err
 		}
 		p, ok := w.processes[args[0]]
 		if !ok {
-			return final{fmt.Errorf("no process %s", args[0])}
+			return permanentError{fmt.Errorf("unknown process %s", args[0])}
 		}
 		return do(p)
 	}
 }
 
-func (w *world) cmdSite(args []string) error {
+func (w *scenario) cmdSite(args []string) error {
 	s := size{entries: 1, engines: 1, vendor: "merle"}
 	for _, arg := range args {
 		name, value, _ := strings.Cut(arg, "=")
@@ -155,14 +156,14 @@
 		case strings.HasPrefix(arg, "portal:"):
 			s.portalArgs = append(s.portalArgs, strings.TrimPrefix(arg, "portal:"))
 		default:
-			return fmt.Errorf("unknown argument %s", arg)
+			return fmt.Errorf("unknown argument %s of site", arg)
 		}
 	}
 	return w.build(s)
 }
 
-func (w *world) cmdStart(args []string) error {
-	if err := need(args, 1); err != nil {
+func (w *scenario) cmdStart(args []string) error {
+	if err := requireArgs(args, 1); err != nil {
 		return err
 	}
 	if len(args) > 1 {
@@ -172,19 +173,19 @@
 	return withProcess((*process).start)(w, args)
 }
 
-func (w *world) cmdFault(args []string) error {
-	if err := need(args, 2); err != nil {
+func (w *scenario) cmdFault(args []string) error {
+	if err := requireArgs(args, 2); err != nil {
 		return err
 	}
 	p, ok := w.processes[args[0]]
 	if !ok {
-		return fmt.Errorf("no process %s", args[0])
+		return fmt.Errorf("unknown process %s", args[0])
 	}
 	return post(p.url+"/faults"+args[1], "")
 }
 
-func (w *world) cmdVM(args []string) error {
-	if err := need(args, 2); err != nil {
+func (w *scenario) cmdVM(args []string) error {
+	if err := requireArgs(args, 2); err != nil {
 		return err
 	}
 	vm := platform.VM{Name: args[0], State: platform.VMState(args[1]), Role: "backend"}
@@ -196,20 +197,20 @@
 	return w.setVM(vm)
 }
 
-func (w *world) setLink(args []string, cut bool) error {
-	if err := need(args, 1); err != nil {
+func (w *scenario) setLink(args []string, cut bool) error {
+	if err := requireArgs(args, 1); err != nil {
 		return err
 	}
 	l, ok := w.links[args[0]]
 	if !ok {
-		return fmt.Errorf("no link to %s", args[0])
+		return fmt.Errorf("no link to agent %s", args[0])
 	}
 	l.cut.Store(cut)
 	return nil
 }
 
-func (w *world) cmdRuns(args []string) error {
-	if err := need(args, 3); err != nil {
+func (w *scenario) cmdRuns(args []string) error {
+	if err := requireArgs(args, 3); err != nil {
 		return err
 	}
 	got, err := w.runsOf(args[0], args[1])
@@ -226,8 +227,9 @@
 	return nil
 }
 
-// runsOf sums the runs of a key over the stand-ins of a name.
-func (w *world) runsOf(name, key string) (int, error) {
+// runsOf returns the runs of a key, or of all keys if it is *, summed over the
+// stand-ins whose names match a pattern.
+func (w *scenario) runsOf(name, key string) (int, error) {
 	sum, found := 0, false
 	for _, p := range w.processes {
 		if ok, _ := path.Match(name, p.name); !ok || p.url == "" {
@@ -245,7 +247,7 @@
 		}
 	}
 	if !found {
-		return 0, final{fmt.Errorf("no stand-in %s", name)}
+		return 0, permanentError{fmt.Errorf("no stand-in matches %s", name)}
 	}
 	return sum, nil
 }
@@ -260,33 +262,33 @@
 	return counts, json.NewDecoder(response.Body).Decode(&counts)
 }
 
-func (w *world) cmdLoad(args []string) error {
-	if err := need(args, 1); err != nil {
+func (w *scenario) cmdLoad(args []string) error {
+	if err := requireArgs(args, 1); err != nil {
 		return err
 	}
 	w.loads[args[0]] = w.startLoad()
 	return nil
 }
 
-// cmdEndLoad wants that requests were sent and that none failed.
-func (w *world) cmdEndLoad(args []string) error {
-	if err := need(args, 1); err != nil {
+// cmdEndLoad ends a load and checks that requests were sent and that none failed.
+func (w *scenario) cmdEndLoad(args []string) error {
+	if err := requireArgs(args, 1); err != nil {
 		return err
 	}
 	l, ok := w.loads[args[0]]
 	if !ok {
-		return fmt.Errorf("no load %s", args[0])
+		return fmt.Errorf("unknown load %s", args[0])
 	}
 	l.end()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.faults) > 0 || l.sent.Load() == 0 {
-		return fmt.Errorf("%d of %d requests failed, the first: %s", len(l.faults), l.sent.Load(), strings.Join(l.faults[:min(3, len(l.faults))], "; "))
+	if len(l.failures) > 0 || l.sent.Load() == 0 {
+		return fmt.Errorf("%d of %d requests failed, the first: %s", len(l.failures), l.sent.Load(), strings.Join(l.failures[:min(3, len(l.failures))], "; "))
 	}
 	return nil
 }
 
-func (w *world) cmdCtl(args []string) error {
+func (w *scenario) cmdCtl(args []string) error {
 	out, err := w.ctl(args...)
 	if err != nil {
 		return fmt.Errorf("%w: %s", err, out)
@@ -294,15 +296,15 @@
 	return nil
 }
 
-// ctl runs jayctl as operator against all entries.
-// cmdHold opens the callers' socket of an entry and keeps it open to the end.
-func (w *world) cmdHold(args []string) error {
-	if err := need(args, 1); err != nil {
+// cmdHold opens the callers' socket of a stopped entry and keeps it open to the end of
+// the script, as a supervisor with socket activation does.
+func (w *scenario) cmdHold(args []string) error {
+	if err := requireArgs(args, 1); err != nil {
 		return err
 	}
 	p, ok := w.processes[args[0]]
 	if !ok || p.alive() {
-		return final{fmt.Errorf("%s is not a stopped process", args[0])}
+		return permanentError{fmt.Errorf("%s is not a stopped process", args[0])}
 	}
 	listener, err := net.Listen("tcp", w.addresses[args[0]].callers)
 	if err != nil {
@@ -313,7 +315,8 @@
 	return err
 }
 
-func (w *world) ctl(args ...string) ([]byte, error) {
+// ctl runs jayctl as operator with all entries and returns its output.
+func (w *scenario) ctl(args ...string) ([]byte, error) {
 	for _, name := range w.entryNames() {
 		args = append(args, "--entry", w.addresses[name].operators)
 	}
--- a/test/scenario/decision_test.go
+++ b/test/scenario/decision_test.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// decision is what an entry's debug page tells of a choice.
+// decision is a routing decision as an entry's debug page reports it.
 type decision struct {
 	Candidates []struct {
 		BackendServer string `json:"backendServer"`
-		// Filtered is why the server was taken out.
+		// Filtered is the reason why the server was excluded; empty if it was not.
 		Filtered string `json:"filtered"`
 	} `json:"candidates"`
 }
 
-// latestDecisions reads the page at an admin address, one decision a line.
+// latestDecisions returns the last n decisions from the debug page at an admin
+// address, one per line, or the text of the error.
 func latestDecisions(admin string, n int) string {
 	client := &http.Client{Timeout: time.Second}
 	response, err := client.Get(fmt.Sprintf("http://%s/debug/decisions?n=%d", admin, n))
@@ -29,10 +30,10 @@
 	return string(text)
 }
 
-// cmdConsidered waits until a backend server is one that an entry may choose,
-// chosen or not: which one is cheapest now is no matter of a promise.
-func (w *world) cmdConsidered(args []string) error {
-	if err := need(args, 2); err != nil {
+// cmdConsidered waits until a backend server is a candidate of an entry's latest
+// decision. It requireArgs not be chosen, since the choice depends on load.
+func (w *scenario) cmdConsidered(args []string) error {
+	if err := requireArgs(args, 2); err != nil {
 		return err
 	}
 	return poll(func() error {
@@ -46,6 +47,6 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("no candidate: %s", text)
+		return fmt.Errorf("the backend server is not a candidate: %s", text)
 	})
 }
--- a/test/scenario/link_test.go
+++ b/test/scenario/link_test.go
@@ -9,8 +9,8 @@
 // maxDatagram is the largest UDP payload.
 const maxDatagram = 1 << 16
 
-// link passes datagrams between the entries and one agent, and drops them all
-// while it is cut.
+// link is a UDP proxy between the entries and one agent that drops all datagrams while
+// cut is set.
 type link struct {
 	front *net.UDPConn
 	back  *net.UDPAddr
@@ -20,7 +20,7 @@
 	peers map[string]*net.UDPConn
 }
 
-// newLink listens on a port of its own and passes on to an address.
+// newLink starts a proxy on a free port that forwards to the address back.
 func newLink(back string) (*link, error) {
 	to, err := net.ResolveUDPAddr("udp", back)
 	if err != nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-// peer is the socket that stands for one entry towards the agent.
+// peer returns the socket that represents one entry to the agent.
 func (l *link) peer(from *net.UDPAddr) (*net.UDPConn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +83,7 @@
 		if isClosed(err) {
 			return
 		}
-		// A refused datagram is an error of the read as well: the agent is away.
+		// An ICMP refusal is also a read error: the agent is not running, but may return.
 		if err == nil && !l.cut.Load() {
 			_, _ = l.front.WriteToUDP(buffer[:n], to)
 		}
--- a/test/scenario/load_test.go
+++ b/test/scenario/load_test.go
@@ -9,36 +9,37 @@
 	"time"
 )
 
-// load is a stream of callers behind a balancer that sends new requests only
-// to entries that say they are ready.
+// load sends requests at a constant rate, as through a load balancer that selects only
+// entries that report ready.
 type load struct {
-	stop    chan struct{}
-	stopped chan struct{}
-	once    sync.Once
-	sent    atomic.Int64
-	mu      sync.Mutex
-	faults  []string
+	stop     chan struct{}
+	stopped  chan struct{}
+	once     sync.Once
+	sent     atomic.Int64
+	mu       sync.Mutex
+	failures []string
 }
 
 const (
-	// loadGap is the time between two requests of a load.
-	loadGap = 20 * time.Millisecond
-	// loadTokens of each answer; with the engines' default step about half a second.
+	// loadInterval is the time between two requests of a load.
+	loadInterval = 20 * time.Millisecond
+	// loadTokens is the length of each answer, about half a second at the engines' default
+	// decode step.
 	loadTokens = 50
 )
 
-func (w *world) startLoad() *load {
+func (w *scenario) startLoad() *load {
 	l := &load{stop: make(chan struct{}), stopped: make(chan struct{})}
 	go l.run(w)
 	return l
 }
 
-func (l *load) run(w *world) {
+func (l *load) run(w *scenario) {
 	defer close(l.stopped)
 	var running sync.WaitGroup
 	defer running.Wait()
 	client := newClient()
-	ticker := time.NewTicker(loadGap)
+	ticker := time.NewTicker(loadInterval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -46,14 +47,14 @@
 			return
 		case <-ticker.C:
 		}
-		base, ok := w.balanced(client, n)
+		base, ok := w.pickReadyEntry(client, n)
 		if !ok {
-			l.fault("no entry is ready")
+			l.addFailure("no entry is ready")
 			continue
 		}
 		r, err := chatRequest(fmt.Sprint("load ", n), loadTokens, true)
 		if err != nil {
-			l.fault(err.Error())
+			l.addFailure(err.Error())
 			continue
 		}
 		running.Go(func() { l.check(send(client, base, w.callerKey, r)) })
@@ -63,28 +64,28 @@
 func (l *load) check(a *answer) {
 	l.sent.Add(1)
 	if err := a.wait(); err != nil {
-		l.fault(err.Error())
+		l.addFailure(err.Error())
 		return
 	}
-	if word, err := a.outcome(); err != nil || word != "whole" {
-		l.fault(fmt.Sprint(word, " ", err, " ", a.describe()))
+	if outcome, err := a.outcome(); err != nil || outcome != "whole" {
+		l.addFailure(fmt.Sprint(outcome, " ", err, " ", a.describe()))
 	}
 }
 
-func (l *load) fault(text string) {
+func (l *load) addFailure(text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.faults = append(l.faults, text)
+	l.failures = append(l.failures, text)
 }
 
-// end stops sending and waits for the answers under way.
+// end stops sending and waits for the running answers.
 func (l *load) end() {
 	l.once.Do(func() { close(l.stop) })
 	<-l.stopped
 }
 
-// balanced picks an entry that is ready, in turn.
-func (w *world) balanced(client *http.Client, n int) (string, bool) {
+// pickReadyEntry returns the URL of an entry that is ready, round-robin.
+func (w *scenario) pickReadyEntry(client *http.Client, n int) (string, bool) {
 	names := w.entryNames()
 	for i := range names {
 		at := w.addresses[names[(n+i)%len(names)]]
@@ -101,7 +102,7 @@
 	return "", false
 }
 
-func (w *world) entryNames() []string {
+func (w *scenario) entryNames() []string {
 	names := make([]string, len(w.addresses))
 	for i := range names {
 		names[i] = fmt.Sprint("entry", i+1)
--- a/test/scenario/main_test.go
+++ b/test/scenario/main_test.go
@@ -1,6 +1,5 @@
-// Package scenario_test runs scripted failures against real processes. Each
-// script in testdata begins with its story; commands_test.go says what the
-// commands do.
+// Package scenario_test runs scripts in testdata that inject failures into real
+// processes. Function commands documents the commands of the scripts.
 package scenario_test
 
 import (
@@ -15,10 +14,10 @@
 	"github.com/jayproxy/jayproxy/internal/testsources"
 )
 
-// scriptsAtOnce bounds the load on the machine: a script runs some ten processes.
+// scriptsAtOnce is the number of concurrent scripts. Each runs about ten processes.
 const scriptsAtOnce = 4
 
-// binaries is the folder of the programs built for the scripts.
+// binaries is the folder that contains the programs under test.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -53,8 +52,8 @@
 		Setup: func(env *testscript.Env) error {
 			slots <- struct{}{}
 			env.Defer(func() { <-slots })
-			w := newWorld(env)
-			env.Values[worldKey{}] = w
+			w := newScenario(env)
+			env.Values[scenarioKey{}] = w
 			env.Defer(w.close)
 			return nil
 		},
--- a/test/scenario/openai_test.go
+++ b/test/scenario/openai_test.go
@@ -12,19 +12,19 @@
 	"github.com/jayproxy/jayproxy/internal/standin/engine/sim"
 )
 
-// cmdOpenAI asks through an existing client library, plain and streamed, and
-// checks the whole text, the usage, the list of models and a typed refusal.
+// cmdOpenAI calls an entry through the OpenAI client library, streamed and not, and
+// checks the text, the usage, the list of models and the error for a wrong key.
 //
 //	openai ENTRY PROMPT
-func (w *world) cmdOpenAI(args []string) error {
-	if err := need(args, 2); err != nil {
+func (w *scenario) cmdOpenAI(args []string) error {
+	if err := requireArgs(args, 2); err != nil {
 		return err
 	}
 	base, err := w.callers(args[0])
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	client := openai.NewClient(option.WithBaseURL(base+"/v1/"), option.WithAPIKey(w.callerKey), option.WithMaxRetries(0))
 	const tokens = 12
@@ -48,7 +48,7 @@
 		return fmt.Errorf("plain answer %q, want %q", text, want)
 	}
 	if answer.Usage.CompletionTokens != tokens {
-		return fmt.Errorf("usage tells %d tokens, want %d", answer.Usage.CompletionTokens, tokens)
+		return fmt.Errorf("usage has %d completion tokens, want %d", answer.Usage.CompletionTokens, tokens)
 	}
 	return nil
 }
@@ -84,9 +84,9 @@
 func askRefused(ctx context.Context, base string, params openai.ChatCompletionNewParams) error {
 	client := openai.NewClient(option.WithBaseURL(base+"/v1/"), option.WithAPIKey("jay_none_none"), option.WithMaxRetries(0))
 	_, err := client.Chat.Completions.New(ctx, params)
-	var fault *openai.Error
-	if !errors.As(err, &fault) || fault.Code == "" {
-		return fmt.Errorf("a wrong key gave %w, want a typed error", err)
+	var apiErr *openai.Error
+	if !errors.As(err, &apiErr) || apiErr.Code == "" {
+		return fmt.Errorf("call with a wrong key returned %w, want an OpenAI error with a code", err)
 	}
 	return nil
 }
--- a/test/scenario/process_test.go
+++ b/test/scenario/process_test.go
@@ -12,25 +12,25 @@
 	"time"
 )
 
-// readyLine is what a process prints once it serves.
+// readyLine matches the line that a process prints once it is ready.
 var readyLine = regexp.MustCompile(`listening url=(\S+)|entry serves|agent started`)
 
-// process is one program under test. It can be started again as it was.
+// process is one program under test, which can be restarted with the same arguments.
 type process struct {
 	name   string
 	binary string
 	args   []string
 	log    string
 	cmd    *exec.Cmd
-	// socket that the script holds for the program; nil: it opens its own.
+	// socket is the listening socket passed to the program; nil if it opens its own.
 	socket *os.File
-	// url of a stand-in.
+	// url is the base URL of a stand-in, empty for other programs.
 	url  string
 	done chan struct{}
 	err  error
 }
 
-// start runs the program and waits until it serves.
+// start starts the program and waits until it is ready.
 func (p *process) start() error {
 	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -55,8 +55,8 @@
 	return p.awaitReady(from)
 }
 
-// command runs the program; with a socket, as a supervisor that holds it does:
-// the socket is descriptor 3, and the environment names the process's own id.
+// command returns the command that runs the program. A socket is passed as by systemd
+// socket activation: as descriptor 3, with LISTEN_PID set to the process's own id.
 func (p *process) command() *exec.Cmd {
 	program := filepath.Join(binaries, p.binary)
 	if p.socket == nil {
@@ -74,7 +74,7 @@
 	err := poll(func() error {
 		select {
 		case <-p.done:
-			return final{fmt.Errorf("%s ended: %w\n%s", p.name, p.exitError(), p.tail())}
+			return permanentError{fmt.Errorf("%s exited before it was ready: %w\n%s", p.name, p.exitError(), p.tail())}
 		default:
 		}
 		text, err := os.ReadFile(p.log)
@@ -82,7 +82,7 @@
 			return err
 		}
 		if ready = readyLine.FindStringSubmatch(string(text[from:])); ready == nil {
-			return fmt.Errorf("%s does not say that it serves\n%s", p.name, p.tail())
+			return fmt.Errorf("%s is not ready\n%s", p.name, p.tail())
 		}
 		return nil
 	})
@@ -92,10 +92,11 @@
 	return err
 }
 
-// exitError is what ended the process, which must not be nothing.
+// exitError returns the exit error of the process, or a placeholder if it exited with
+// status 0.
 func (p *process) exitError() error {
 	if p.err == nil {
-		return errors.New("without an error")
+		return errors.New("exit status 0")
 	}
 	return p.err
 }
@@ -119,7 +120,7 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// kill ends the process without a chance to clean up.
+// kill ends the process with SIGKILL.
 func (p *process) kill() error {
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		return err
@@ -128,12 +129,12 @@
 	return nil
 }
 
-// exited waits for a graceful end and tells whether it was one.
+// exited waits until the process has exited and fails unless its status is 0.
 func (p *process) exited() error {
 	select {
 	case <-p.done:
-	case <-time.After(patience):
-		return fmt.Errorf("%s does not end\n%s", p.name, p.tail())
+	case <-time.After(waitTimeout):
+		return fmt.Errorf("%s does not exit\n%s", p.name, p.tail())
 	}
 	if p.err != nil {
 		return fmt.Errorf("%s: %w\n%s", p.name, p.err, p.tail())
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// tail is the end of the process's log.
+// tail returns the last lines of the process's log.
 func (p *process) tail() string {
 	const lines = 15
 	text, _ := os.ReadFile(p.log)
@@ -150,23 +151,24 @@
 }
 
 const (
-	// patience bounds the wait for something that must come.
-	patience = 30 * time.Second
-	pollGap  = 10 * time.Millisecond
+	// waitTimeout bounds every wait for an expected event.
+	waitTimeout  = 30 * time.Second
+	pollInterval = 10 * time.Millisecond
 )
 
-// final is an error that no waiting mends.
-type final struct{ error }
+// permanentError is an error on which poll does not retry.
+type permanentError struct{ error }
 
-// poll calls check until it succeeds or the patience ends.
+// poll calls check until it succeeds, fails with a permanentError, or waitTimeout has
+// passed.
 func poll(check func() error) error {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := check()
-		var end final
+		var end permanentError
 		if err == nil || errors.As(err, &end) || time.Now().After(deadline) {
 			return err
 		}
-		time.Sleep(pollGap)
+		time.Sleep(pollInterval)
 	}
 }
--- a/test/scenario/site_test.go
+++ b/test/scenario/site_test.go
@@ -17,7 +17,7 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// What the site declares.
+// Names in the site's declaration.
 const (
 	siteModel   = "modelos-lenguaje"
 	siteService = "reservas-app"
@@ -26,10 +26,10 @@
 	siteRegion  = "sierra-norte"
 )
 
-type worldKey struct{}
+type scenarioKey struct{}
 
-// world is everything that one script has started.
-type world struct {
+// scenario is the state of one script, with everything that it has started.
+type scenario struct {
 	env       *testscript.Env
 	dir       string
 	processes map[string]*process
@@ -47,13 +47,13 @@
 	frozen string
 }
 
-// entryAddresses of one entry; they stay the same when it starts again.
+// entryAddresses are the addresses of one entry, which it keeps across restarts.
 type entryAddresses struct {
 	callers, operators, admin, quic string
 }
 
-func newWorld(env *testscript.Env) *world {
-	return &world{
+func newScenario(env *testscript.Env) *scenario {
+	return &scenario{
 		env: env, dir: env.WorkDir,
 		processes: map[string]*process{}, links: map[string]*link{}, answers: map[string]*answer{},
 		loads: map[string]*load{}, addresses: map[string]entryAddresses{},
@@ -61,14 +61,14 @@
 	}
 }
 
-// close ends every process; after a failure it shows the ends of their logs
+// close ends all processes. If the script failed it logs the last lines of their logs
 // and the entries' latest decisions.
-func (w *world) close() {
+func (w *scenario) close() {
 	t, ok := w.env.T().(interface{ Failed() bool })
 	failed := ok && t.Failed()
 	for name, at := range w.addresses {
 		if failed && w.processes[name].alive() {
-			w.env.T().Log(name+" decided:", latestDecisions(at.admin, 2))
+			w.env.T().Log(name+" latest decisions:", latestDecisions(at.admin, 2))
 		}
 	}
 	for _, l := range w.loads {
@@ -92,14 +92,14 @@
 	}
 }
 
-// Ports of the processes under test stand below those that the system hands
-// out, so that nothing takes one while its owner is down. Each run of the suite
-// has a loopback address of its own and hands out every port once: two
-// scenarios, or two runs on one machine, never get the same.
+// Ports of the processes under test are below the ephemeral port range, so that no
+// other socket takes one while its process is down. Each run of the test program uses
+// its own loopback address and assigns every port once, so that concurrent scripts and
+// runs do not collide.
 const (
 	firstPort = 20000
 	ports     = 10000
-	// octet bounds a part of the loopback address.
+	// octet is the number of values used in one part of the loopback address.
 	octet = 250
 )
 
@@ -108,7 +108,7 @@
 	nextPort atomic.Int32
 )
 
-// freeAddress hands out an address that is free for TCP and UDP.
+// freeAddress returns an unused address that is free for TCP and UDP.
 func freeAddress() (string, error) {
 	for range 100 {
 		address := fmt.Sprintf("%s:%d", loopback, firstPort+nextPort.Add(1)%ports)
@@ -124,18 +124,18 @@
 		_ = udp.Close()
 		return address, nil
 	}
-	return "", fmt.Errorf("no free port")
+	return "", fmt.Errorf("no free port found in 100 attempts")
 }
 
-// run starts a process under a name.
-func (w *world) run(name, binary string, args ...string) (*process, error) {
+// run starts a process under a name and waits until it is ready.
+func (w *scenario) run(name, binary string, args ...string) (*process, error) {
 	p := &process{name: name, binary: binary, args: args, log: filepath.Join(w.dir, name+".log")}
 	w.processes[name] = p
 	w.order = append(w.order, name)
 	return p, p.start()
 }
 
-// size of a site.
+// size is the number and kind of a site's processes.
 type size struct {
 	entries, engines, portals int
 	vendor                    string
@@ -143,9 +143,9 @@
 	portalArgs                []string
 }
 
-// build starts the platform, the backend servers with their agents and the
-// entries, and declares them by an operator's call.
-func (w *world) build(s size) error {
+// build starts the platform, the backend servers with their agents and the entries,
+// and declares them through jayctl.
+func (w *scenario) build(s size) error {
 	authority, err := keys.NewAuthority(24 * time.Hour)
 	if err != nil {
 		return err
@@ -178,7 +178,7 @@
 	return w.declare()
 }
 
-func (w *world) issue(role keys.Role, name string) error {
+func (w *scenario) issue(role keys.Role, name string) error {
 	cert, err := w.authority.Issue(keys.Identity{Role: role, Name: name}, time.Hour)
 	if err != nil {
 		return err
@@ -186,9 +186,9 @@
 	return cert.Save(w.keysDir(name))
 }
 
-func (w *world) keysDir(name string) string { return filepath.Join(w.dir, "keys", name) }
+func (w *scenario) keysDir(name string) string { return filepath.Join(w.dir, "keys", name) }
 
-func (w *world) declareBasics() error {
+func (w *scenario) declareBasics() error {
 	plain, key, err := catalog.NewCallerKey()
 	if err != nil {
 		return err
@@ -216,19 +216,19 @@
 	return nil
 }
 
-func (w *world) startEngine(i int, s size) error {
+func (w *scenario) startEngine(i int, s size) error {
 	args := append([]string{"engine", "--vendor", s.vendor, "--version", siteDigest, "--max-running", "64"}, s.engineArgs...)
 	engine, err := w.run(fmt.Sprint("engine", i), "jay-standin", args...)
 	if err != nil {
 		return err
 	}
-	// Started again at the same address: the agent beside it must find it.
+	// Restarts must use the same address, which is in the settings of the agent.
 	engine.args = append(engine.args, "--listen", strings.TrimPrefix(engine.url, "http://"))
 	backend := fmt.Sprintf("[engine]\nvendor = %q\nurl = %q\n", s.vendor, engine.url)
 	return w.startAgent(fmt.Sprint("agent", i), backend, fmt.Sprintf("pool = %q\nvendor = %q\n", "modelos", s.vendor))
 }
 
-func (w *world) startPortal(i int, s size) error {
+func (w *scenario) startPortal(i int, s size) error {
 	portal, err := w.run(fmt.Sprint("portal", i), "jay-standin", append([]string{"service", "--name", siteService}, s.portalArgs...)...)
 	if err != nil {
 		return err
@@ -237,9 +237,9 @@
 	return w.startAgent(fmt.Sprint("portalagent", i), backend, fmt.Sprintf("service = %q\nvendor = %q\n", siteService, "plain"))
 }
 
-// startAgent starts the agent beside a backend server, with a link in front of
-// it that can be cut, and declares the backend server.
-func (w *world) startAgent(name, backend, declared string) error {
+// startAgent starts the agent of a backend server behind a link that can be cut, and
+// adds the backend server to the declaration.
+func (w *scenario) startAgent(name, backend, declared string) error {
 	if err := w.issue(keys.RoleAgent, name); err != nil {
 		return err
 	}
@@ -271,7 +271,7 @@
 	return err
 }
 
-func (w *world) startEntry(i, of int) error {
+func (w *scenario) startEntry(i, of int) error {
 	name := fmt.Sprint("entry", i)
 	if err := w.issue(keys.RoleEntry, name); err != nil {
 		return err
@@ -305,12 +305,13 @@
 	return err
 }
 
-// seedsLine names the other entries and the agents, to be asked while the platform is down.
+// seedsLine returns the setting that lists the other entries and the agents, from which
+// an entry gets the configuration while the platform is down.
 func seedsLine(seeds []string) string {
 	return fmt.Sprintf("seeds = [%s]\n", strings.Join(seeds, ", "))
 }
 
-func (w *world) reserveEntry(name string) error {
+func (w *scenario) reserveEntry(name string) error {
 	if _, ok := w.addresses[name]; ok {
 		return nil
 	}
@@ -326,13 +327,13 @@
 	return nil
 }
 
-func (w *world) writeSettings(name, text string) (string, error) {
+func (w *scenario) writeSettings(name, text string) (string, error) {
 	file := filepath.Join(w.dir, name+".toml")
 	return file, os.WriteFile(file, []byte(text), 0o600)
 }
 
 // setVM changes the platform's list of VMs.
-func (w *world) setVM(vm platform.VM) error {
+func (w *scenario) setVM(vm platform.VM) error {
 	if vm.State == "" {
 		vm.State = platform.VMLive
 	}
@@ -345,9 +346,9 @@
 	return post(w.processes["platform"].url+"/faults/vm", body)
 }
 
-// declare applies what the site has as one change and waits until every
-// process has it in force.
-func (w *world) declare() error {
+// declare applies the declaration of the site as one change and waits until it is in
+// force in every process.
+func (w *scenario) declare() error {
 	folder := filepath.Join(w.dir, "declared")
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return err
--- a/test/scenario/watch_test.go
+++ b/test/scenario/watch_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// watch notes when the count of runs at a stand-in last rose.
+// watch records when the number of runs at a stand-in last increased.
 type watch struct {
 	stop    chan struct{}
 	stopped chan struct{}
@@ -19,14 +19,14 @@
 	last    time.Time
 }
 
-// end stops the watch; last may be read after it.
+// end stops the watch; last may be read afterwards.
 func (v *watch) end() {
 	v.once.Do(func() { close(v.stop) })
 	<-v.stopped
 }
 
-func (w *world) cmdWatch(args []string) error {
-	if err := need(args, 1); err != nil {
+func (w *scenario) cmdWatch(args []string) error {
+	if err := requireArgs(args, 1); err != nil {
 		return err
 	}
 	v := &watch{stop: make(chan struct{}), stopped: make(chan struct{})}
@@ -34,7 +34,7 @@
 	url := w.processes[args[0]].url
 	go func() {
 		defer close(v.stopped)
-		ticker := time.NewTicker(pollGap)
+		ticker := time.NewTicker(pollInterval)
 		defer ticker.Stop()
 		before := 0
 		for {
@@ -52,27 +52,27 @@
 	return nil
 }
 
-func (w *world) cmdQuiet(args []string) error {
-	if err := need(args, 3); err != nil {
+func (w *scenario) cmdQuiet(args []string) error {
+	if err := requireArgs(args, 3); err != nil {
 		return err
 	}
 	v, ok := w.watches[args[0]]
 	bound, err := time.ParseDuration(args[2])
 	if !ok || err != nil {
-		return fmt.Errorf("no watch on %s, or no duration: %w", args[0], err)
+		return fmt.Errorf("no watch on %s, or invalid duration: %w", args[0], err)
 	}
 	v.end()
 	if v.last.IsZero() {
-		return errors.New("nothing ever ran there")
+		return errors.New("the stand-in ran nothing while it was watched")
 	}
 	if late := v.last.Sub(w.moments[args[1]]); late > bound {
-		return fmt.Errorf("a run began %v after", late)
+		return fmt.Errorf("a run began %v after the mark, too late", late)
 	}
 	return nil
 }
 
-func (w *world) cmdBusy(args []string) error {
-	if err := need(args, 1); err != nil {
+func (w *scenario) cmdBusy(args []string) error {
+	if err := requireArgs(args, 1); err != nil {
 		return err
 	}
 	before, err := w.runsOf(args[0], "*")
@@ -82,22 +82,22 @@
 	return poll(func() error {
 		now, err := w.runsOf(args[0], "*")
 		if err == nil && now == before {
-			err = fmt.Errorf("no run began after the first %d", before)
+			err = fmt.Errorf("no further run began after the first %d", before)
 		}
 		return err
 	})
 }
 
-func (w *world) cmdMark(args []string) error {
-	if err := need(args, 1); err != nil {
+func (w *scenario) cmdMark(args []string) error {
+	if err := requireArgs(args, 1); err != nil {
 		return err
 	}
 	w.moments[args[0]] = time.Now()
 	return nil
 }
 
-func (w *world) cmdSince(args []string) error {
-	if err := need(args, 2); err != nil {
+func (w *scenario) cmdSince(args []string) error {
+	if err := requireArgs(args, 2); err != nil {
 		return err
 	}
 	bound, err := time.ParseDuration(args[1])
@@ -105,30 +105,30 @@
 		return err
 	}
 	if took := time.Since(w.moments[args[0]]); took > bound {
-		return fmt.Errorf("%v passed", took)
+		return fmt.Errorf("%v have passed since the mark", took)
 	}
 	return nil
 }
 
-func (w *world) cmdLogged(args []string) error {
-	if err := need(args, 2); err != nil {
+func (w *scenario) cmdLogged(args []string) error {
+	if err := requireArgs(args, 2); err != nil {
 		return err
 	}
 	p, ok := w.processes[args[0]]
 	if !ok {
-		return fmt.Errorf("no process %s", args[0])
+		return fmt.Errorf("unknown process %s", args[0])
 	}
 	return poll(func() error {
 		text, err := os.ReadFile(p.log)
 		if err == nil && strings.Contains(string(text), args[1]) {
 			return nil
 		}
-		return fmt.Errorf("not logged: %s", p.tail())
+		return fmt.Errorf("text not found in the log: %s", p.tail())
 	})
 }
 
-func (w *world) cmdReady(args []string) error {
-	if err := need(args, 2); err != nil {
+func (w *scenario) cmdReady(args []string) error {
+	if err := requireArgs(args, 2); err != nil {
 		return err
 	}
 	bound, err := time.ParseDuration(args[1])
@@ -148,18 +148,18 @@
 		return nil
 	})
 	if took := time.Since(started); err == nil && took > bound {
-		return fmt.Errorf("ready after %v", took)
+		return fmt.Errorf("ready only after %v", took)
 	}
 	return err
 }
 
-func (w *world) cmdLoadMore(args []string) error {
-	if err := need(args, 2); err != nil {
+func (w *scenario) cmdLoadMore(args []string) error {
+	if err := requireArgs(args, 2); err != nil {
 		return err
 	}
 	l, ok := w.loads[args[0]]
 	if !ok {
-		return fmt.Errorf("no load %s", args[0])
+		return fmt.Errorf("unknown load %s", args[0])
 	}
 	var n int64
 	if _, err := fmt.Sscan(args[1], &n); err != nil {
@@ -174,8 +174,9 @@
 	})
 }
 
-// cmdFreezeServing freezes the agent whose engine has run something, when it is one.
-func (w *world) cmdFreezeServing([]string) error {
+// cmdFreezeServing freezes the agent of the only engine that has run a request. It fails
+// if no engine or several engines have.
+func (w *scenario) cmdFreezeServing([]string) error {
 	for name := range w.processes {
 		number, isEngine := strings.CutPrefix(name, "engine")
 		if !isEngine {
@@ -186,18 +187,18 @@
 			return err
 		}
 		if n > 0 && w.frozen != "" {
-			return errors.New("more than one engine has run something")
+			return errors.New("more than one engine has run a request")
 		}
 		if n > 0 {
 			w.frozen = "agent" + number
 		}
 	}
 	if w.frozen == "" {
-		return errors.New("no engine has run anything")
+		return errors.New("no engine has run a request")
 	}
 	return w.processes[w.frozen].signal(syscall.SIGSTOP)
 }
 
-func (w *world) cmdThawServing([]string) error {
+func (w *scenario) cmdThawServing([]string) error {
 	return w.processes[w.frozen].signal(syscall.SIGCONT)
 }
