--- a/cmd/jay-dev/main.go
+++ b/cmd/jay-dev/main.go
@@ -1,4 +1,4 @@
-// Command jay-dev runs the whole system in one process on loopback, with
+// Command jay-dev runs the complete system in one process on loopback, with
 // stand-ins for the engines, the services and the platform.
 package main
 
@@ -19,7 +19,7 @@
 	selfCheck := false
 	cmd := &cobra.Command{
 		Use:          "jay-dev",
-		Short:        "The whole system on one machine, with stand-ins",
+		Short:        "Run the complete system on one machine, with stand-ins",
 		Args:         cobra.NoArgs,
 		SilenceUsage: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -11,7 +11,7 @@
 // Fault is the fault injected into a run.
 type Fault string
 
-// The faults.
+// The faults. Their texts are the values of jay-load's flag --fault.
 const (
 	FaultNone Fault = ""
 	// FaultShift replaces the most popular templates of every workspace by new ones.
@@ -38,7 +38,8 @@
 	reportDelayMS = 5000
 	slowFactor    = 3
 	crashDowntime = 500 * time.Millisecond
-	crashEvery    = 3
+	// FaultCrash crashes one in crashEvery engines.
+	crashEvery = 3
 )
 
 // inject injects the fault at the given time after the start of the load, or at once
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -61,7 +61,7 @@
 	crashes int
 }
 
-// Start serves a stand-in until Close.
+// Start runs a stand-in until Close.
 func Start(options Options) (*Engine, error) {
 	if options.Listen == "" {
 		options.Listen = "127.0.0.1:0"
--- a/internal/standin/engine/merle.go
+++ b/internal/standin/engine/merle.go
@@ -19,7 +19,7 @@
 // body, cache events are JSON lines, and the cache can be listed.
 type merle struct{ *Engine }
 
-// merleFields is the member "merle" of a request's body.
+// merleFields is the field "merle" of a request's body.
 type merleFields struct {
 	RequestID string `json:"request_id"`
 	CacheSalt string `json:"cache_salt"`
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -10,6 +10,7 @@
 	"github.com/rotisserie/eris"
 )
 
+// maxFaultBody bounds the body of a request to /faults, in bytes.
 const maxFaultBody = 1 << 20
 
 // MergeFaults sets the fields of target, a pointer to a struct with json tags,
--- a/internal/standin/kvstore/kvstore.go
+++ b/internal/standin/kvstore/kvstore.go
@@ -19,6 +19,7 @@
 // DefaultBlobs is the default of Options.Blobs.
 const DefaultBlobs = 4096
 
+// maxBlob bounds a stored blob, in bytes.
 const maxBlob = 1 << 30
 
 // Options configure the stand-in; zero values mean the defaults.
@@ -37,7 +38,7 @@
 	DelayMS int `json:"delay_ms"`
 }
 
-// Store is a running stand-in. Blobs live under /kv/{key}: PUT, GET, HEAD, DELETE.
+// Store is a running stand-in. Blobs are stored under /kv/{key}: PUT, GET, HEAD, DELETE.
 type Store struct {
 	server *standin.Server
 	blobs  *lru.Cache[string, []byte]
--- a/internal/standin/platform/handlers.go
+++ b/internal/standin/platform/handlers.go
@@ -15,6 +15,7 @@
 )
 
 const (
+	// maxBody bounds a request's body, in bytes.
 	maxBody = 64 << 20
 	// weightPiece is the size in bytes of one write when weights are sent.
 	weightPiece = 64 << 10
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -17,7 +17,7 @@
 	"github.com/jayproxy/jayproxy/internal/standin"
 )
 
-// Defaults of Options.
+// Defaults of Options; DefaultWeightRate is in bytes per second.
 const (
 	DefaultWritesPerSecond = 400
 	DefaultReadsPerSecond  = 2000
@@ -26,7 +26,7 @@
 
 // Options configure the stand-in; zero values mean the defaults.
 type Options struct {
-	// Listen is an "ip:port" address; empty selects a unlimited loopback port.
+	// Listen is an "ip:port" address; empty selects a free loopback port.
 	Listen string
 	// WritesPerSecond and ReadsPerSecond are the rate limits of the table and the
 	// object store together; calls above them are refused with status 429.
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -21,6 +21,7 @@
 // IdempotencyHeader holds the caller's key of a call that must not run twice.
 const IdempotencyHeader = "Idempotency-Key"
 
+// maxBody bounds a request's body, in bytes.
 const maxBody = 64 << 20
 
 // Options configure the stand-in; zero values mean the defaults.
@@ -58,7 +59,7 @@
 	Key     string `json:"key,omitempty"`
 	// Run is the number of runs of this key so far, this one included.
 	Run int `json:"run"`
-	// Body is what the caller sent.
+	// Body is the body of the request.
 	Body string `json:"body"`
 }
 
@@ -152,7 +153,7 @@
 	return c.JSON(http.StatusOK, faults)
 }
 
-// Load is the load report of a service.
+// Load is the response of /load.
 type Load struct {
 	Running     int `json:"running"`
 	Concurrency int `json:"concurrency"`
--- a/test/history/streams_test.go
+++ b/test/history/streams_test.go
@@ -34,7 +34,7 @@
 const answerTokens = 60
 
 // ask requests the answer and resumes it at random entries until it is complete or
-// has failure.
+// has failed.
 func (r *reader) ask(t *testing.T, prompt string) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
 		cluster.Model, answerTokens, prompt)
--- a/test/scenario/commands_test.go
+++ b/test/scenario/commands_test.go
@@ -24,7 +24,8 @@
 // commands returns the commands of the scripts:
 //
 //	site entries=N engines=N portals=N vendor=V [engine:--flag=v] [portal:--flag=v]
-//	start NAME [BINARY ARGS...]     starts a process, again as it was without a binary
+//	                                starts the platform, entries, and engines and services (portals) with their agents
+//	start NAME [BINARY ARGS...]     starts a process; without a binary, restarts it with its previous arguments
 //	hold ENTRY                      opens the callers' socket of a stopped entry and passes it to the entry at each start
 //	sigkill|freeze|thaw|term NAME   SIGKILL, SIGSTOP, SIGCONT, SIGTERM
 //	exited NAME                     waits until the process has exited with status 0
@@ -32,7 +33,9 @@
 //	vm NAME STATE                   changes the platform's list of VMs
 //	cutlink|heallink AGENT          drops all datagrams between the entries and an agent, or passes them again
 //	call ID ENTRY chat PROMPT [tokens=N] [plain]
+//	                                sends a model request in the background; plain: not streamed
 //	call ID ENTRY METHOD PATH [key=K] [body=B]
+//	                                sends a request to the service in the background
 //	resume ID ENTRY OF              resumes the stream of the call OF as a new call
 //	progress ID N                   waits until N events have been received
 //	expect ID OUTCOME|... [CODE]    waits for the end and checks the outcome: whole, done, error, not_run, unknown or broken
--- a/test/scenario/decision_test.go
+++ b/test/scenario/decision_test.go
@@ -31,7 +31,7 @@
 }
 
 // cmdConsidered waits until a backend server is a candidate of an entry's latest
-// decision. It requireArgs not be chosen, since the choice depends on load.
+// decision. It need not be chosen, since the choice depends on load.
 func (w *scenario) cmdConsidered(args []string) error {
 	if err := requireArgs(args, 2); err != nil {
 		return err
--- a/tools/slopes/agent.go
+++ b/tools/slopes/agent.go
@@ -117,14 +117,14 @@
 
 func claimWrites(n int) (float64, error) {
 	memory := platformtest.New()
-	book := ledger.New(slowTable{memory}, ledger.Options{})
-	defer book.Close()
+	claims := ledger.New(slowTable{memory}, ledger.Options{})
+	defer claims.Close()
 	var wg sync.WaitGroup
 	errs := make(chan error, claimants)
 	for worker := range claimants {
 		wg.Go(func() {
 			for i := worker; i < n; i += claimants {
-				if _, err := book.Take(context.Background(), "w", fmt.Sprint("key-", i), "request"); err != nil {
+				if _, err := claims.Take(context.Background(), "w", fmt.Sprint("key-", i), "request"); err != nil {
 					errs <- err
 					return
 				}
--- a/tools/slopes/main.go
+++ b/tools/slopes/main.go
@@ -38,7 +38,7 @@
 		fail(err)
 	}
 	var slopes []capacity.Slope
-	for _, m := range all() {
+	for _, m := range allMeasurements() {
 		slope, ok := known[m.name]
 		if pattern.MatchString(m.name) {
 			if slope, err = run(m); err != nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-func all() []measurement {
+func allMeasurements() []measurement {
 	var list []measurement
 	list = append(list, transportMeasurements()...)
 	list = append(list, catalogMeasurements()...)
