--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Page renders the rows and the slopes they come from as Markdown.
+// Page renders the rows and the slopes that they are computed from as Markdown.
 func Page(sizes Sizes, rows []Row, slopes Set) string {
 	var p strings.Builder
 	p.WriteString(head)
@@ -108,7 +108,7 @@
 }
 
 func verdictText(r Row) string {
-	if r.Verdict() == Short {
+	if r.Verdict() == FallsShort {
 		return fmt.Sprintf("**falls short**, %.1f times the bound", r.Value/r.Bound)
 	}
 	return string(r.Verdict())
--- a/internal/experiment/ready.go
+++ b/internal/experiment/ready.go
@@ -15,7 +15,7 @@
 	readyPause   = 50 * time.Millisecond
 )
 
-// awaitReady sends calls of its own until every entry serves.
+// awaitReady sends probe calls until every entry returns a complete answer.
 func awaitReady(ctx context.Context, c *cluster.Cluster) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -24,7 +24,7 @@
 		target := load.Target{URLs: func() []string { return []string{e.CallersURL()} }, Key: cluster.Key, Model: cluster.Model}
 		for {
 			samples := load.Send(ctx, []load.Call{call}, target)
-			if len(samples) == 1 && samples[0].Whole {
+			if len(samples) == 1 && samples[0].Complete {
 				break
 			}
 			select {
--- a/tools/capacity/main.go
+++ b/tools/capacity/main.go
@@ -1,4 +1,4 @@
-// Command capacity computes docs/CAPACITY.md from the measured slopes.
+// Command capacity generates docs/CAPACITY.md from docs/slopes.json.
 package main
 
 import (
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	in := flag.String("in", "docs/slopes.json", "slopes as `make slopes` wrote them")
+	in := flag.String("in", "docs/slopes.json", "slopes file written by `make slopes`")
 	out := flag.String("out", "docs/CAPACITY.md", "page to write")
 	flag.Parse()
 	slopes, err := capacity.Load(*in)
@@ -18,7 +18,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	sizes := capacity.TwoYears()
+	sizes := capacity.TwoYearForecast()
 	page := capacity.Page(sizes, capacity.Rows(sizes, slopes), slopes)
 	if err := os.WriteFile(*out, []byte(page), 0o644); err != nil {
 		fmt.Fprintln(os.Stderr, err)
