--- a/internal/catalog/diff.go
+++ b/internal/catalog/diff.go
@@ -73,9 +73,9 @@
 	return d.finish(nil)
 }
 
-// After returns the whole set of resources that the table holds once the
+// ResourcesAfter returns the whole set of resources that the table holds once the
 // difference is applied, in no order.
-func (t *Table) After(d Difference) []*jayv1.Resource {
+func (t *Table) ResourcesAfter(d Difference) []*jayv1.Resource {
 	gone := make(map[string]bool, len(d.Deleted)+len(d.Put))
 	for _, name := range d.Deleted {
 		gone[name] = true
--- a/internal/catalog/forward.go
+++ b/internal/catalog/forward.go
@@ -12,11 +12,11 @@
 // that the delta can't be applied; the caller asks for a snapshot.
 var ErrGap = errors.New("changes of the catalog are missing")
 
-// Forward applies a delta whole and returns the newest table it leads to; the
+// ApplyDelta applies a delta whole and returns the newest table it leads to; the
 // receiver itself when the delta brings nothing newer. Changes that the table
 // already has are skipped. A gap is ErrGap: a table built over a missing
 // change would claim a generation whose content it does not have.
-func (t *Table) Forward(delta *jayv1.CatalogDelta) (*Table, error) {
+func (t *Table) ApplyDelta(delta *jayv1.CatalogDelta) (*Table, error) {
 	base := t
 	if snapshot := delta.GetSnapshot(); snapshot.GetGeneration() > t.generation {
 		base = Build(snapshot)
--- a/internal/catalog/load_test.go
+++ b/internal/catalog/load_test.go
@@ -130,12 +130,12 @@
 
 func TestForwardRefusesAGap(t *testing.T) {
 	table := catalog.Build(&jayv1.Snapshot{Generation: 3})
-	_, err := table.Forward(&jayv1.CatalogDelta{Changes: []*jayv1.Change{{Generation: 4}, {Generation: 6}}})
+	_, err := table.ApplyDelta(&jayv1.CatalogDelta{Changes: []*jayv1.Change{{Generation: 4}, {Generation: 6}}})
 	require.ErrorIs(t, err, catalog.ErrGap)
-	next, err := table.Forward(&jayv1.CatalogDelta{Changes: []*jayv1.Change{{Generation: 2}, {Generation: 3}, {Generation: 4}}})
+	next, err := table.ApplyDelta(&jayv1.CatalogDelta{Changes: []*jayv1.Change{{Generation: 2}, {Generation: 3}, {Generation: 4}}})
 	require.NoError(t, err)
 	assert.Equal(t, uint64(4), next.Generation())
-	old, err := next.Forward(&jayv1.CatalogDelta{Snapshot: &jayv1.Snapshot{Generation: 2}})
+	old, err := next.ApplyDelta(&jayv1.CatalogDelta{Snapshot: &jayv1.Snapshot{Generation: 2}})
 	require.NoError(t, err)
 	assert.Same(t, next, old)
 }
@@ -183,7 +183,7 @@
 			return
 		}
 		table := catalog.Build(&jayv1.Snapshot{Generation: 2})
-		next, err := table.Forward(delta)
+		next, err := table.ApplyDelta(delta)
 		if err == nil && next.Generation() < table.Generation() {
 			t.Fatal("a table moved backwards")
 		}
--- a/internal/catalog/table.go
+++ b/internal/catalog/table.go
@@ -289,9 +289,9 @@
 	return false
 }
 
-// Advance applies a change that makes the next generation. Any other change
+// ApplyChange applies a change that makes the next generation. Any other change
 // is an error: a table never moves backwards and never skips.
-func (t *Table) Advance(change *jayv1.Change) (*Table, error) {
+func (t *Table) ApplyChange(change *jayv1.Change) (*Table, error) {
 	if change.GetGeneration() != t.generation+1 {
 		return nil, eris.Errorf("change makes generation %d, the table is at %d", change.GetGeneration(), t.generation)
 	}
--- a/internal/catalog/table_test.go
+++ b/internal/catalog/table_test.go
@@ -34,11 +34,11 @@
 
 func TestAdvanceTakesOnlyTheNextGeneration(t *testing.T) {
 	table := catalog.Build(&jayv1.Snapshot{Generation: 4, Resources: []*jayv1.Resource{pool("a"), pool("b")}})
-	_, err := table.Advance(&jayv1.Change{Generation: 6})
+	_, err := table.ApplyChange(&jayv1.Change{Generation: 6})
 	require.Error(t, err)
-	_, err = table.Advance(&jayv1.Change{Generation: 4})
+	_, err = table.ApplyChange(&jayv1.Change{Generation: 4})
 	require.Error(t, err)
-	next, err := table.Advance(&jayv1.Change{Generation: 5, Put: []*jayv1.Resource{pool("c")}, Delete: []string{"pool/a"}})
+	next, err := table.ApplyChange(&jayv1.Change{Generation: 5, Put: []*jayv1.Resource{pool("c")}, Delete: []string{"pool/a"}})
 	require.NoError(t, err)
 	_, hasA := next.PoolOfModel("m-a")
 	_, hasC := next.PoolOfModel("m-c")
--- a/internal/catalogstore/accept.go
+++ b/internal/catalogstore/accept.go
@@ -19,8 +19,8 @@
 var (
 	// ErrChangeIDReused means: another change was accepted under the same id.
 	ErrChangeIDReused = errors.New("change id was used for another change")
-	// ErrTooManyRaces means: other operators' changes came first at each try; nothing was accepted.
-	ErrTooManyRaces = errors.New("other changes came first at each attempt")
+	// ErrContention means: other operators' changes came first at each try; nothing was accepted.
+	ErrContention = errors.New("other changes came first at each attempt")
 	// ErrNoChangeID means: the change carries no id, so a repeat could not be recognised.
 	ErrNoChangeID = errors.New("change id is missing")
 )
@@ -96,7 +96,7 @@
 	if unsettled {
 		return Accepted{}, eris.Wrapf(platform.ErrUnknown, "change %s", proposal.ChangeID)
 	}
-	return Accepted{}, ErrTooManyRaces
+	return Accepted{}, ErrContention
 }
 
 // isPlatform tells whether the error says nothing of the change itself.
@@ -138,7 +138,7 @@
 	if difference.Empty() {
 		return accepted, false, nil
 	}
-	found := s.options.Check(table.After(difference))
+	found := s.options.Check(table.ResourcesAfter(difference))
 	found = append(found, catalog.CheckStep(table, difference.Put)...)
 	if err := found.Err(); err != nil {
 		return Accepted{}, false, err
@@ -193,7 +193,7 @@
 	if !result.Committed {
 		return Accepted{}, true, nil
 	}
-	next, err := table.Advance(change)
+	next, err := table.ApplyChange(change)
 	if err != nil {
 		return Accepted{}, false, err
 	}
--- a/internal/catalogstore/compact.go
+++ b/internal/catalogstore/compact.go
@@ -68,7 +68,7 @@
 func (s *Store) trimChanges(ctx context.Context, snapshot uint64) error {
 	const rowsPerChange = 2
 	const batch = platform.MaxTxnRows / rowsPerChange
-	oldest := s.options.Now().Add(-s.options.KeepChanges)
+	oldest := s.options.Now().Add(-s.options.ChangeRetention)
 	for {
 		rows, err := s.table.Range(ctx, DeltaPrefix, "", batch)
 		if err != nil {
--- a/internal/catalogstore/store.go
+++ b/internal/catalogstore/store.go
@@ -44,9 +44,9 @@
 type Options struct {
 	// SnapshotEvery is the number of generations between snapshots (256).
 	SnapshotEvery uint64
-	// KeepChanges: changes younger than this stay in the table, and a repeat
+	// ChangeRetention: changes younger than this stay in the table, and a repeat
 	// of their change id is recognised (24 h).
-	KeepChanges time.Duration
+	ChangeRetention time.Duration
 	// Attempts bounds the tries of one acceptance against racing ones (32).
 	Attempts int
 	Now      platform.Clock
@@ -58,8 +58,8 @@
 	if o.SnapshotEvery == 0 {
 		o.SnapshotEvery = defaultSnapshotEvery
 	}
-	if o.KeepChanges == 0 {
-		o.KeepChanges = defaultKeepChanges
+	if o.ChangeRetention == 0 {
+		o.ChangeRetention = defaultKeepChanges
 	}
 	if o.Attempts == 0 {
 		o.Attempts = defaultAttempts
@@ -151,7 +151,7 @@
 	if err != nil {
 		return nil, err
 	}
-	table, err := known.Forward(delta)
+	table, err := known.ApplyDelta(delta)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/catalogstore/store_test.go
+++ b/internal/catalogstore/store_test.go
@@ -164,7 +164,7 @@
 func TestTrimmedChangesAreReplacedByASnapshot(t *testing.T) {
 	p := platformtest.New()
 	now := time.Unix(1_800_000_000, 0)
-	options := catalogstore.Options{SnapshotEvery: 4, KeepChanges: time.Hour, Now: func() time.Time { return now }}
+	options := catalogstore.Options{SnapshotEvery: 4, ChangeRetention: time.Hour, Now: func() time.Time { return now }}
 	store := catalogstore.New(p, p, options)
 	away, err := store.Load(t.Context())
 	require.NoError(t, err)
@@ -177,7 +177,7 @@
 	delta, err := store.After(t.Context(), away.Generation())
 	require.NoError(t, err)
 	require.NotNil(t, delta.GetSnapshot())
-	back, err := away.Forward(delta)
+	back, err := away.ApplyDelta(delta)
 	require.NoError(t, err)
 	inForce, err := store.Load(t.Context())
 	require.NoError(t, err)
@@ -228,7 +228,7 @@
 			return faults[next%len(faults)]
 		})
 		stores := []*catalogstore.Store{
-			catalogstore.New(p, p, catalogstore.Options{SnapshotEvery: 3, KeepChanges: time.Nanosecond, Attempts: 2}),
+			catalogstore.New(p, p, catalogstore.Options{SnapshotEvery: 3, ChangeRetention: time.Nanosecond, Attempts: 2}),
 			catalogstore.New(p, p, catalogstore.Options{SnapshotEvery: 3, Attempts: 2}),
 		}
 		reader := catalog.Build(&jayv1.Snapshot{})
@@ -243,7 +243,7 @@
 			if rapid.Bool().Draw(t, "read") {
 				delta, err := stores[who].After(context.Background(), reader.Generation())
 				require.NoError(t, err)
-				reader, err = reader.Forward(delta)
+				reader, err = reader.ApplyDelta(delta)
 				require.NoError(t, err)
 			}
 		}
@@ -259,7 +259,7 @@
 		}
 		delta, err := stores[1].After(context.Background(), reader.Generation())
 		require.NoError(t, err)
-		reader, err = reader.Forward(delta)
+		reader, err = reader.ApplyDelta(delta)
 		require.NoError(t, err)
 		table, err := stores[0].Load(context.Background())
 		require.NoError(t, err)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -163,7 +163,7 @@
 	table := &ownTable{Table: s.table}
 	node := s.listen(keys.RoleEntry, name, func(context.Context, keys.Identity, *transport.Stream) {})
 	service, err := control.Start(ctx, control.Options{
-		Name: name, Boot: "1", Settings: quickSettings(), Node: node, Holder: s.holder, Table: table,
+		Name: name, Incarnation: "1", Settings: quickSettings(), Node: node, Holder: s.holder, Table: table,
 		Candidates: func(string, int) []string { return candidates }, Clock: time.Now,
 	})
 	require.NoError(s.t, err)
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -30,12 +30,12 @@
 type Options struct {
 	// Name of this entry.
 	Name string
-	// Boot differs between two boots of the entry.
-	Boot     string
-	Settings Settings
-	Node     *transport.Node
-	Holder   *catalog.Holder
-	Table    platform.Table
+	// Incarnation differs between two boots of the entry.
+	Incarnation string
+	Settings    Settings
+	Node        *transport.Node
+	Holder      *catalog.Holder
+	Table       platform.Table
 	// Candidates returns the first live entries in rendezvous order under the
 	// key, this one among them if it is one.
 	Candidates func(key string, count int) []string
@@ -158,10 +158,10 @@
 // loadedParallel bounds the probes of one count.
 const loadedParallel = 32
 
-// Loaded counts the backend servers of a pool that are ready and have the
+// CountLoaded counts the backend servers of a pool that are ready and have the
 // weights with the digest, by asking each of them now. One that does not
 // answer does not count.
-func (s *Service) Loaded(ctx context.Context, pool, digest string) int {
+func (s *Service) CountLoaded(ctx context.Context, pool, digest string) int {
 	var loaded atomic.Int64
 	var group errgroup.Group
 	group.SetLimit(loadedParallel)
--- a/internal/control/worker.go
+++ b/internal/control/worker.go
@@ -65,7 +65,7 @@
 func startWorker(ctx context.Context, options Options, pool string) *worker {
 	w := &worker{options: options, pool: pool, done: make(chan struct{})}
 	name := LeasePrefix + pool
-	w.keeper = lease.Keep(context.WithoutCancel(ctx), options.Table, name, options.Name+"/"+options.Boot, options.Settings.Lease, options.Clock)
+	w.keeper = lease.Keep(context.WithoutCancel(ctx), options.Table, name, options.Name+"/"+options.Incarnation, options.Settings.Lease, options.Clock)
 	ctx, w.cancel = context.WithCancel(ctx)
 	go w.run(ctx)
 	return w
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -45,7 +45,7 @@
 	}
 	e.operators, err = newOperatorServer(operatorDeps{
 		Address: e.settings.OperatorsAddress, Credentials: e.creds,
-		Operator: operator.Options{Store: store, Holder: e.holder, Spread: service, Explain: e.explainAnywhere, Loaded: e.rollouts.Load().Loaded},
+		Operator: operator.Options{Store: store, Holder: e.holder, Spread: service, Explain: e.explainAnywhere, CountLoaded: e.rollouts.Load().CountLoaded},
 	})
 	return err
 }
--- a/internal/entry/rollouts.go
+++ b/internal/entry/rollouts.go
@@ -10,7 +10,7 @@
 // startRollouts takes up the entry's share of control work.
 func (e *Entry) startRollouts() error {
 	service, err := control.Start(e.ctx, control.Options{
-		Name: e.settings.Name, Boot: strconv.FormatInt(e.started.UnixNano(), 36),
+		Name: e.settings.Name, Incarnation: strconv.FormatInt(e.started.UnixNano(), 36),
 		Settings: e.settings.Control, Node: e.node, Holder: e.holder, Table: e.platform,
 		Candidates: e.spread.Candidates,
 	})
--- a/internal/operator/activate.go
+++ b/internal/operator/activate.go
@@ -14,7 +14,7 @@
 // entries ask for the new version alone: where it is not loaded, callers are
 // refused until the weight store has delivered it.
 func (s *Service) checkActivations(ctx context.Context, table *catalog.Table, difference catalog.Difference) error {
-	if s.options.Loaded == nil {
+	if s.options.CountLoaded == nil {
 		return nil
 	}
 	for _, resource := range difference.Put {
@@ -29,7 +29,7 @@
 		if servers == 0 {
 			continue
 		}
-		if loaded := s.options.Loaded(ctx, next.GetName(), version.GetDigest()); loaded < needed {
+		if loaded := s.options.CountLoaded(ctx, next.GetName(), version.GetDigest()); loaded < needed {
 			return connect.NewError(connect.CodeFailedPrecondition, eris.Errorf(
 				"pool/%s.active_version: version %q is loaded and ready at %d of %d backend servers, %d are needed; wait for the rollout or allow it",
 				next.GetName(), version.GetName(), loaded, servers, needed))
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -35,7 +35,7 @@
 		return connect.NewError(connect.CodeInvalidArgument, err)
 	case errors.Is(err, catalogstore.ErrChangeIDReused):
 		return connect.NewError(connect.CodeAlreadyExists, err)
-	case errors.Is(err, catalogstore.ErrTooManyRaces):
+	case errors.Is(err, catalogstore.ErrContention):
 		return connect.NewError(connect.CodeAborted, err)
 	case errors.Is(err, platform.ErrUnknown):
 		return connect.NewError(connect.CodeUnknown, err)
--- a/internal/operator/service.go
+++ b/internal/operator/service.go
@@ -44,9 +44,9 @@
 	Spread Spread
 	// Explain finds the explanation of a request on any entry; ErrNoExplanation.
 	Explain func(ctx context.Context, requestID string) (*jayv1.Explanation, error)
-	// Loaded counts the backend servers of a pool that are ready and have the
+	// CountLoaded counts the backend servers of a pool that are ready and have the
 	// weights with the digest; nil: not asked.
-	Loaded func(ctx context.Context, pool, digest string) int
+	CountLoaded func(ctx context.Context, pool, digest string) int
 	// Closing is closed when the process shuts down; watches end then.
 	Closing <-chan struct{}
 }
--- a/internal/spread/log_test.go
+++ b/internal/spread/log_test.go
@@ -25,12 +25,12 @@
 				delta.Changes = append(delta.Changes, &jayv1.Change{Generation: g})
 				g++
 			}
-			next, err := table.Forward(delta)
+			next, err := table.ApplyDelta(delta)
 			require.NoError(t, err)
 			table = next
 			log.follow(delta, table)
 			peer := catalog.Build(&jayv1.Snapshot{Generation: rapid.Uint64Range(0, table.Generation()).Draw(t, "peer")})
-			forward, err := peer.Forward(log.since(peer.Generation(), table))
+			forward, err := peer.ApplyDelta(log.since(peer.Generation(), table))
 			require.NoError(t, err)
 			require.Equal(t, table.Generation(), forward.Generation())
 		}
--- a/internal/spread/service.go
+++ b/internal/spread/service.go
@@ -165,7 +165,7 @@
 // adopt puts what a delta leads to in force, if it is newer.
 func (s *Service) adopt(delta *jayv1.CatalogDelta) error {
 	s.mu.Lock()
-	table, err := s.options.Holder.Current().Forward(delta)
+	table, err := s.options.Holder.Current().ApplyDelta(delta)
 	if err != nil {
 		s.mu.Unlock()
 		return err
--- a/tools/slopes/catalog.go
+++ b/tools/slopes/catalog.go
@@ -37,7 +37,7 @@
 				table := catalog.Build(declared(n))
 				change := &jayv1.Change{Generation: 2, Put: []*jayv1.Resource{backendServer(0)}}
 				var fault error
-				cost := nanosecondsPer(shortRun, func() { _, fault = table.Advance(change) })
+				cost := nanosecondsPer(shortRun, func() { _, fault = table.ApplyChange(change) })
 				return cost, fault
 			},
 		},
