--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -11,24 +11,26 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// probe asks a backend server's agent for its state.
+// probe requests the state of a backend server from its agent. An agent of
+// another backend server at the address is an error.
 func probe(ctx context.Context, options Options, pool string, server *jayv1.BackendServer) (*jayv1.AgentState, error) {
-	question := &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Probe{Probe: &jayv1.ProbeRequest{
+	request := &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Probe{Probe: &jayv1.ProbeRequest{
 		Pool: pool, Generation: options.Holder.Current().Generation(),
 	}}}
-	answer, err := ask(ctx, options.Node, server.GetAgentAddress(), question, options.Settings.ProbeTimeout)
+	reply, err := roundTrip(ctx, options.Node, server.GetAgentAddress(), request, options.Settings.ProbeTimeout)
 	if err != nil {
 		return nil, err
 	}
-	state := answer.GetProbeReply().GetState()
+	state := reply.GetProbeReply().GetState()
 	if state.GetBackendServer() != server.GetName() {
-		return nil, eris.Errorf("%s answers at the address of %s", state.GetBackendServer(), server.GetName())
+		return nil, eris.Errorf("backend server %s answered at the agent address of backend server %s", state.GetBackendServer(), server.GetName())
 	}
 	return state, nil
 }
 
-// ask sends one frame to an agent and reads the answer.
-func ask(ctx context.Context, node *transport.Node, address string, question *jayv1.ClientFrame, timeout time.Duration) (*jayv1.ServerFrame, error) {
+// roundTrip sends one frame to an agent and returns its reply, within the
+// timeout.
+func roundTrip(ctx context.Context, node *transport.Node, address string, request *jayv1.ClientFrame, timeout time.Duration) (*jayv1.ServerFrame, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	stream, err := node.Open(ctx, address, keys.RoleAgent)
@@ -41,12 +43,12 @@
 			return nil, err
 		}
 	}
-	if err := stream.Send(question); err != nil {
+	if err := stream.Send(request); err != nil {
 		return nil, err
 	}
 	if err := stream.CloseSend(); err != nil {
-		return nil, eris.Wrap(err, "end question")
+		return nil, eris.Wrap(err, "close the sending side of the stream")
 	}
-	answer := &jayv1.ServerFrame{}
-	return answer, stream.Receive(answer)
+	reply := &jayv1.ServerFrame{}
+	return reply, stream.Receive(reply)
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -23,8 +23,8 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// fakeAgent answers probes and carries orders out as an engine does, in its own
-// time and out of service meanwhile. It keeps every order that it was given.
+// fakeAgent answers probes and executes orders. Like an engine it takes the time
+// load for each order and is not ready meanwhile. It records all orders.
 type fakeAgent struct {
 	name string
 	node *transport.Node
@@ -72,8 +72,8 @@
 	}
 }
 
-// site is one pool of fake agents and the entries that look after it.
-type site struct {
+// testPool is one pool of fake agents and the entries that control it.
+type testPool struct {
 	t         *testing.T
 	authority *keys.Authority
 	table     *platformtest.Memory
@@ -81,7 +81,7 @@
 	agents    []*fakeAgent
 }
 
-func (s *site) listen(role keys.Role, name string, handler transport.Handler) *transport.Node {
+func (s *testPool) listen(role keys.Role, name string, handler transport.Handler) *transport.Node {
 	dir := filepath.Join(s.t.TempDir(), name)
 	cert, err := s.authority.Issue(keys.Identity{Role: role, Name: name}, time.Hour)
 	require.NoError(s.t, err)
@@ -94,10 +94,10 @@
 	return node
 }
 
-func newSite(t *testing.T, servers int) *site {
+func newTestPool(t *testing.T, servers int) *testPool {
 	authority, err := keys.NewAuthority(time.Hour)
 	require.NoError(t, err)
-	s := &site{t: t, authority: authority, table: platformtest.New(), holder: catalog.NewHolder()}
+	s := &testPool{t: t, authority: authority, table: platformtest.New(), holder: catalog.NewHolder()}
 	for i := range servers {
 		agent := &fakeAgent{name: fmt.Sprint("b", i), versions: []string{"old"}, load: 60 * time.Millisecond}
 		agent.node = s.listen(keys.RoleAgent, agent.name, agent.serve)
@@ -106,7 +106,7 @@
 	return s
 }
 
-func (s *site) declare(generation uint64, minReady uint32, active string, versions ...string) {
+func (s *testPool) declare(generation uint64, minReady uint32, active string, versions ...string) {
 	pool := &jayv1.Pool{Name: "p", Model: "m", ActiveVersion: active, MinReady: minReady}
 	for _, v := range versions {
 		pool.Versions = append(pool.Versions, &jayv1.ModelVersion{Name: v, Digest: v})
@@ -120,7 +120,7 @@
 	s.holder.Adopt(catalog.Build(snapshot))
 }
 
-func quickSettings() control.Settings {
+func fastSettings() control.Settings {
 	settings := control.DefaultSettings()
 	settings.Interval, settings.ProbeInterval = 20*time.Millisecond, 5*time.Millisecond
 	settings.SettledInterval = 50 * time.Millisecond
@@ -128,50 +128,52 @@
 	return settings
 }
 
-// ownTable is one entry's way to the table, cut when the entry dies.
-type ownTable struct {
+// detachableTable is one entry's access to the table; it fails once the entry
+// has crashed.
+type detachableTable struct {
 	platform.Table
-	cut atomic.Bool
+	detached atomic.Bool
 }
 
-func (o *ownTable) Get(ctx context.Context, keys ...string) ([]platform.Row, error) {
-	if o.cut.Load() {
+func (t *detachableTable) Get(ctx context.Context, keys ...string) ([]platform.Row, error) {
+	if t.detached.Load() {
 		return nil, platform.ErrUnavailable
 	}
-	return o.Table.Get(ctx, keys...)
+	return t.Table.Get(ctx, keys...)
 }
 
-func (o *ownTable) Commit(ctx context.Context, txn platform.Txn) (platform.TxnResult, error) {
-	if o.cut.Load() {
+func (t *detachableTable) Commit(ctx context.Context, txn platform.Txn) (platform.TxnResult, error) {
+	if t.detached.Load() {
 		return platform.TxnResult{}, platform.ErrUnavailable
 	}
-	return o.Table.Commit(ctx, txn)
+	return t.Table.Commit(ctx, txn)
 }
 
-// fakeEntry is an entry that can die without giving its leases back.
-type fakeEntry struct {
+// testEntry is an entry that can crash, that is, stop without releasing its
+// leases.
+type testEntry struct {
 	*control.Service
-	table *ownTable
+	table *detachableTable
 }
 
-func (e *fakeEntry) die() {
-	e.table.cut.Store(true)
+func (e *testEntry) crash() {
+	e.table.detached.Store(true)
 	e.Close()
 }
 
-func (s *site) entry(ctx context.Context, name string, candidates ...string) *fakeEntry {
-	table := &ownTable{Table: s.table}
+func (s *testPool) entry(ctx context.Context, name string, candidates ...string) *testEntry {
+	table := &detachableTable{Table: s.table}
 	node := s.listen(keys.RoleEntry, name, func(context.Context, keys.Identity, *transport.Stream) {})
 	service, err := control.Start(ctx, control.Options{
-		Name: name, Incarnation: "1", Settings: quickSettings(), Node: node, Holder: s.holder, Table: table,
+		Name: name, Incarnation: "1", Settings: fastSettings(), Node: node, Holder: s.holder, Table: table,
 		Candidates: func(string, int) []string { return candidates }, Clock: time.Now,
 	})
 	require.NoError(s.t, err)
 	s.t.Cleanup(service.Close)
-	return &fakeEntry{Service: service, table: table}
+	return &testEntry{Service: service, table: table}
 }
 
-func (s *site) count(ok func(*fakeAgent) bool) int {
+func (s *testPool) countAgents(ok func(*fakeAgent) bool) int {
 	n := 0
 	for _, agent := range s.agents {
 		agent.mu.Lock()
@@ -183,7 +185,7 @@
 	return n
 }
 
-func loaded(digests ...string) func(*fakeAgent) bool {
+func hasLoaded(digests ...string) func(*fakeAgent) bool {
 	return func(a *fakeAgent) bool {
 		have := slices.Clone(a.versions)
 		slices.Sort(have)
@@ -191,35 +193,33 @@
 	}
 }
 
-// A new version is declared and rolled out; the entry that holds the lease dies
-// half way. Callers must never meet fewer ready backend servers than declared,
-// another entry must finish the rollout, and no backend server may see an
-// order of the first holder after one of the second.
-func TestRolloutGoesOnWhenItsHolderDies(t *testing.T) {
-	s := newSite(t, 6)
+// Guards against a rollout that stops when the entry that holds the lease
+// crashes, falls below min_ready, or mixes orders of the old and new holder.
+func TestRolloutContinuesWhenTheLeaseHolderCrashes(t *testing.T) {
+	s := newTestPool(t, 6)
 	s.declare(1, 4, "old", "old", "new")
 	first := s.entry(t.Context(), "entry-1", "entry-1", "entry-2")
 	second := s.entry(t.Context(), "entry-2", "entry-1", "entry-2")
-	lowest := len(s.agents)
-	watch := func(done func() bool) func() bool {
+	minReady := len(s.agents)
+	trackReady := func(done func() bool) func() bool {
 		return func() bool {
-			lowest = min(lowest, s.count(func(a *fakeAgent) bool { return a.loading == 0 }))
+			minReady = min(minReady, s.countAgents(func(a *fakeAgent) bool { return a.loading == 0 }))
 			return done()
 		}
 	}
-	half := func() bool { return s.count(loaded("new", "old")) >= 2 }
-	require.Eventually(t, watch(half), 10*time.Second, 2*time.Millisecond)
+	halfLoaded := func() bool { return s.countAgents(hasLoaded("new", "old")) >= 2 }
+	require.Eventually(t, trackReady(halfLoaded), 10*time.Second, 2*time.Millisecond)
 	holder := append(first.Leases(), second.Leases()...)
 	assert.Equal(t, []string{"pool/p"}, holder)
 	if len(second.Leases()) > 0 {
-		second.die()
+		second.crash()
 	} else {
-		first.die()
+		first.crash()
 	}
-	require.Eventually(t, watch(func() bool { return s.count(loaded("new", "old")) == 6 }), 10*time.Second, 2*time.Millisecond)
+	require.Eventually(t, trackReady(func() bool { return s.countAgents(hasLoaded("new", "old")) == 6 }), 10*time.Second, 2*time.Millisecond)
 	s.declare(2, 4, "new", "new")
-	require.Eventually(t, watch(func() bool { return s.count(loaded("new")) == 6 }), 10*time.Second, 2*time.Millisecond)
-	assert.GreaterOrEqual(t, lowest, 4, "ready backend servers")
+	require.Eventually(t, trackReady(func() bool { return s.countAgents(hasLoaded("new")) == 6 }), 10*time.Second, 2*time.Millisecond)
+	assert.GreaterOrEqual(t, minReady, 4, "fewest ready backend servers during the rollout")
 	for _, agent := range s.agents {
 		highest, seq := uint64(0), uint64(0)
 		for _, order := range agent.orders {
@@ -230,17 +230,17 @@
 	}
 }
 
-// The platform is down for long: leases run out and nobody may give orders,
-// since nobody can know who holds the lease. Work goes on after it.
+// Guards against orders sent after the lease expired in an outage of the
+// platform's table, and against orders that are not resumed after the outage.
 func TestNoOrdersWithoutALease(t *testing.T) {
-	s := newSite(t, 2)
+	s := newTestPool(t, 2)
 	s.declare(1, 0, "old", "old")
 	service := s.entry(t.Context(), "entry-1", "entry-1")
 	require.Eventually(t, func() bool { return len(service.Leases()) == 1 }, 5*time.Second, 5*time.Millisecond)
 	s.table.SetDown(true)
 	require.Eventually(t, func() bool { return len(service.Leases()) == 0 }, 5*time.Second, 5*time.Millisecond)
 	s.declare(2, 0, "old", "old", "new")
-	require.Never(t, func() bool { return s.count(func(a *fakeAgent) bool { return len(a.orders) > 0 }) > 0 }, 300*time.Millisecond, 5*time.Millisecond)
+	require.Never(t, func() bool { return s.countAgents(func(a *fakeAgent) bool { return len(a.orders) > 0 }) > 0 }, 300*time.Millisecond, 5*time.Millisecond)
 	s.table.SetDown(false)
-	require.Eventually(t, func() bool { return s.count(loaded("new", "old")) == 2 }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return s.countAgents(hasLoaded("new", "old")) == 2 }, 10*time.Second, 5*time.Millisecond)
 }
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -23,7 +23,8 @@
 
 const newDigest = "sha256:stand-in-next"
 
-// withVersions changes the pool of a declaration.
+// withVersions returns the cluster's declaration with the pool's versions
+// replaced, min_ready 4 and, unless empty, another active version.
 func withVersions(c *cluster.Cluster, active string, versions ...*jayv1.ModelVersion) []*jayv1.Resource {
 	all := c.Declaration()
 	for _, resource := range all {
@@ -37,7 +38,7 @@
 	return all
 }
 
-func allEngines(c *cluster.Cluster, digests ...string) func() bool {
+func allEnginesHave(c *cluster.Cluster, digests ...string) func() bool {
 	return func() bool {
 		for _, engine := range c.Engines {
 			have := slices.Sorted(slices.Values(engine.Core().State().Versions))
@@ -49,7 +50,7 @@
 	}
 }
 
-// callers ask through all entries until stopped and count what failed.
+// callers send requests through all entries until stopped, and record failures.
 type callers struct {
 	stop     context.CancelFunc
 	done     sync.WaitGroup
@@ -64,9 +65,9 @@
 	for i := range 4 {
 		c.done.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				if fault := askOnce(urls[(i+n)%len(urls)]); fault != "" {
+				if failure := requestOnce(urls[(i+n)%len(urls)]); failure != "" {
 					c.mu.Lock()
-					c.failures = append(c.failures, fault)
+					c.failures = append(c.failures, failure)
 					c.mu.Unlock()
 				}
 				c.answered.Add(1)
@@ -82,8 +83,9 @@
 	return c.failures
 }
 
-// askOnce returns what was wrong with one streamed answer.
-func askOnce(url string) string {
+// requestOnce sends one streaming request and returns "" if it was answered
+// completely, else the failure.
+func requestOnce(url string) string {
 	body := `{"model":"` + cluster.Model + `","stream":true,"max_tokens":3,"messages":[{"role":"user","content":"Which cone?"}]}`
 	request, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -108,15 +110,14 @@
 	return ""
 }
 
-// A new model version goes out while callers ask, over real agents with their
-// gates and engines of both vendors, one of which ignores fencing numbers. No
-// caller may be refused or get half an answer, at any step.
-func TestVersionGoesOutUnderLoad(t *testing.T) {
+// Guards against refused or truncated answers during a rollout, with real agents
+// and engines of both vendors, one of which does not check fencing numbers.
+func TestRolloutUnderLoadFailsNoRequest(t *testing.T) {
 	c, err := cluster.Start(t.Context(), cluster.Options{
 		Engines: 6, Entries: 2, Workspaces: []string{"vialidad"},
 		Engine: sim.Options{LoadTime: 150 * time.Millisecond, DecodeStep: time.Millisecond},
 		Entry: func(settings *entry.Settings) {
-			settings.Control = quickSettings()
+			settings.Control = fastSettings()
 			settings.Control.ProbeInterval = 20 * time.Millisecond
 		},
 	})
@@ -130,16 +131,16 @@
 	}
 	next := &jayv1.ModelVersion{Name: "next", Digest: newDigest}
 	urls := []string{c.Entries()[0].CallersURL(), c.Entries()[1].CallersURL()}
-	require.Eventually(t, func() bool { return askOnce(urls[0]) == "" && askOnce(urls[1]) == "" }, 10*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return requestOnce(urls[0]) == "" && requestOnce(urls[1]) == "" }, 10*time.Second, 20*time.Millisecond)
 	load := startCallers(t, urls)
 
 	require.NoError(t, c.Apply(t.Context(), withVersions(c, "", before, next)))
 	err = c.Apply(t.Context(), withVersions(c, "next", before, next))
-	require.ErrorContains(t, err, "is loaded and ready at", "too early")
-	require.Eventually(t, allEngines(c, before.GetDigest(), newDigest), 20*time.Second, 20*time.Millisecond, "loaded everywhere")
+	require.ErrorContains(t, err, "is loaded and ready at", "activated before it was loaded")
+	require.Eventually(t, allEnginesHave(c, before.GetDigest(), newDigest), 20*time.Second, 20*time.Millisecond, "new version loaded on all engines")
 	require.NoError(t, c.Apply(t.Context(), withVersions(c, "next", before, next)))
 	require.NoError(t, c.Apply(t.Context(), withVersions(c, "next", next)))
-	require.Eventually(t, allEngines(c, newDigest), 20*time.Second, 20*time.Millisecond, "old one unloaded everywhere")
+	require.Eventually(t, allEnginesHave(c, newDigest), 20*time.Second, 20*time.Millisecond, "old version unloaded from all engines")
 
 	failures := load.finish()
 	t.Logf("%d answers during the rollout, %d failed", load.answered.Load(), len(failures))
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -1,6 +1,6 @@
-// Package control does an entry's share of control work: for each pool whose
-// lease the entry holds, it observes the backend servers and gives the orders
-// that internal/orders plans. Nothing runs here without a lease.
+// Package control runs the control loops of an entry. For each pool whose lease
+// the entry holds, it probes the backend servers and sends them the orders that
+// package orders plans. Without the lease it sends no orders.
 package control
 
 import (
@@ -20,44 +20,46 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// LeasePrefix stands before a pool's name in the name of its lease.
+// LeasePrefix and the name of a pool form the name of the pool's lease.
 const LeasePrefix = "pool/"
 
-// releaseTimeout bounds giving leases back at the end.
+// releaseTimeout bounds the release of leases when workers are closed.
 const releaseTimeout = 500 * time.Millisecond
 
-// Options of the service.
+// Options of a Service. Node, Holder, Table and Candidates are required.
 type Options struct {
 	// Name of this entry.
 	Name string
-	// Incarnation differs between two boots of the entry.
+	// Incarnation identifies this run of the entry's process.
 	Incarnation string
 	Settings    Settings
 	Node        *transport.Node
 	Holder      *catalog.Holder
 	Table       platform.Table
-	// Candidates returns the first live entries in rendezvous order under the
-	// key, this one among them if it is one.
+	// Candidates returns the first count live entries in rendezvous order for
+	// the key. It may include this entry.
 	Candidates func(key string, count int) []string
-	// Clock is lease.BootClock but in tests.
+	// Clock is lease.BootClock if nil; tests set another.
 	Clock platform.Clock
 }
 
-// Service contends for leases and works for those it holds. Safe for concurrent use.
+// Service contends for the leases of pools and controls the pools whose lease
+// it holds. It is safe for concurrent use.
 type Service struct {
 	options Options
 	ctx     context.Context
 	cancel  context.CancelFunc
 	done    chan struct{}
 
-	mu    sync.Mutex
-	pools map[string]*worker
+	mu      sync.Mutex
+	workers map[string]*worker
 }
 
-// Start runs the service until Close or the end of the context.
+// Start runs the service until Close is called or the context ends. Zero
+// Settings mean DefaultSettings.
 func Start(ctx context.Context, options Options) (*Service, error) {
 	if options.Node == nil || options.Holder == nil || options.Table == nil || options.Candidates == nil {
-		return nil, eris.New("control needs a node, a holder, a table and the candidates")
+		return nil, eris.New("control: options Node, Holder, Table and Candidates must be set")
 	}
 	if options.Settings == (Settings{}) {
 		options.Settings = DefaultSettings()
@@ -65,24 +67,24 @@
 	if options.Clock == nil {
 		options.Clock = lease.BootClock
 	}
-	s := &Service{options: options, done: make(chan struct{}), pools: map[string]*worker{}}
+	s := &Service{options: options, done: make(chan struct{}), workers: map[string]*worker{}}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	go s.run()
 	return s, nil
 }
 
-// Close stops all work and then gives the leases back.
+// Close stops all workers, then releases their leases.
 func (s *Service) Close() {
 	s.cancel()
 	<-s.done
 }
 
-// Leases returns the names of the leases that are held now.
+// Leases returns the sorted names of the leases that are currently held.
 func (s *Service) Leases() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var held []string
-	for pool, w := range s.pools {
+	for pool, w := range s.workers {
 		if _, ok := w.keeper.Held(); ok {
 			held = append(held, LeasePrefix+pool)
 		}
@@ -99,15 +101,15 @@
 		s.assign()
 		select {
 		case <-s.ctx.Done():
-			s.dropAll()
+			s.closeAllWorkers()
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// assign contends for the pools that this entry is a candidate of, and lets go
-// of the others.
+// assign starts workers for the pools of which this entry is a candidate, and
+// closes the workers of all others.
 func (s *Service) assign() {
 	wanted := map[string]bool{}
 	for _, pool := range s.options.Holder.Current().Pools() {
@@ -118,34 +120,34 @@
 		}
 	}
 	s.mu.Lock()
-	var dropped []*worker
-	for pool, w := range s.pools {
+	var removed []*worker
+	for pool, w := range s.workers {
 		if !wanted[pool] {
-			dropped = append(dropped, w)
-			delete(s.pools, pool)
+			removed = append(removed, w)
+			delete(s.workers, pool)
 		}
 	}
 	for pool := range wanted {
-		if s.pools[pool] == nil {
-			s.pools[pool] = startWorker(s.ctx, s.options, pool)
+		if s.workers[pool] == nil {
+			s.workers[pool] = startWorker(s.ctx, s.options, pool)
 		}
 	}
 	s.mu.Unlock()
-	drop(dropped)
+	closeWorkers(removed)
 }
 
-func (s *Service) dropAll() {
+func (s *Service) closeAllWorkers() {
 	s.mu.Lock()
 	var all []*worker
-	for _, w := range s.pools {
+	for _, w := range s.workers {
 		all = append(all, w)
 	}
-	s.pools = map[string]*worker{}
+	s.workers = map[string]*worker{}
 	s.mu.Unlock()
-	drop(all)
+	closeWorkers(all)
 }
 
-func drop(workers []*worker) {
+func closeWorkers(workers []*worker) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -155,16 +157,16 @@
 	wg.Wait()
 }
 
-// loadedParallel bounds the probes of one count.
-const loadedParallel = 32
+// maxParallelProbes bounds the concurrent probes of one CountLoaded call.
+const maxParallelProbes = 32
 
-// CountLoaded counts the backend servers of a pool that are ready and have the
-// weights with the digest, by asking each of them now. One that does not
-// answer does not count.
+// CountLoaded probes all backend servers of a pool and counts those that are
+// ready, not draining, and have the weights with the digest loaded. A server
+// that does not answer is not counted.
 func (s *Service) CountLoaded(ctx context.Context, pool, digest string) int {
 	var loaded atomic.Int64
 	var group errgroup.Group
-	group.SetLimit(loadedParallel)
+	group.SetLimit(maxParallelProbes)
 	for _, server := range s.options.Holder.Current().BackendServersOfPool(pool) {
 		group.Go(func() error {
 			state, err := probe(ctx, s.options, pool, server)
--- a/internal/control/worker.go
+++ b/internal/control/worker.go
@@ -24,7 +24,8 @@
 
 var chart = charts.Must("order")
 
-// worker works for one pool while its lease is held.
+// worker contends for the lease of one pool, and probes its backend servers and
+// sends orders to them while the lease is held.
 type worker struct {
 	options Options
 	pool    string
@@ -32,31 +33,36 @@
 	cancel  context.CancelFunc
 	done    chan struct{}
 
-	// The rest is of the fence and used by the worker's goroutine only.
-	fence    uint64
-	seq      uint64
-	next     int
-	observed map[string]observation
-	pending  map[string]pending
-	// refused holds the time before which a server that refused gets no order.
-	refused map[string]time.Time
-	// quiet counts probes since anything was to be done or was declared anew.
-	quiet     int
-	declared  *jayv1.Pool
-	nextProbe time.Time
+	// The fields below are used by the worker's goroutine only. Those up to
+	// backoffUntil, except probeCount, are reset when the fence changes.
+	fence      uint64
+	seq        uint64
+	probeCount int
+	observed   map[string]observation
+	pending    map[string]pendingOrder
+	// backoffUntil holds, by name of a server that refused an order, the time
+	// before which it gets no further order.
+	backoffUntil map[string]time.Time
+	// idleProbes counts the probes since an order was last due or pending, or the
+	// pool's declaration changed.
+	idleProbes int
+	lastPool   *jayv1.Pool
+	nextProbe  time.Time
 }
 
-// refusedPause keeps an agent that refuses from being asked without end.
-const refusedPause = 5 * time.Second
+// refusalBackoff is the pause before an agent that refused an order gets
+// another.
+const refusalBackoff = 5 * time.Second
 
-// observation is what a backend server's agent last told.
+// observation is the state that a backend server's agent last reported.
 type observation struct {
 	state *jayv1.AgentState
 	at    time.Time
 }
 
-// pending is an order under way.
-type pending struct {
+// pendingOrder is an order that was sent and whose effect has not been observed.
+// state is a state of charts/order.toml.
+type pendingOrder struct {
 	order orders.Order
 	state string
 	since time.Time
@@ -71,8 +77,8 @@
 	return w
 }
 
-// close stops the work first and gives the lease back after it: the next
-// holder must not find orders of this one on their way.
+// close stops the worker before it releases the lease, so that no order of this
+// worker is in flight when the next holder takes the lease.
 func (w *worker) close(ctx context.Context) {
 	w.cancel()
 	<-w.done
@@ -94,34 +100,34 @@
 			continue
 		}
 		if fence != w.fence {
-			w.begin(fence)
+			w.reset(fence)
 		}
 		if w.probeDue() {
-			w.step(ctx)
+			w.reconcile(ctx)
 		}
 	}
 }
 
-// begin forgets what was known under an older fence: another holder may have
-// worked meanwhile.
-func (w *worker) begin(fence uint64) {
+// reset clears the state of an older fence, because another holder may have sent
+// orders since.
+func (w *worker) reset(fence uint64) {
 	klog.InfoS("Lease taken", "lease", LeasePrefix+w.pool, "entry", w.options.Name, "fence", fence)
 	w.fence, w.seq = fence, 0
 	w.observed = map[string]observation{}
-	w.pending = map[string]pending{}
-	w.refused = map[string]time.Time{}
+	w.pending = map[string]pendingOrder{}
+	w.backoffUntil = map[string]time.Time{}
 }
 
-// probeDue is true at each interval while something is to be done or was not
-// yet looked at, and seldom in a settled pool: most probes of a large pool cost
-// a new connection.
+// probeDue reports whether to probe at this tick. A pool is settled once every
+// backend server was probed and no order was due; it is then probed only every
+// SettledInterval, since most probes of a large pool open a new connection.
 func (w *worker) probeDue() bool {
 	now := w.options.Clock()
 	table := w.options.Holder.Current()
-	if pool, _ := table.Pool(w.pool); pool != w.declared {
-		w.declared, w.quiet = pool, 0
+	if pool, _ := table.Pool(w.pool); pool != w.lastPool {
+		w.lastPool, w.idleProbes = pool, 0
 	}
-	settled := w.quiet > len(table.BackendServersOfPool(w.pool))
+	settled := w.idleProbes > len(table.BackendServersOfPool(w.pool))
 	if settled && now.Before(w.nextProbe) {
 		return false
 	}
@@ -129,15 +135,15 @@
 	return true
 }
 
-// step observes one backend server and gives the orders that are due.
-func (w *worker) step(ctx context.Context) {
+// reconcile probes one backend server and sends the orders that are due.
+func (w *worker) reconcile(ctx context.Context) {
 	table := w.options.Holder.Current()
 	pool, ok := table.Pool(w.pool)
 	servers := table.BackendServersOfPool(w.pool)
 	if !ok || len(servers) == 0 {
 		return
 	}
-	w.probe(ctx, w.toProbe(servers))
+	w.probe(ctx, w.nextToProbe(servers))
 	state := orders.State{Pool: pool, MaxLoads: w.options.Settings.MaxLoads}
 	addresses := map[string]string{}
 	for _, server := range servers {
@@ -145,38 +151,38 @@
 		addresses[server.GetName()] = server.GetAgentAddress()
 	}
 	plan := orders.Plan(state)
-	w.quiet++
+	w.idleProbes++
 	if len(plan) > 0 || len(w.pending) > 0 {
-		w.quiet = 0
+		w.idleProbes = 0
 	}
 	for _, order := range plan {
-		// Asked before each order: this process may have been stopped since the
-		// last line, and another may hold the lease by now. Between here and the
-		// agent only the gate there can tell.
+		// Checked before each order: this process may have been suspended, and
+		// another may hold the lease now. If the lease is lost after this check,
+		// only the agent's check of the fence can stop the order.
 		if fence, held := w.keeper.Held(); !held || fence != w.fence {
 			return
 		}
-		if w.options.Clock().Before(w.refused[order.Server]) {
+		if w.options.Clock().Before(w.backoffUntil[order.Server]) {
 			continue
 		}
-		w.give(ctx, order, pool.GetModel(), addresses[order.Server])
+		w.sendOrder(ctx, order, pool.GetModel(), addresses[order.Server])
 	}
 }
 
-// toProbe takes the servers in turn, and one with an order under way every
-// other time.
-func (w *worker) toProbe(servers []*jayv1.BackendServer) *jayv1.BackendServer {
-	w.next++
-	if w.next%2 == 0 {
-		busy := slices.DeleteFunc(slices.Clone(servers), func(s *jayv1.BackendServer) bool {
-			_, under := w.pending[s.GetName()]
-			return !under
+// nextToProbe returns the servers in turn. Every second probe goes to a server
+// with a pending order, if there is one.
+func (w *worker) nextToProbe(servers []*jayv1.BackendServer) *jayv1.BackendServer {
+	w.probeCount++
+	if w.probeCount%2 == 0 {
+		withOrder := slices.DeleteFunc(slices.Clone(servers), func(s *jayv1.BackendServer) bool {
+			_, hasOrder := w.pending[s.GetName()]
+			return !hasOrder
 		})
-		if len(busy) > 0 {
-			return busy[w.next/2%len(busy)]
+		if len(withOrder) > 0 {
+			return withOrder[w.probeCount/2%len(withOrder)]
 		}
 	}
-	return servers[w.next%len(servers)]
+	return servers[w.probeCount%len(servers)]
 }
 
 func (w *worker) probe(ctx context.Context, server *jayv1.BackendServer) {
@@ -194,68 +200,71 @@
 	}
 	now := w.options.Clock()
 	w.observed[server] = observation{state: state, at: now}
-	under, ok := w.pending[server]
+	current, ok := w.pending[server]
 	if !ok {
 		return
 	}
 	switch {
-	case orders.Done(under.order, orders.Server{Versions: state.GetVersionDigests(), Adapters: state.GetAdapters()}):
-		w.fire(server, under, eventSeen)
-	case now.Sub(under.since) >= w.options.Settings.OrderTimeout:
-		w.fire(server, under, eventTimeout)
+	case orders.Done(current.order, orders.Server{Versions: state.GetVersionDigests(), Adapters: state.GetAdapters()}):
+		w.transition(server, current, eventSeen)
+	case now.Sub(current.since) >= w.options.Settings.OrderTimeout:
+		w.transition(server, current, eventTimeout)
 	}
 }
 
-// fire moves an order on and forgets it at its end.
-func (w *worker) fire(server string, under pending, event string) {
-	state, err := chart.Next(under.state, event)
+// transition applies an event to a pending order, and removes the order when it
+// reaches a final state.
+func (w *worker) transition(server string, current pendingOrder, event string) {
+	state, err := chart.Next(current.state, event)
 	if err != nil {
-		klog.ErrorS(err, "Order in a state that has no such event", "server", server)
+		klog.ErrorS(err, "Order state has no transition for the event", "server", server)
 		return
 	}
-	under.state = state
-	w.pending[server] = under
+	current.state = state
+	w.pending[server] = current
 	if chart.Final(state) {
 		delete(w.pending, server)
-		klog.InfoS("Order ended", "server", server, "kind", under.order.Kind.String(), "digest", under.order.Digest, "outcome", state, "fence", w.fence)
+		klog.InfoS("Order ended", "server", server, "kind", current.order.Kind.String(), "digest", current.order.Digest, "outcome", state, "fence", w.fence)
 	}
 }
 
-// view is a backend server as the planner sees it. What is too old counts for
-// nothing: a server that may be down must not count as ready.
+// view returns a backend server as input of the planner. A server without an
+// observation younger than StaleAfter counts as unreachable and not ready.
 func (w *worker) view(server *jayv1.BackendServer) orders.Server {
-	_, under := w.pending[server.GetName()]
-	view := orders.Server{Name: server.GetName(), Draining: server.GetDraining(), Busy: under}
-	seen, ok := w.observed[server.GetName()]
-	if !ok || w.options.Clock().Sub(seen.at) > w.options.Settings.StaleAfter {
+	_, busy := w.pending[server.GetName()]
+	view := orders.Server{Name: server.GetName(), Draining: server.GetDraining(), Busy: busy}
+	observed, ok := w.observed[server.GetName()]
+	if !ok || w.options.Clock().Sub(observed.at) > w.options.Settings.StaleAfter {
 		return view
 	}
 	view.Reachable = true
-	view.Ready = seen.state.GetReady()
-	view.Draining = view.Draining || seen.state.GetLeaving()
-	view.Versions = seen.state.GetVersionDigests()
-	view.Adapters = seen.state.GetAdapters()
+	view.Ready = observed.state.GetReady()
+	view.Draining = view.Draining || observed.state.GetLeaving()
+	view.Versions = observed.state.GetVersionDigests()
+	view.Adapters = observed.state.GetAdapters()
 	return view
 }
 
-func (w *worker) give(ctx context.Context, order orders.Order, model, address string) {
+// sendOrder sends an order and records it as pending until its effect is
+// observed, it is refused, or OrderTimeout has passed.
+func (w *worker) sendOrder(ctx context.Context, order orders.Order, model, address string) {
 	w.seq++
-	under := pending{order: order, state: chart.Initial(), since: w.options.Clock()}
-	w.pending[order.Server] = under
-	answer, err := ask(ctx, w.options.Node, address, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Order{Order: &jayv1.Order{
+	current := pendingOrder{order: order, state: chart.Initial(), since: w.options.Clock()}
+	w.pending[order.Server] = current
+	frame, err := roundTrip(ctx, w.options.Node, address, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Order{Order: &jayv1.Order{
 		Fence: w.fence, Seq: w.seq, BackendServer: order.Server, Kind: order.Kind,
 		Model: model, Digest: order.Digest, Adapter: order.Adapter,
 	}}}, w.options.Settings.AnswerTimeout)
-	reply := answer.GetOrderReply()
+	reply := frame.GetOrderReply()
 	switch {
 	case err != nil:
-		w.fire(order.Server, under, eventNoAnswer)
+		w.transition(order.Server, current, eventNoAnswer)
 	case !reply.GetDone():
 		klog.InfoS("Order refused", "server", order.Server, "kind", order.Kind.String(), "err", reply.GetError(), "fence", w.fence, "fenceSeen", reply.GetFenceSeen())
-		w.refused[order.Server] = w.options.Clock().Add(refusedPause)
-		w.fire(order.Server, under, eventRefuse)
+		w.backoffUntil[order.Server] = w.options.Clock().Add(refusalBackoff)
+		w.transition(order.Server, current, eventRefuse)
 	default:
-		w.fire(order.Server, under, eventAccept)
+		w.transition(order.Server, current, eventAccept)
 		w.observe(order.Server, reply.GetState())
 	}
 }
