--- a/internal/catalog/callerkey.go
+++ b/internal/catalog/callerkey.go
@@ -20,12 +20,12 @@
 	saltBytes       = 16
 )
 
-// secretEncoding has no character that a shell, URL or the key's own
-// separator gives a meaning.
+// secretEncoding uses only letters and digits, which need no quoting in shells and
+// URLs and do not include the separator of the key's parts.
 var secretEncoding = base32.StdEncoding.WithPadding(base32.NoPadding)
 
-// NewCallerKey makes a caller's key jay_<id>_<secret>. The plain text is
-// returned once and kept nowhere; the declaration holds the salted hash.
+// NewCallerKey makes a random key of a caller. plain has the form
+// jay_<id>_<secret> and is not stored; key has the salted hash of the secret.
 func NewCallerKey() (plain string, key *jayv1.ApiKey, err error) {
 	random := make([]byte, keyIDBytes+secretBytes+saltBytes)
 	if _, err := rand.Read(random); err != nil {
@@ -37,7 +37,7 @@
 	return callerKeyPrefix + "_" + id + "_" + secret, &jayv1.ApiKey{Id: id, Salt: salt, Hash: HashSecret(salt, secret)}, nil
 }
 
-// ParseCallerKey parts a caller's key into id and secret.
+// ParseCallerKey splits a caller's key into id and secret.
 func ParseCallerKey(plain string) (id, secret string, ok bool) {
 	parts := strings.Split(plain, "_")
 	const wanted = 3
@@ -47,13 +47,13 @@
 	return parts[1], parts[2], true
 }
 
-// SecretMatches compares a secret with the hash of a key in constant time.
+// SecretMatches reports whether the secret is that of the key, in constant time.
 func SecretMatches(key *jayv1.ApiKey, secret string) bool {
 	return subtle.ConstantTimeCompare(key.GetHash(), HashSecret(key.GetSalt(), secret)) == 1
 }
 
-// HashSecret is the hash that an ApiKey keeps of a secret: SHA-256 over salt
-// and secret.
+// HashSecret returns the hash of a secret in an ApiKey: SHA-256 of the salt
+// followed by the secret.
 func HashSecret(salt []byte, secret string) []byte {
 	sum := sha256.Sum256(append(append([]byte{}, salt...), secret...))
 	return sum[:]
--- a/internal/catalog/callpath.go
+++ b/internal/catalog/callpath.go
@@ -6,11 +6,12 @@
 	"strings"
 )
 
-// CallPath is the path of a service call, query included, as declarations are
-// matched against it: decoded and without parameters of its elements, as
-// services read it. Matched as written, "/%63onfirm" or "/confirm;x" would pass
-// for a call that may be repeated. False: the path is not absolute, or has
-// elements that a service may resolve to another one.
+// CallPath returns the normalized path of a service call's target, to be matched
+// against declarations: without query, percent-decoded, and without parameters
+// (";...") of path elements. Otherwise "/%63onfirm" or "/confirm;x" would not match
+// a declared "/confirm" and would count as repeatable. It returns false if the
+// path is not absolute, can't be decoded, or is not clean, that is, contains
+// "//", "." or ".." elements that services may resolve differently.
 func CallPath(target string) (string, bool) {
 	escaped, _, _ := strings.Cut(target, "?")
 	decoded, err := url.PathUnescape(escaped)
--- a/internal/catalog/callpath_test.go
+++ b/internal/catalog/callpath_test.go
@@ -8,15 +8,13 @@
 	"github.com/jayproxy/jayproxy/internal/catalog"
 )
 
-// A booking is confirmed twice. Its path was written in another form that the
-// service reads the same way, and no declaration matched it: the call passed
-// for one that may be repeated. The agent, which has the last word, must read
-// paths as the entry does.
-func TestCallPathReadsEveryFormOfAPathAsTheServiceDoes(t *testing.T) {
+// Guards against a non-repeatable call that is repeated because its path is
+// written in an equivalent form that no declaration matches.
+func TestCallPathNormalizesEquivalentPaths(t *testing.T) {
 	tests := []struct {
 		target string
 		want   string
-		clean  bool
+		ok     bool
 	}{
 		{"/confirm", "/confirm", true},
 		{"/confirm/?now=1", "/confirm/", true},
@@ -29,8 +27,8 @@
 		{"/%zz", "", false},
 	}
 	for _, test := range tests {
-		got, clean := catalog.CallPath(test.target)
-		assert.Equal(t, test.clean, clean, test.target)
+		got, ok := catalog.CallPath(test.target)
+		assert.Equal(t, test.ok, ok, test.target)
 		assert.Equal(t, test.want, got, test.target)
 	}
 }
@@ -39,9 +37,9 @@
 	f.Add("/confirm;x?y")
 	f.Add("/%63onfirm/..")
 	f.Fuzz(func(t *testing.T, target string) {
-		path, clean := catalog.CallPath(target)
-		if clean && path[0] != '/' {
-			t.Fatalf("%q reads as %q", target, path)
+		path, ok := catalog.CallPath(target)
+		if ok && path[0] != '/' {
+			t.Fatalf("%q is normalized to %q, which is not absolute", target, path)
 		}
 	})
 }
--- a/internal/catalog/check.go
+++ b/internal/catalog/check.go
@@ -14,41 +14,44 @@
 	maxEnginePriority = 100
 	minSaltBytes      = 8
 	hashBytes         = 32
-	vendorPlain       = "plain"
+	plainVendor       = "plain"
 )
 
-// engineVendors are the dialects of model engines.
+// engineVendors are the vendors whose engine protocols are supported.
 var engineVendors = []string{"merle", "pica"}
 
-// namePattern: names stand in URLs, keys of rows and metrics.
+// namePattern allows only characters that are valid in URLs, row keys and metric
+// labels.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// checker looks at a whole set of resources. Findings carry the path
-// kind/name.key; who read the set from files adds the place.
+// checker checks a whole set of resources. The path of a finding is
+// kind/name.key; the loader adds file and line.
 type checker struct {
 	found  findings.List
 	byName map[string]*jayv1.Resource
-	models map[string]string
-	// poolOf holds the pools by the model that they serve.
+	// models, keyIDs and addresses map a value to the path that declares it, to
+	// find duplicates. poolOf maps a model to the pool/name that serves it.
+	models    map[string]string
 	poolOf    map[string]string
 	keyIDs    map[string]string
 	addresses map[string]string
-	regions   map[string]string
-	// serversOf counts backend servers by pool; centresOf holds the data
-	// centres by pool/ and service/ names.
-	serversOf map[string]int
-	centresOf map[string]map[string]bool
-	rules     []*jayv1.Rule
+	// regionOf maps a data centre to its region.
+	regionOf map[string]string
+	// serversOf counts the backend servers by name of the pool. dataCentresOf is
+	// the set of data centres by pool/name or service/name.
+	serversOf     map[string]int
+	dataCentresOf map[string]map[string]bool
+	rules         []*jayv1.Rule
 }
 
-// Check finds what is wrong with a whole set of resources: missing references,
-// doubled names, values out of range, rules that never match. The server
-// refuses a set with findings, so every accepted generation is sound.
+// Check returns the findings of a whole set of resources: missing references,
+// duplicate names, values out of range and rules that can never match. A set
+// with findings is not accepted, so every accepted generation is valid.
 func Check(resources []*jayv1.Resource) findings.List {
 	c := &checker{
 		byName: map[string]*jayv1.Resource{}, models: map[string]string{}, poolOf: map[string]string{}, keyIDs: map[string]string{},
-		addresses: map[string]string{}, regions: map[string]string{}, serversOf: map[string]int{},
-		centresOf: map[string]map[string]bool{},
+		addresses: map[string]string{}, regionOf: map[string]string{}, serversOf: map[string]int{},
+		dataCentresOf: map[string]map[string]bool{},
 	}
 	for _, resource := range resources {
 		c.collect(resource)
@@ -61,14 +64,14 @@
 	return c.found
 }
 
-// collect notes what references may point to.
+// collect records the resources that others may refer to.
 func (c *checker) collect(resource *jayv1.Resource) {
 	name := NameOf(resource)
 	if name == "" {
-		c.found.Add("", "a resource of no kind")
+		c.found.Add("", "resource has no kind")
 		return
 	}
-	if _, doubled := c.byName[name]; doubled {
+	if _, duplicate := c.byName[name]; duplicate {
 		c.found.Add(name, "declared twice")
 	}
 	c.byName[name] = resource
@@ -84,10 +87,10 @@
 		target = KindPool + "/" + server.GetPool()
 		c.serversOf[server.GetPool()]++
 	}
-	if c.centresOf[target] == nil {
-		c.centresOf[target] = map[string]bool{}
+	if c.dataCentresOf[target] == nil {
+		c.dataCentresOf[target] = map[string]bool{}
 	}
-	c.centresOf[target][server.GetDataCentre()] = true
+	c.dataCentresOf[target][server.GetDataCentre()] = true
 }
 
 func (c *checker) check(resource *jayv1.Resource) {
@@ -113,25 +116,26 @@
 
 func (c *checker) name(path, name string) {
 	if !namePattern.MatchString(name) {
-		c.found.Add(path+".name", "name %q must be 1 to 63 letters, digits, '.', '_' or '-', a letter or digit first", name)
+		c.found.Add(path+".name", "name %q must be 1 to 63 letters, digits, '.', '_' or '-', and begin with a letter or digit", name)
 	}
 }
 
-// amount checks a quantity that may be absent (0) but not negative or no number.
-func (c *checker) amount(path string, value float64) {
+// checkQuantity adds a finding if a quantity is negative or not finite; 0 means
+// that it is not declared.
+func (c *checker) checkQuantity(path string, value float64) {
 	if value < 0 || math.IsNaN(value) || math.IsInf(value, 0) {
-		c.found.Add(path, "value %v must be a number from 0 up", value)
+		c.found.Add(path, "value %v must be a finite number of 0 or more", value)
 	}
 }
 
 func (c *checker) workspace(path string, w *jayv1.Workspace) {
 	if w.GetWeight() > maxWeight {
-		c.found.Add(path+".weight", "weight %d is above %d", w.GetWeight(), maxWeight)
+		c.found.Add(path+".weight", "weight %d is above the maximum of %d", w.GetWeight(), maxWeight)
 	}
-	c.amount(path+".limits.requests_per_second", w.GetLimits().GetRequestsPerSecond())
-	c.amount(path+".limits.tokens_per_second", w.GetLimits().GetTokensPerSecond())
+	c.checkQuantity(path+".limits.requests_per_second", w.GetLimits().GetRequestsPerSecond())
+	c.checkQuantity(path+".limits.tokens_per_second", w.GetLimits().GetTokensPerSecond())
 	if len(w.GetKeys()) == 0 {
-		c.found.Add(path+".keys", "no key: no caller can use the workspace; make one with jayctl keys caller")
+		c.found.Add(path+".keys", "workspace has no key, so no caller can use it; make one with jayctl keys caller")
 	}
 	for _, key := range w.GetKeys() {
 		c.apiKey(path, key)
@@ -143,41 +147,41 @@
 	if key.GetId() == "" {
 		c.found.Add(path, "a key has no id")
 	}
-	if owner, doubled := c.keyIDs[key.GetId()]; doubled {
-		c.found.Add(path, "key id %q belongs to %s already", key.GetId(), owner)
+	if owner, duplicate := c.keyIDs[key.GetId()]; duplicate {
+		c.found.Add(path, "key id %q is already used by %s", key.GetId(), owner)
 	}
 	c.keyIDs[key.GetId()] = path
 	if len(key.GetSalt()) < minSaltBytes {
-		c.found.Add(path, "salt of key %q is shorter than %d bytes", key.GetId(), minSaltBytes)
+		c.found.Add(path, "salt of key %q is shorter than the minimum of %d bytes", key.GetId(), minSaltBytes)
 	}
 	if len(key.GetHash()) != hashBytes {
-		c.found.Add(path, "hash of key %q is not a SHA-256 of %d bytes", key.GetId(), hashBytes)
+		c.found.Add(path, "hash of key %q must be a SHA-256 hash of %d bytes", key.GetId(), hashBytes)
 	}
 }
 
 func (c *checker) pool(path string, p *jayv1.Pool) {
 	if p.GetModel() == "" {
-		c.found.Add(path+".model", "model is missing: callers name it in their requests")
-	} else if other, doubled := c.models[p.GetModel()]; doubled {
-		c.found.Add(path+".model", "model %q is served by %s already", p.GetModel(), other)
+		c.found.Add(path+".model", "model is missing: it is the name by which requests select the pool")
+	} else if other, duplicate := c.models[p.GetModel()]; duplicate {
+		c.found.Add(path+".model", "model %q is already served by %s", p.GetModel(), other)
 	}
 	c.models[p.GetModel()] = path
 	c.versions(path, p)
 	c.adapters(path, p)
-	c.amount(path+".recompute_weight", p.GetRecomputeWeight())
-	c.amount(path+".bytes_per_token", p.GetBytesPerToken())
-	c.amount(path+".prefill_tokens_per_second", p.GetPrefillTokensPerSecond())
+	c.checkQuantity(path+".recompute_weight", p.GetRecomputeWeight())
+	c.checkQuantity(path+".bytes_per_token", p.GetBytesPerToken())
+	c.checkQuantity(path+".prefill_tokens_per_second", p.GetPrefillTokensPerSecond())
 	if servers := c.serversOf[p.GetName()]; servers > 0 && int(p.GetMinReady()) > servers {
-		c.found.Add(path+".min_ready", "min_ready is %d, but the pool has %d backend servers", p.GetMinReady(), servers)
+		c.found.Add(path+".min_ready", "min_ready is %d, but the pool has only %d backend servers", p.GetMinReady(), servers)
 	} else if servers > 1 && int(p.GetMinReady()) == servers {
-		c.found.Add(path+".min_ready", "min_ready is the number of backend servers (%d): no rollout could ever start", servers)
+		c.found.Add(path+".min_ready", "min_ready equals the number of backend servers (%d): none could be taken out of service for a rollout", servers)
 	}
 	if kv := p.GetKvService(); kv != "" {
 		service := c.byName[KindService+"/"+kv].GetService()
 		if service == nil {
 			c.found.Add(path+".kv_service", "service %q is not declared", kv)
 		} else if !service.GetKvStore() {
-			c.found.Add(path+".kv_service", "service %q is no kv_store", kv)
+			c.found.Add(path+".kv_service", "service %q is not declared with kv_store = true", kv)
 		}
 	}
 }
@@ -186,7 +190,7 @@
 	names, digests := map[string]bool{}, map[string]bool{}
 	for _, version := range p.GetVersions() {
 		if version.GetName() == "" || version.GetDigest() == "" {
-			c.found.Add(path+".versions", "a version needs a name and a digest")
+			c.found.Add(path+".versions", "a version has no name or no digest")
 		}
 		if names[version.GetName()] {
 			c.found.Add(path+".versions", "version %q is declared twice", version.GetName())
@@ -197,7 +201,7 @@
 		names[version.GetName()], digests[version.GetDigest()] = true, true
 	}
 	if len(p.GetVersions()) == 0 {
-		c.found.Add(path+".versions", "no version is declared")
+		c.found.Add(path+".versions", "pool declares no version")
 	} else if !names[p.GetActiveVersion()] {
 		c.found.Add(path+".active_version", "active_version %q is none of the declared versions", p.GetActiveVersion())
 	}
@@ -207,7 +211,7 @@
 	names := map[string]bool{}
 	for _, adapter := range p.GetAdapters() {
 		if adapter.GetName() == "" || adapter.GetDigest() == "" {
-			c.found.Add(path+".adapters", "an adapter needs a name and a digest")
+			c.found.Add(path+".adapters", "an adapter has no name or no digest")
 		}
 		if names[adapter.GetName()] {
 			c.found.Add(path+".adapters", "adapter %q is declared twice", adapter.GetName())
@@ -216,14 +220,14 @@
 	}
 }
 
-// callMethods may stand in a non-repeatable call; empty means any.
+// callMethods are the methods allowed in a non-repeatable call; empty means any.
 var callMethods = map[string]bool{"": true, "GET": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true}
 
 func (c *checker) service(path string, s *jayv1.Service) {
 	calls := map[string]bool{}
 	for _, call := range s.GetNonRepeatable() {
 		if !callMethods[call.GetMethod()] {
-			c.found.Add(path+".non_repeatable", "method %q is none of GET, POST, PUT, PATCH, DELETE", call.GetMethod())
+			c.found.Add(path+".non_repeatable", "method %q is none of GET, POST, PUT, PATCH, DELETE; leave it empty for any method", call.GetMethod())
 		}
 		id := call.GetMethod() + " " + call.GetPathPrefix()
 		if calls[id] {
@@ -232,7 +236,7 @@
 		calls[id] = true
 	}
 	if s.GetKvStore() && len(s.GetNonRepeatable()) > 0 {
-		c.found.Add(path+".kv_store", "a store of kept KV cache has no non-repeatable calls")
+		c.found.Add(path+".kv_store", "a KV cache store can't have non_repeatable calls")
 	}
 }
 
@@ -246,13 +250,13 @@
 		c.found.Add(path+".service", "service %q is not declared", b.GetService())
 	}
 	c.agentAddress(path, b)
-	c.place(path, b)
+	c.checkRegion(path, b)
 	isEngine := b.GetPool() != ""
-	if isEngine && !oneOf(engineVendors, b.GetVendor()) {
+	if isEngine && !emptyOrContains(engineVendors, b.GetVendor()) {
 		c.found.Add(path+".vendor", "vendor %q is none of %v", b.GetVendor(), engineVendors)
 	}
-	if !isEngine && b.GetVendor() != vendorPlain && b.GetVendor() != "" {
-		c.found.Add(path+".vendor", "vendor %q: a server of a plain service is %q", b.GetVendor(), vendorPlain)
+	if !isEngine && b.GetVendor() != plainVendor && b.GetVendor() != "" {
+		c.found.Add(path+".vendor", "vendor %q is not allowed for a backend server of a service; it must be %q or empty", b.GetVendor(), plainVendor)
 	}
 }
 
@@ -260,34 +264,35 @@
 	path += ".agent_address"
 	switch address, err := netip.ParseAddrPort(b.GetAgentAddress()); {
 	case b.GetAgentAddress() == "" && b.GetPool() != "" && !b.GetChecksFencing():
-		// An engine that takes orders from anyone would carry out those of a
-		// holder whose lease has lapsed; only an agent in front of it stops them.
-		c.found.Add(path, "the engine does not check fencing numbers and has no agent that does")
+		// Such an engine executes the orders of a holder whose lease has expired;
+		// only an agent in front of it can refuse them.
+		c.found.Add(path, "the engine does not check fencing numbers and has no agent that does: set agent_address")
 	case b.GetAgentAddress() == "":
-		c.found.Add(path, "agent_address is missing: work reaches a backend server through its agent")
+		c.found.Add(path, "agent_address is missing: requests reach a backend server through its agent")
 	case err != nil:
-		c.found.Add(path, "%q is no IP:port", b.GetAgentAddress())
+		c.found.Add(path, "%q is not of the form IP:port", b.GetAgentAddress())
 	case address.Port() == 0 || address.Addr().IsUnspecified():
-		c.found.Add(path, "%q can't be dialled", b.GetAgentAddress())
+		c.found.Add(path, "%q can't be dialled: the port must not be 0 and the address must not be unspecified", b.GetAgentAddress())
 	default:
-		if other, doubled := c.addresses[address.String()]; doubled {
-			c.found.Add(path, "%s is the address of %s already", address, other)
+		if other, duplicate := c.addresses[address.String()]; duplicate {
+			c.found.Add(path, "address %s is already used by %s", address, other)
 		}
 		c.addresses[address.String()] = path
 	}
 }
 
-// place checks that a data centre lies in one region.
-func (c *checker) place(path string, b *jayv1.BackendServer) {
+// checkRegion checks that data centre and region are set and that each data
+// centre is in one region.
+func (c *checker) checkRegion(path string, b *jayv1.BackendServer) {
 	if b.GetDataCentre() == "" {
 		c.found.Add(path+".data_centre", "data_centre is missing")
 	}
 	if b.GetRegion() == "" {
 		c.found.Add(path+".region", "region is missing")
 	}
-	if region, known := c.regions[b.GetDataCentre()]; known && region != b.GetRegion() {
-		c.found.Add(path+".region", "data centre %q is in region %q elsewhere", b.GetDataCentre(), region)
+	if region, known := c.regionOf[b.GetDataCentre()]; known && region != b.GetRegion() {
+		c.found.Add(path+".region", "data centre %q is in region %q according to another backend server", b.GetDataCentre(), region)
 		return
 	}
-	c.regions[b.GetDataCentre()] = b.GetRegion()
+	c.regionOf[b.GetDataCentre()] = b.GetRegion()
 }
--- a/internal/catalog/check_step.go
+++ b/internal/catalog/check_step.go
@@ -7,13 +7,13 @@
 	"github.com/jayproxy/jayproxy/internal/findings"
 )
 
-// CheckStep finds what is wrong with the step from the table to a sound set of
-// resources. A pool's active version may only move to a version that was
-// declared before, and the old one stays declared in that change.
+// CheckStep returns the findings of a change from the table to a valid set of
+// resources. A change may activate only a version that was declared before, and
+// must keep the previously active one declared.
 //
-// In one step, the pool's backend servers would have the old version alone
-// while every entry asks for the new one: callers would be refused until the
-// weight store has filled each of them, whatever min_ready says.
+// Otherwise entries would send requests for the new version while the backend
+// servers have only the old one loaded, and callers would be refused until the
+// new one is loaded, regardless of min_ready.
 func CheckStep(table *Table, resources []*jayv1.Resource) findings.List {
 	var found findings.List
 	for _, resource := range resources {
@@ -27,10 +27,10 @@
 		}
 		path := NameOf(resource)
 		if !declares(current, next.GetActiveVersion()) {
-			found.Add(path+".active_version", "version %q is not declared yet: declare it in one change, activate it in a later one when it is loaded", next.GetActiveVersion())
+			found.Add(path+".active_version", "version %q is not declared yet: declare it in one change, and activate it in a later one once it is loaded", next.GetActiveVersion())
 		}
 		if !declares(next, current.GetActiveVersion()) {
-			found.Add(path+".versions", "version %q is active until this change: keep it declared, and remove it in a later one", current.GetActiveVersion())
+			found.Add(path+".versions", "version %q is active until this change: keep it declared, and remove it in a later change", current.GetActiveVersion())
 		}
 	}
 	return found
--- a/internal/catalog/declare.go
+++ b/internal/catalog/declare.go
@@ -9,8 +9,8 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// The declarations as they stand in TOML files. Each kind turns into the
-// message of the same name; keys are the same as in the schema file.
+// The declarations in TOML files. Each type corresponds to the message of the same
+// name in catalog.proto, and has the same keys.
 
 type workspaceDecl struct {
 	Name         string       `toml:"name"`
@@ -92,20 +92,20 @@
 	DeadlineMs     uint32    `toml:"deadline_ms"`
 }
 
-// hexBytes is a byte string written in hexadecimal digits.
+// hexBytes is a byte string in hexadecimal notation.
 type hexBytes []byte
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (h *hexBytes) UnmarshalText(text []byte) error {
 	value, err := hex.DecodeString(string(text))
 	if err != nil {
-		return eris.Errorf("%q is not in hexadecimal digits", text)
+		return eris.Errorf("%q is not an even number of hexadecimal digits", text)
 	}
 	*h = value
 	return nil
 }
 
-// className is a traffic class written as batch, standard or interactive.
+// className is a traffic class, written as batch, standard or interactive.
 type className jayv1.Class
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -115,7 +115,7 @@
 	return err
 }
 
-// ParseClass reads a class as declarations and callers write it.
+// ParseClass parses the name of a class: batch, standard or interactive.
 func ParseClass(name string) (jayv1.Class, error) {
 	value, ok := jayv1.Class_value["CLASS_"+strings.ToUpper(name)]
 	if !ok || value == 0 || strings.ToLower(name) != name {
@@ -127,7 +127,7 @@
 // decl is one declared object.
 type decl interface{ resource() *jayv1.Resource }
 
-// newDecl makes an empty declaration of a kind, nil for an unknown kind.
+// newDecl returns an empty declaration of a kind, or nil if the kind is unknown.
 func newDecl(kind string) decl {
 	switch kind {
 	case KindWorkspace:
--- a/internal/catalog/defaults.go
+++ b/internal/catalog/defaults.go
@@ -6,14 +6,14 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// What a pool that declares nothing of it is read as; see catalog.proto.
+// Defaults of settings that a pool does not declare; see catalog.proto.
 const (
 	DefaultBytesPerToken = 4
 	DefaultSharedLevel   = 2
 )
 
-// BytesPerToken is the estimated text in a token of the pool; the default also
-// for a nil pool.
+// BytesPerToken returns the estimated bytes of text per token of the pool's
+// model. A nil pool has the default.
 func BytesPerToken(pool *jayv1.Pool) float64 {
 	if declared := pool.GetBytesPerToken(); declared > 0 {
 		return declared
@@ -21,8 +21,9 @@
 	return DefaultBytesPerToken
 }
 
-// SharedLevel is the message boundary that many of the pool's requests share
-// but not all; the default also for a nil pool.
+// SharedLevel returns the number of leading message boundaries up to which many,
+// but not all, of the pool's requests have the same prompt. A nil pool has the
+// default.
 func SharedLevel(pool *jayv1.Pool) int {
 	if declared := pool.GetSharedLevel(); declared > 0 {
 		return int(declared)
@@ -30,7 +31,8 @@
 	return DefaultSharedLevel
 }
 
-// ClassName is a class as declarations and metrics write it: "interactive".
+// ClassName returns the name of a class as used in declarations and metrics, for
+// example "interactive".
 func ClassName(class jayv1.Class) string {
 	return strings.ToLower(strings.TrimPrefix(class.String(), "CLASS_"))
 }
--- a/internal/catalog/diff.go
+++ b/internal/catalog/diff.go
@@ -8,8 +8,8 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// Difference is what turns one set of resources into another. Names are
-// kind/name and sorted.
+// Difference is the difference between two sets of resources. Names are of the
+// form kind/name and sorted.
 type Difference struct {
 	Created []string `json:"created,omitempty"`
 	Updated []string `json:"updated,omitempty"`
@@ -18,11 +18,11 @@
 	Put []*jayv1.Resource `json:"-"`
 }
 
-// Empty tells whether both sets are the same.
+// Empty reports whether both sets are the same.
 func (d Difference) Empty() bool { return len(d.Put) == 0 && len(d.Deleted) == 0 }
 
-// Diff compares the table with a declared set. Resources that the set does not
-// name are deleted only when prune is set.
+// Diff returns the difference from the table to a declared set. Resources that
+// are not in the set are deleted only if prune is true.
 func Diff(table *Table, declared []*jayv1.Resource, prune bool) Difference {
 	var d Difference
 	wanted := make(map[string]*jayv1.Resource, len(declared))
@@ -48,7 +48,7 @@
 	return d.finish(wanted)
 }
 
-// finish sorts the names and collects the resources to put.
+// finish sorts the names and fills Put from the declared resources.
 func (d Difference) finish(wanted map[string]*jayv1.Resource) Difference {
 	sort.Strings(d.Created)
 	sort.Strings(d.Updated)
@@ -61,8 +61,8 @@
 	return d
 }
 
-// DiffDelete is the difference that deletes the named resources, as far as
-// they exist.
+// DiffDelete returns the difference that deletes those of the named resources
+// that exist.
 func DiffDelete(table *Table, names ...string) Difference {
 	var d Difference
 	for _, name := range names {
@@ -73,19 +73,19 @@
 	return d.finish(nil)
 }
 
-// ResourcesAfter returns the whole set of resources that the table holds once the
-// difference is applied, in no order.
+// ResourcesAfter returns all resources of the table after the difference, in no
+// particular order.
 func (t *Table) ResourcesAfter(d Difference) []*jayv1.Resource {
-	gone := make(map[string]bool, len(d.Deleted)+len(d.Put))
+	replaced := make(map[string]bool, len(d.Deleted)+len(d.Put))
 	for _, name := range d.Deleted {
-		gone[name] = true
+		replaced[name] = true
 	}
 	for _, resource := range d.Put {
-		gone[NameOf(resource)] = true
+		replaced[NameOf(resource)] = true
 	}
 	all := make([]*jayv1.Resource, 0, len(t.resources)+len(d.Put))
 	for name, resource := range t.resources {
-		if !gone[name] {
+		if !replaced[name] {
 			all = append(all, resource)
 		}
 	}
--- a/internal/catalog/forward.go
+++ b/internal/catalog/forward.go
@@ -8,14 +8,14 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// ErrGap means that changes between the table and the delta are missing, so
-// that the delta can't be applied; the caller asks for a snapshot.
+// ErrGap means that a delta can't be applied because changes between the table
+// and the delta are missing. The caller needs a snapshot.
 var ErrGap = errors.New("changes of the catalog are missing")
 
-// ApplyDelta applies a delta whole and returns the newest table it leads to; the
-// receiver itself when the delta brings nothing newer. Changes that the table
-// already has are skipped. A gap is ErrGap: a table built over a missing
-// change would claim a generation whose content it does not have.
+// ApplyDelta returns the table after all changes of the delta, or the receiver if
+// the delta has nothing newer. Changes that the table already includes are
+// skipped. The error is ErrGap if a change is missing: the result would lack
+// part of the content of its generation.
 func (t *Table) ApplyDelta(delta *jayv1.CatalogDelta) (*Table, error) {
 	base := t
 	if snapshot := delta.GetSnapshot(); snapshot.GetGeneration() > t.generation {
@@ -28,7 +28,7 @@
 			continue
 		}
 		if change.GetGeneration() > next {
-			return nil, eris.Wrapf(ErrGap, "have generation %d, next change is %d", next-1, change.GetGeneration())
+			return nil, eris.Wrapf(ErrGap, "table is at generation %d, next change makes generation %d", next-1, change.GetGeneration())
 		}
 		pending = append(pending, change)
 		next++
@@ -36,11 +36,11 @@
 	if len(pending) == 0 {
 		return base, nil
 	}
-	return base.applyAll(pending), nil
+	return base.applyChanges(pending), nil
 }
 
-// applyAll merges consecutive changes and builds the table once.
-func (t *Table) applyAll(changes []*jayv1.Change) *Table {
+// applyChanges applies consecutive changes and builds only the last table.
+func (t *Table) applyChanges(changes []*jayv1.Change) *Table {
 	resources := make(map[string]*jayv1.Resource, len(t.resources))
 	for name, resource := range t.resources {
 		resources[name] = resource
--- a/internal/catalog/load.go
+++ b/internal/catalog/load.go
@@ -17,15 +17,15 @@
 	"github.com/jayproxy/jayproxy/internal/settings"
 )
 
-// fileEnding of declarations.
-const fileEnding = ".toml"
+// fileExtension of files with declarations.
+const fileExtension = ".toml"
 
-// maxFileBytes bounds one file of declarations.
+// maxFileBytes is the maximum size of one file of declarations.
 const maxFileBytes = 16 << 20
 
-// LoadDir reads every *.toml file of a folder and the folders below it and
-// checks the whole set. The findings are all of one run, each with file and
-// line; the error is only for a folder that can't be read.
+// LoadDir reads all *.toml files of a folder and its subfolders and checks the
+// resources together. It returns all findings, each with file and line. The error
+// is non-nil only if the folder or a file can't be read.
 func LoadDir(dir string) ([]*jayv1.Resource, findings.List, error) {
 	files, err := declarationFiles(dir)
 	if err != nil {
@@ -37,18 +37,19 @@
 		if err != nil {
 			return nil, nil, eris.Wrapf(err, "read %s", file)
 		}
-		l.file(file, text)
+		l.addFile(file, text)
 	}
 	if len(files) == 0 {
-		l.found.AddAt(dir, 0, "", "no %s file in the folder", fileEnding)
+		l.found.AddAt(dir, 0, "", "no %s file in the folder", fileExtension)
 	}
 	return l.finish()
 }
 
-// Parse reads declarations from text; file only names the place.
+// Parse reads and checks declarations from text. The file name is used in
+// findings only.
 func Parse(file string, text []byte) ([]*jayv1.Resource, findings.List) {
 	l := newLoader()
-	l.file(file, text)
+	l.addFile(file, text)
 	resources, found, _ := l.finish()
 	return resources, found
 }
@@ -59,7 +60,7 @@
 		if err != nil {
 			return err
 		}
-		if !entry.IsDir() && strings.HasSuffix(path, fileEnding) {
+		if !entry.IsDir() && strings.HasSuffix(path, fileExtension) {
 			files = append(files, path)
 		}
 		return nil
@@ -68,44 +69,46 @@
 	return files, eris.Wrapf(err, "read folder %s", dir)
 }
 
-// place is where a resource is declared.
-type place struct {
+// position is where a resource is declared.
+type position struct {
 	file  string
 	lines map[string]int
-	// prefix of its keys in lines, e.g. pool[0].
+	// prefix of the resource's keys in lines, for example "pool[0]".
 	prefix string
 }
 
-func (p place) line(key string) int { return settings.LineOf(p.lines, join(p.prefix, key)) }
+func (p position) line(key string) int { return settings.LineOf(p.lines, joinKey(p.prefix, key)) }
 
-func join(prefix, key string) string {
+func joinKey(prefix, key string) string {
 	if key == "" {
 		return prefix
 	}
 	return prefix + "." + key
 }
 
-// loader gathers resources and findings over many files.
+// loader collects resources and findings from many files.
 type loader struct {
 	found     findings.List
 	resources []*jayv1.Resource
-	places    map[string]place
-	// faulty keys as kind/name.key: a value that could not be read is empty, and
-	// what follows from that is no finding of its own.
-	faulty map[string]bool
+	positions map[string]position
+	// invalid holds keys, as kind/name.key, whose value could not be decoded.
+	// They are left empty, and findings about the empty value are suppressed.
+	invalid map[string]bool
 }
 
-func newLoader() *loader { return &loader{places: map[string]place{}, faulty: map[string]bool{}} }
+func newLoader() *loader {
+	return &loader{positions: map[string]position{}, invalid: map[string]bool{}}
+}
 
-// finish adds the findings about the whole set, with their places.
+// finish checks the whole set and adds the findings with file and line.
 func (l *loader) finish() ([]*jayv1.Resource, findings.List, error) {
 	for _, finding := range Check(l.resources) {
 		name, key := l.splitPath(finding.Path)
 		top, _, _ := strings.Cut(key, ".")
-		if l.faulty[join(name, top)] {
+		if l.invalid[joinKey(name, top)] {
 			continue
 		}
-		if p, ok := l.places[name]; ok {
+		if p, ok := l.positions[name]; ok {
 			finding.File, finding.Line = p.file, p.line(key)
 		}
 		l.found = append(l.found, finding)
@@ -114,55 +117,56 @@
 	return l.resources, l.found, nil
 }
 
-// splitPath parts kind/name.key; names may hold dots, so the longest declared
-// name counts.
+// splitPath splits kind/name.key. Names may contain dots, so it takes the longest
+// declared name.
 func (l *loader) splitPath(path string) (name, key string) {
 	for cut := len(path); cut > 0; cut = strings.LastIndexByte(path[:cut], '.') {
-		if _, ok := l.places[path[:cut]]; ok {
+		if _, ok := l.positions[path[:cut]]; ok {
 			return path[:cut], strings.TrimPrefix(path[cut:], ".")
 		}
 	}
 	return path, ""
 }
 
-func (l *loader) file(file string, text []byte) {
+func (l *loader) addFile(file string, text []byte) {
 	if len(text) > maxFileBytes {
-		l.found.AddAt(file, 0, "", "file is longer than %d bytes", maxFileBytes)
+		l.found.AddAt(file, 0, "", "file is larger than the maximum of %d bytes", maxFileBytes)
 		return
 	}
 	var document map[string]any
 	if err := toml.Unmarshal(text, &document); err != nil {
-		l.syntax(file, err)
+		l.addSyntaxError(file, err)
 		return
 	}
 	lines := settings.Lines(text)
 	for kind, value := range document {
 		if newDecl(kind) == nil {
-			l.found.AddAt(file, firstLine(lines, kind), kind, "unknown table; known are [[workspace]], [[pool]], [[service]], [[backend_server]], [[rule]]")
+			l.found.AddAt(file, firstLine(lines, kind), kind, "unknown table; allowed are [[workspace]], [[pool]], [[service]], [[backend_server]], [[rule]]")
 			continue
 		}
 		elements, ok := value.([]any)
 		if !ok {
-			l.found.AddAt(file, firstLine(lines, kind), kind, "write [[%s]], with two brackets", kind)
+			l.found.AddAt(file, firstLine(lines, kind), kind, "must be an array of tables: write [[%s]] with two brackets", kind)
 			continue
 		}
 		for i, element := range elements {
-			l.element(kind, element, place{file: file, lines: lines, prefix: fmt.Sprintf("%s[%d]", kind, i)})
+			l.addElement(kind, element, position{file: file, lines: lines, prefix: fmt.Sprintf("%s[%d]", kind, i)})
 		}
 	}
 }
 
-func (l *loader) syntax(file string, err error) {
-	var fault *toml.DecodeError
-	if errors.As(err, &fault) {
-		row, _ := fault.Position()
-		l.found.AddAt(file, row, strings.Join(fault.Key(), "."), "%s", fault.Error())
+func (l *loader) addSyntaxError(file string, err error) {
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		row, _ := decodeErr.Position()
+		l.found.AddAt(file, row, strings.Join(decodeErr.Key(), "."), "%s", decodeErr.Error())
 		return
 	}
 	l.found.AddAt(file, 0, "", "%s", err.Error())
 }
 
-// firstLine finds the line of a top-level key, whether it is a table or a value.
+// firstLine returns the first line of a top-level key, which is a value or an
+// array of tables.
 func firstLine(lines map[string]int, key string) int {
 	if line, ok := lines[key]; ok {
 		return line
@@ -170,65 +174,66 @@
 	return lines[key+"[0]"]
 }
 
-// element decodes one declaration, key by key, so that one fault does not hide
-// the next.
-func (l *loader) element(kind string, element any, at place) {
+// addElement decodes one declaration key by key, so that all invalid keys are
+// reported.
+func (l *loader) addElement(kind string, element any, pos position) {
 	table, ok := element.(map[string]any)
 	if !ok {
-		l.found.AddAt(at.file, at.line(""), kind, "write [[%s]] and its keys below", kind)
+		l.found.AddAt(pos.file, pos.line(""), kind, "must be a table: write [[%s]] and its keys below it", kind)
 		return
 	}
 	declared := newDecl(kind)
-	var faulty []string
+	var invalid []string
 	for key, value := range table {
 		if err := decodeKey(key, value, declared); err != nil {
-			faulty = append(faulty, key)
-			l.key(kind, key, err, at)
+			invalid = append(invalid, key)
+			l.addKeyErrors(kind, key, err, pos)
 		}
 	}
 	resource := declared.resource()
 	name := NameOf(resource)
-	for _, key := range faulty {
-		l.faulty[join(name, key)] = true
+	for _, key := range invalid {
+		l.invalid[joinKey(name, key)] = true
 	}
-	if first, doubled := l.places[name]; doubled {
-		l.found.AddAt(at.file, at.line("name"), name, "declared twice, first at %s:%d", first.file, first.line("name"))
+	if first, duplicate := l.positions[name]; duplicate {
+		l.found.AddAt(pos.file, pos.line("name"), name, "declared twice, first at %s:%d", first.file, first.line("name"))
 		return
 	}
-	if _, named := table["name"]; !named {
-		l.found.AddAt(at.file, at.line(""), kind, "name is missing")
+	if _, hasName := table["name"]; !hasName {
+		l.found.AddAt(pos.file, pos.line(""), kind, "name is missing")
 		return
 	}
-	l.places[name] = at
+	l.positions[name] = pos
 	l.resources = append(l.resources, resource)
 }
 
-// decodeKey puts one key into the declaration, strictly.
+// decodeKey decodes one key into the declaration; unknown keys are an error.
 func decodeKey(key string, value any, into decl) error {
 	text, err := toml.Marshal(map[string]any{key: value})
 	if err != nil {
-		return eris.Wrapf(err, "key %q", key)
+		return eris.Wrapf(err, "encode key %q", key)
 	}
 	decoder := toml.NewDecoder(strings.NewReader(string(text)))
 	decoder.DisallowUnknownFields()
 	return decoder.Decode(into)
 }
 
-// key reports the faults of one key. Places inside the key come from the key's
-// own path, because the text that was decoded is not the file's.
-func (l *loader) key(kind, key string, err error, at place) {
+// addKeyErrors adds a finding for each error of one key. Lines are looked up by
+// the path of the key, since the lines in the error are those of the re-encoded
+// text, not of the file.
+func (l *loader) addKeyErrors(kind, key string, err error, pos position) {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
-		for _, fault := range strict.Errors {
-			path := strings.Join(fault.Key(), ".")
-			l.found.AddAt(at.file, at.line(path), kind+"."+path, "unknown key")
+		for _, decodeErr := range strict.Errors {
+			path := strings.Join(decodeErr.Key(), ".")
+			l.found.AddAt(pos.file, pos.line(path), kind+"."+path, "unknown key")
 		}
 		return
 	}
 	message := err.Error()
-	var fault *toml.DecodeError
-	if errors.As(err, &fault) {
-		message = strings.TrimPrefix(fault.Error(), "toml: ")
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		message = strings.TrimPrefix(decodeErr.Error(), "toml: ")
 	}
-	l.found.AddAt(at.file, at.line(key), kind+"."+key, "%s", message)
+	l.found.AddAt(pos.file, pos.line(key), kind+"."+key, "%s", message)
 }
--- a/internal/catalog/load_test.go
+++ b/internal/catalog/load_test.go
@@ -16,11 +16,12 @@
 
 const examples = "../../examples"
 
-// The two deployments stand at the sizes and with the names of the users' brief.
-func TestExamplesHaveTheSizesOfTheBrief(t *testing.T) {
+// Guards against example deployments that are invalid or have other sizes or
+// names than documented.
+func TestExampleDeploymentsAreValid(t *testing.T) {
 	tests := []struct {
 		folder, pool, kv, app string
-		runners               int
+		servers               int
 		centres               []string
 	}{
 		{"association", "modelos-lenguaje", "memoria-prompts", "reservas-app", 12, []string{"quito-sala-a", "quito-sala-b", "ibarra-sala"}},
@@ -33,7 +34,7 @@
 			require.Empty(t, found)
 			table := catalog.Build(&jayv1.Snapshot{Resources: resources})
 			assert.Len(t, table.Workspaces(), 8)
-			assert.Len(t, table.BackendServersOfPool(test.pool), test.runners)
+			assert.Len(t, table.BackendServersOfPool(test.pool), test.servers)
 			assert.Len(t, table.BackendServersOfService(test.app), 3)
 			store, _ := table.Service(test.kv)
 			assert.True(t, store.GetKvStore())
@@ -46,7 +47,7 @@
 	}
 }
 
-const faulty = `[[workspace]]
+const invalidDeclarations = `[[workspace]]
 name = "w 1"
 wieght = 3
 default_class = "urgent"
@@ -94,9 +95,9 @@
 name = "x"
 `
 
-func TestEveryFaultIsFoundInOneRunWithItsLine(t *testing.T) {
+func TestAllErrorsAreReportedWithTheirLines(t *testing.T) {
 	dir := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(dir, "a.toml"), []byte(faulty), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "a.toml"), []byte(invalidDeclarations), 0o600))
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "b.toml"), []byte("[[service]]\nname = \"s\"\n[[service\n"), 0o600))
 	_, found, err := catalog.LoadDir(dir)
 	require.NoError(t, err)
@@ -114,21 +115,21 @@
 		`a.toml:15: pool/p.kv_service: service "nowhere" is not declared`,
 		`a.toml:18: pool/p: declared twice, first at`,
 		`a.toml:22: backend_server/b1.pool: pool "q" is not declared`,
-		`a.toml:23: backend_server/b1.agent_address: "localhost" is no IP:port`,
+		`a.toml:23: backend_server/b1.agent_address: "localhost" is not of the form IP:port`,
 		`a.toml:26: backend_server/b1.vendor: vendor "acme" is none of`,
 		`backend_server/b2.agent_address: the engine does not check fencing numbers and has no agent`,
-		`a.toml:32: backend_server/b2.region: data centre "a" is in region "r" elsewhere`,
-		`rule/late: can never match: rule "all" stands before it`,
-		`a.toml:44: rule/late.engine_priority: engine_priority 101 is above 100`,
+		`a.toml:32: backend_server/b2.region: data centre "a" is in region "r" according to another backend server`,
+		`rule/late: can never match: rule "all" comes before it`,
+		`a.toml:44: rule/late.engine_priority: engine_priority 101 is above the maximum of 100`,
 		`a.toml:45: gadget: unknown table`,
 		`b.toml:3:`,
 	} {
 		assert.Contains(t, report, want)
 	}
-	assert.NotContains(t, report, "no key", "what follows from a fault is no finding of its own")
+	assert.NotContains(t, report, "no key", "no finding about the empty value of a key that could not be decoded")
 }
 
-func TestForwardRefusesAGap(t *testing.T) {
+func TestApplyDeltaRejectsAGap(t *testing.T) {
 	table := catalog.Build(&jayv1.Snapshot{Generation: 3})
 	_, err := table.ApplyDelta(&jayv1.CatalogDelta{Changes: []*jayv1.Change{{Generation: 4}, {Generation: 6}}})
 	require.ErrorIs(t, err, catalog.ErrGap)
@@ -140,7 +141,7 @@
 	assert.Same(t, next, old)
 }
 
-func TestCallerKeyIsKnownOnlyByItsHash(t *testing.T) {
+func TestCallerKeyHoldsOnlyTheHashOfTheSecret(t *testing.T) {
 	plain, key, err := catalog.NewCallerKey()
 	require.NoError(t, err)
 	id, secret, ok := catalog.ParseCallerKey(plain)
@@ -156,7 +157,7 @@
 }
 
 func FuzzDeclarations(f *testing.F) {
-	f.Add([]byte(faulty))
+	f.Add([]byte(invalidDeclarations))
 	f.Add([]byte("[[pool]]\nname = 3\nversions = 1\n[pool.x]\n"))
 	f.Add([]byte("pool = 1\nrule = [1, 2]\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -185,14 +186,14 @@
 		table := catalog.Build(&jayv1.Snapshot{Generation: 2})
 		next, err := table.ApplyDelta(delta)
 		if err == nil && next.Generation() < table.Generation() {
-			t.Fatal("a table moved backwards")
+			t.Fatal("the generation of the table decreased")
 		}
 	})
 }
 
-// Callers of a model are refused for minutes after an accepted change: it made
-// a version active that no backend server had loaded, and took the old one away.
-func TestActiveVersionMovesInSteps(t *testing.T) {
+// Guards against a change that activates a version which no backend server can
+// have loaded yet, or that removes the previously active version at once.
+func TestActiveVersionChangesInSeparateSteps(t *testing.T) {
 	pool := func(active string, versions ...string) *jayv1.Resource {
 		p := &jayv1.Pool{Name: "p", Model: "m", ActiveVersion: active}
 		for _, v := range versions {
--- a/internal/catalog/table.go
+++ b/internal/catalog/table.go
@@ -1,6 +1,6 @@
-// Package catalog holds what operators declare: workspaces, pools with their
-// versions and adapters, services, backend servers and rules. A Table is built
-// whole from a generation and never changes; readers swap tables.
+// Package catalog holds the resources that operators declare: workspaces, pools
+// with their versions and adapters, services, backend servers and rules. A Table
+// is one immutable generation of them; each change builds a new Table.
 package catalog
 
 import (
@@ -26,7 +26,7 @@
 // Kinds lists the kinds of resources.
 var Kinds = []string{KindWorkspace, KindPool, KindService, KindBackendServer, KindRule}
 
-// IsKind tells whether a kind of resources has the name.
+// IsKind reports whether name is the name of a kind of resources.
 func IsKind(name string) bool { return newDecl(name) != nil }
 
 // KindOf returns a resource's kind, "" for an empty resource.
@@ -35,28 +35,28 @@
 	return kind
 }
 
-// Table is one generation of the catalog, ready for look-ups. Immutable.
+// Table is one generation of the catalog, indexed for look-ups. It is immutable.
 type Table struct {
-	generation uint64
-	resources  map[string]*jayv1.Resource
-	keys       map[string]*jayv1.Workspace
-	poolByName map[string]*jayv1.Pool
-	byModel    map[string]*jayv1.Pool
-	ofPool     map[string][]*jayv1.BackendServer
-	ofService  map[string][]*jayv1.BackendServer
-	rules      []*jayv1.Rule
+	generation       uint64
+	resources        map[string]*jayv1.Resource
+	workspaceByKey   map[string]*jayv1.Workspace
+	poolByName       map[string]*jayv1.Pool
+	poolByModel      map[string]*jayv1.Pool
+	serversByPool    map[string][]*jayv1.BackendServer
+	serversByService map[string][]*jayv1.BackendServer
+	rules            []*jayv1.Rule
 }
 
-// Build makes the table of a snapshot.
+// Build returns the table of a snapshot.
 func Build(snapshot *jayv1.Snapshot) *Table {
 	t := &Table{
-		generation: snapshot.GetGeneration(),
-		resources:  make(map[string]*jayv1.Resource, len(snapshot.GetResources())),
-		keys:       map[string]*jayv1.Workspace{},
-		poolByName: map[string]*jayv1.Pool{},
-		byModel:    map[string]*jayv1.Pool{},
-		ofPool:     map[string][]*jayv1.BackendServer{},
-		ofService:  map[string][]*jayv1.BackendServer{},
+		generation:       snapshot.GetGeneration(),
+		resources:        make(map[string]*jayv1.Resource, len(snapshot.GetResources())),
+		workspaceByKey:   map[string]*jayv1.Workspace{},
+		poolByName:       map[string]*jayv1.Pool{},
+		poolByModel:      map[string]*jayv1.Pool{},
+		serversByPool:    map[string][]*jayv1.BackendServer{},
+		serversByService: map[string][]*jayv1.BackendServer{},
 	}
 	for _, resource := range snapshot.GetResources() {
 		t.resources[NameOf(resource)] = resource
@@ -74,18 +74,18 @@
 	switch kind := resource.GetKind().(type) {
 	case *jayv1.Resource_Workspace:
 		for _, key := range kind.Workspace.GetKeys() {
-			t.keys[key.GetId()] = kind.Workspace
+			t.workspaceByKey[key.GetId()] = kind.Workspace
 		}
 	case *jayv1.Resource_Pool:
 		t.poolByName[kind.Pool.GetName()] = kind.Pool
-		t.byModel[kind.Pool.GetModel()] = kind.Pool
+		t.poolByModel[kind.Pool.GetModel()] = kind.Pool
 	case *jayv1.Resource_BackendServer:
 		server := kind.BackendServer
 		if pool := server.GetPool(); pool != "" {
-			t.ofPool[pool] = append(t.ofPool[pool], server)
+			t.serversByPool[pool] = append(t.serversByPool[pool], server)
 		}
 		if service := server.GetService(); service != "" {
-			t.ofService[service] = append(t.ofService[service], server)
+			t.serversByService[service] = append(t.serversByService[service], server)
 		}
 	case *jayv1.Resource_Rule:
 		t.rules = append(t.rules, kind.Rule)
@@ -118,10 +118,11 @@
 	return ""
 }
 
-// Generation of the table; 0 before anything was declared.
+// Generation returns the generation of the table; 0 before anything was
+// declared.
 func (t *Table) Generation() uint64 { return t.generation }
 
-// Snapshot returns the generation as a message, resources in order of name.
+// Snapshot returns the table as a message, with the resources in order of name.
 func (t *Table) Snapshot() *jayv1.Snapshot {
 	snapshot := &jayv1.Snapshot{Generation: t.generation}
 	for _, name := range t.names() {
@@ -144,7 +145,7 @@
 
 // WorkspaceOfKey returns the workspace that owns the key with the public id.
 func (t *Table) WorkspaceOfKey(id string) (*jayv1.Workspace, bool) {
-	workspace, ok := t.keys[id]
+	workspace, ok := t.workspaceByKey[id]
 	return workspace, ok
 }
 
@@ -165,9 +166,10 @@
 	return pool, ok
 }
 
-// PoolOfModel returns the pool that serves a model name of callers.
+// PoolOfModel returns the pool that serves the model that callers name in their
+// requests.
 func (t *Table) PoolOfModel(model string) (*jayv1.Pool, bool) {
-	pool, ok := t.byModel[model]
+	pool, ok := t.poolByModel[model]
 	return pool, ok
 }
 
@@ -182,7 +184,7 @@
 	return all
 }
 
-// Service looks a plain service up by name.
+// Service looks a service up by name.
 func (t *Table) Service(name string) (*jayv1.Service, bool) {
 	resource, ok := t.resources[KindService+"/"+name]
 	return resource.GetService(), ok
@@ -195,11 +197,13 @@
 }
 
 // BackendServersOfPool returns a pool's backend servers in order of name.
-func (t *Table) BackendServersOfPool(pool string) []*jayv1.BackendServer { return t.ofPool[pool] }
+func (t *Table) BackendServersOfPool(pool string) []*jayv1.BackendServer {
+	return t.serversByPool[pool]
+}
 
 // BackendServersOfService returns a service's backend servers in order of name.
 func (t *Table) BackendServersOfService(service string) []*jayv1.BackendServer {
-	return t.ofService[service]
+	return t.serversByService[service]
 }
 
 // BackendServers returns all backend servers in order of name.
@@ -213,8 +217,8 @@
 	return all
 }
 
-// ActiveVersion returns the version that new requests of the pool get, nil
-// when the pool names none that it declares.
+// ActiveVersion returns the version that new requests of the pool use, or nil if
+// active_version names no declared version.
 func ActiveVersion(pool *jayv1.Pool) *jayv1.ModelVersion {
 	for _, version := range pool.GetVersions() {
 		if version.GetName() == pool.GetActiveVersion() {
@@ -232,7 +236,8 @@
 	ClassLabel string
 }
 
-// Match returns the first rule that matches, nil when none does.
+// Match returns the first rule that matches, in descending order of priority and
+// then by name, or nil.
 func (t *Table) Match(traffic Traffic) *jayv1.Rule {
 	for _, rule := range t.rules {
 		if matches(rule, traffic) {
@@ -246,22 +251,22 @@
 	if rule.GetClassLabel() != "" && rule.GetClassLabel() != traffic.ClassLabel {
 		return false
 	}
-	if !oneOf(rule.GetWorkspaces(), traffic.Workspace) {
+	if !emptyOrContains(rule.GetWorkspaces(), traffic.Workspace) {
 		return false
 	}
-	// A rule that names only models says nothing of services, and the reverse.
+	// A rule that names only models matches no services, and the reverse.
 	namesTargets := len(rule.GetModels())+len(rule.GetServices()) > 0
 	if !namesTargets {
 		return true
 	}
 	if traffic.Model != "" {
-		return len(rule.GetModels()) > 0 && oneOf(rule.GetModels(), traffic.Model)
+		return len(rule.GetModels()) > 0 && emptyOrContains(rule.GetModels(), traffic.Model)
 	}
-	return len(rule.GetServices()) > 0 && oneOf(rule.GetServices(), traffic.Service)
+	return len(rule.GetServices()) > 0 && emptyOrContains(rule.GetServices(), traffic.Service)
 }
 
-// oneOf tells whether the list is empty or holds the value.
-func oneOf(list []string, value string) bool {
+// emptyOrContains reports whether the list is empty or contains the value.
+func emptyOrContains(list []string, value string) bool {
 	if len(list) == 0 {
 		return true
 	}
@@ -273,8 +278,8 @@
 	return false
 }
 
-// NonRepeatable tells whether a call of the service may run at most once.
-// Path prefixes match whole path elements.
+// NonRepeatable reports whether a call of the service may run at most once.
+// Declared path prefixes match whole path elements.
 func NonRepeatable(service *jayv1.Service, method, path string) bool {
 	for _, call := range service.GetNonRepeatable() {
 		if call.GetMethod() != "" && !strings.EqualFold(call.GetMethod(), method) {
@@ -289,11 +294,11 @@
 	return false
 }
 
-// ApplyChange applies a change that makes the next generation. Any other change
-// is an error: a table never moves backwards and never skips.
+// ApplyChange returns the table after a change. It is an error if the change does
+// not make the next generation.
 func (t *Table) ApplyChange(change *jayv1.Change) (*Table, error) {
 	if change.GetGeneration() != t.generation+1 {
-		return nil, eris.Errorf("change makes generation %d, the table is at %d", change.GetGeneration(), t.generation)
+		return nil, eris.Errorf("change makes generation %d, but the table is at generation %d", change.GetGeneration(), t.generation)
 	}
 	resources := make(map[string]*jayv1.Resource, len(t.resources))
 	for name, resource := range t.resources {
@@ -312,22 +317,23 @@
 	return Build(snapshot), nil
 }
 
-// Holder is the table in force in a process. It only moves forward.
+// Holder holds the table in force in a process. Its generation never decreases.
+// It is safe for concurrent use.
 type Holder struct {
 	table atomic.Pointer[Table]
 	mu    sync.Mutex
 	next  chan struct{}
 }
 
-// NewHolder holds the empty generation 0.
+// NewHolder returns a holder of an empty table of generation 0.
 func NewHolder() *Holder {
 	h := &Holder{next: make(chan struct{})}
 	h.table.Store(Build(&jayv1.Snapshot{}))
 	return h
 }
 
-// Next returns a channel that is closed when a newer table is adopted. Take
-// the channel first and read Current after, so that no adoption is missed.
+// Next returns a channel that is closed when a newer table is adopted. Call Next
+// before Current, so that no adoption is missed.
 func (h *Holder) Next() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -337,9 +343,9 @@
 // Current returns the table in force.
 func (h *Holder) Current() *Table { return h.table.Load() }
 
-// Adopt puts a table in force and tells whether it did. A table that is not
-// newer is ignored: an answer that was delayed on its way, say from a peer
-// that was frozen, must not bring an old configuration back.
+// Adopt puts a table in force if it is newer than the current one, and reports
+// whether it did. A delayed answer, for example of a peer that was suspended,
+// must not restore an older configuration.
 func (h *Holder) Adopt(table *Table) bool {
 	for {
 		current := h.table.Load()
@@ -347,13 +353,13 @@
 			return false
 		}
 		if h.table.CompareAndSwap(current, table) {
-			h.announce()
+			h.notifyChanged()
 			return true
 		}
 	}
 }
 
-func (h *Holder) announce() {
+func (h *Holder) notifyChanged() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	close(h.next)
--- a/internal/catalog/table_test.go
+++ b/internal/catalog/table_test.go
@@ -16,10 +16,8 @@
 	return &jayv1.Resource{Kind: &jayv1.Resource_Pool{Pool: &jayv1.Pool{Name: name, Model: "m-" + name}}}
 }
 
-// A user sees a model vanish that was declared minutes ago. An operator's
-// change is accepted and in force; then a table that was read before it
-// arrives late, from a peer that was frozen, and would put the old one back.
-func TestHolderNeverMovesBack(t *testing.T) {
+// Guards against a late table of an older generation that replaces a newer one.
+func TestHolderIgnoresOlderGenerations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holder := catalog.NewHolder()
 		highest := uint64(0)
@@ -32,7 +30,7 @@
 	})
 }
 
-func TestAdvanceTakesOnlyTheNextGeneration(t *testing.T) {
+func TestApplyChangeAcceptsOnlyTheNextGeneration(t *testing.T) {
 	table := catalog.Build(&jayv1.Snapshot{Generation: 4, Resources: []*jayv1.Resource{pool("a"), pool("b")}})
 	_, err := table.ApplyChange(&jayv1.Change{Generation: 6})
 	require.Error(t, err)
@@ -45,10 +43,10 @@
 	assert.False(t, hasA)
 	assert.True(t, hasC)
 	_, stillA := table.PoolOfModel("m-a")
-	assert.True(t, stillA, "a table in service never changes")
+	assert.True(t, stillA, "ApplyChange must not modify its receiver")
 }
 
-func TestMatchTakesTheFirstRuleByPriority(t *testing.T) {
+func TestMatchReturnsTheFirstRuleByPriority(t *testing.T) {
 	rule := func(r *jayv1.Rule) *jayv1.Resource {
 		return &jayv1.Resource{Kind: &jayv1.Resource_Rule{Rule: r}}
 	}
