--- a/internal/catalogstore/accept.go
+++ b/internal/catalogstore/accept.go
@@ -15,103 +15,109 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// Errors that callers test with errors.Is.
+// Errors of Accept.
 var (
-	// ErrChangeIDReused means: another change was accepted under the same id.
+	// ErrChangeIDReused means that another change was accepted under the same id.
 	ErrChangeIDReused = errors.New("change id was used for another change")
-	// ErrContention means: other operators' changes came first at each try; nothing was accepted.
-	ErrContention = errors.New("other changes came first at each attempt")
-	// ErrNoChangeID means: the change carries no id, so a repeat could not be recognised.
+	// ErrContention means that other changes were accepted first at each attempt;
+	// nothing of this one was accepted.
+	ErrContention = errors.New("other changes were accepted first at each attempt")
+	// ErrNoChangeID means that the change has no id, so that a repeat could not be
+	// recognised.
 	ErrNoChangeID = errors.New("change id is missing")
 )
 
-// ConflictError means: the caller expected another generation than the head.
-// Nothing was accepted.
+// ConflictError means that the head is not the generation that the caller
+// expected. Nothing was accepted.
 type ConflictError struct {
 	Expected, Head uint64
 }
 
-// Error names both generations.
+// Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("expected generation %d, generation %d is accepted", e.Expected, e.Head)
+	return fmt.Sprintf("expected head generation %d, but the head generation is %d", e.Expected, e.Head)
 }
 
 // Proposal is a change to be accepted.
 type Proposal struct {
-	// ChangeID is the caller's; a repeat with the same id is accepted once.
+	// ChangeID is chosen by the caller. Proposals with the same id are accepted
+	// once.
 	ChangeID string
-	// Digest of the caller's request, so that an id is not used for two.
+	// Digest of the caller's request, to detect that an id is used for two
+	// different requests.
 	Digest   []byte
 	Operator string
-	// ExpectGeneration of the head; 0: any.
+	// ExpectGeneration is the required generation of the head; 0 means any.
 	ExpectGeneration uint64
 	DryRun           bool
-	// Edit computes the difference to the table at the head. It may be called
+	// Edit returns the difference from the table at the head. It may be called
 	// several times, once per attempt.
 	Edit func(*catalog.Table) (catalog.Difference, error)
 }
 
 // Accepted is the outcome of a proposal.
 type Accepted struct {
-	// Generation that the change made; the head's when nothing changed.
+	// Generation that the change made; the head's if nothing changed.
 	Generation uint64
-	// Changed is false when the set was in force already.
+	// Changed is false if the difference was empty.
 	Changed    bool
 	Difference catalog.Difference
-	// Change and Table are set when this call made the generation.
+	// Change and Table are set if this call made the generation.
 	Change *jayv1.Change
 	Table  *catalog.Table
 }
 
-// Accept accepts a proposal at the head in one transaction, or nothing of it.
+// Accept accepts a proposal as the next generation after the head, in one
+// transaction.
 //
-// Errors: *findings.Error for a set with faults, *ConflictError,
-// ErrChangeIDReused, platform.ErrUnavailable when nothing was done, and
-// platform.ErrUnknown when the outcome could not be settled: the caller
-// repeats the proposal with the same id.
+// Errors: *findings.Error for an invalid set, *ConflictError, ErrNoChangeID,
+// ErrChangeIDReused, ErrContention, platform.ErrUnavailable if nothing was done,
+// and platform.ErrUnknown if the outcome is uncertain: the caller then repeats
+// the proposal with the same id.
 func (s *Store) Accept(ctx context.Context, proposal Proposal) (Accepted, error) {
 	if proposal.ChangeID == "" && !proposal.DryRun {
 		return Accepted{}, ErrNoChangeID
 	}
-	unsettled := false
+	uncertain := false
 	for range s.options.Attempts {
-		accepted, again, err := s.attempt(ctx, proposal)
+		accepted, retry, err := s.attempt(ctx, proposal)
 		switch {
 		case errors.Is(err, platform.ErrUnknown):
-			// Lost answer: the change may be in the table, or may still arrive.
-			// The next attempt settles it: it finds the row of the change id, or
-			// commits on the same head version, which only one of both can.
-			unsettled = true
-		case err != nil && unsettled && isPlatform(err):
-			// The earlier attempt is still open, so "nothing was done" would be
-			// a lie, although it is true of this attempt.
-			return Accepted{}, eris.Wrapf(platform.ErrUnknown, "change %s: %v", proposal.ChangeID, err)
-		case err != nil || !again:
+			// The answer was lost: the write may have taken effect or may still do
+			// so. The next attempt finds the row of the change id, or commits on
+			// the same head version, on which only one of both can succeed.
+			uncertain = true
+		case err != nil && uncertain && isPlatformError(err):
+			// This attempt did nothing, but the outcome of an earlier one is
+			// uncertain, and so is that of the proposal.
+			return Accepted{}, eris.Wrapf(platform.ErrUnknown, "accept change %s: %v", proposal.ChangeID, err)
+		case err != nil || !retry:
 			return accepted, err
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	if unsettled {
-		return Accepted{}, eris.Wrapf(platform.ErrUnknown, "change %s", proposal.ChangeID)
+	if uncertain {
+		return Accepted{}, eris.Wrapf(platform.ErrUnknown, "accept change %s", proposal.ChangeID)
 	}
 	return Accepted{}, ErrContention
 }
 
-// isPlatform tells whether the error says nothing of the change itself.
-func isPlatform(err error) bool {
+// isPlatformError reports whether an error is of the platform or the context, and
+// not about the change itself.
+func isPlatformError(err error) bool {
 	return errors.Is(err, platform.ErrUnavailable) || errors.Is(err, context.Canceled) ||
 		errors.Is(err, context.DeadlineExceeded)
 }
 
-// attempt tries once; again is true when another change came first.
-func (s *Store) attempt(ctx context.Context, proposal Proposal) (accepted Accepted, again bool, err error) {
+// attempt makes one attempt; retry is true if another change was accepted first.
+func (s *Store) attempt(ctx context.Context, proposal Proposal) (accepted Accepted, retry bool, err error) {
 	rows, err := s.table.Get(ctx, HeadKey, ChangePrefix+proposal.ChangeID)
 	if err != nil {
 		return Accepted{}, false, eris.Wrap(err, "read head of the catalog")
 	}
-	if earlier, found, err := s.earlier(ctx, rows, proposal); found || err != nil {
+	if earlier, found, err := s.findAccepted(ctx, rows, proposal); found || err != nil {
 		return earlier, false, err
 	}
 	head, version, err := decodeHead(rows)
@@ -126,8 +132,8 @@
 		return Accepted{}, false, err
 	}
 	if table.Generation() != head.Generation {
-		// Another change came between both reads; computing on it and
-		// committing on the older head's version would fail anyway.
+		// Another change was accepted between both reads, so a commit on the
+		// version of the head row would fail.
 		return Accepted{}, true, nil
 	}
 	difference, err := proposal.Edit(table)
@@ -150,8 +156,9 @@
 	return s.commit(ctx, proposal, table, version, accepted)
 }
 
-// earlier looks for the change's own row, which shows that it was accepted.
-func (s *Store) earlier(ctx context.Context, rows []platform.Row, proposal Proposal) (Accepted, bool, error) {
+// findAccepted looks for the row of the change id, which exists if the change was
+// accepted before.
+func (s *Store) findAccepted(ctx context.Context, rows []platform.Row, proposal Proposal) (Accepted, bool, error) {
 	for _, row := range rows {
 		if row.Key != ChangePrefix+proposal.ChangeID || proposal.ChangeID == "" {
 			continue
@@ -161,7 +168,7 @@
 			return Accepted{}, false, eris.Wrapf(err, "decode %s", row.Key)
 		}
 		if !bytes.Equal(earlier.Digest, proposal.Digest) {
-			return Accepted{}, false, eris.Wrapf(ErrChangeIDReused, "change %s made generation %d", proposal.ChangeID, earlier.Generation)
+			return Accepted{}, false, eris.Wrapf(ErrChangeIDReused, "change id %s made generation %d", proposal.ChangeID, earlier.Generation)
 		}
 		accepted := Accepted{Generation: earlier.Generation, Changed: true}
 		if _, err := s.Load(ctx); err != nil {
@@ -185,7 +192,7 @@
 	result, err := s.table.Commit(ctx, txn)
 	if err != nil {
 		if ctx.Err() != nil && !errors.Is(err, platform.ErrUnavailable) {
-			// The caller's time ran out with the commit on its way.
+			// The context ended while the commit was in flight.
 			err = eris.Wrap(platform.ErrUnknown, err.Error())
 		}
 		return Accepted{}, false, eris.Wrapf(err, "commit change %s", proposal.ChangeID)
@@ -197,14 +204,14 @@
 	if err != nil {
 		return Accepted{}, false, err
 	}
-	s.remember(next)
+	s.updateCache(next)
 	accepted.Generation, accepted.Change, accepted.Table = change.GetGeneration(), change, next
 	return accepted, false, nil
 }
 
-// encodeTxn writes head, change and change id together, on the condition that
-// neither the head moved nor the id was used: of two racing operators one
-// commits, and a commit that was delayed on its way can't land later.
+// encodeTxn returns the transaction that writes the rows of head, change and change
+// id. Its conditions are that the head row is unchanged and the id unused, so that
+// only one of several concurrent changes commits, and a delayed one fails.
 func encodeTxn(change *jayv1.Change, headVersion uint64, digest []byte) (platform.Txn, error) {
 	head, err := json.Marshal(headRow{Generation: change.GetGeneration()})
 	if err != nil {
--- a/internal/catalogstore/bench_test.go
+++ b/internal/catalogstore/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/jayproxy/jayproxy/internal/platform/platformtest"
 )
 
-// BenchmarkAccept changes one of n backend servers and reports the platform's
-// reads and writes of each acceptance.
+// BenchmarkAccept changes one of n backend servers per operation and reports the
+// reads and writes of the platform's table.
 func BenchmarkAccept(b *testing.B) {
 	for _, n := range []int{1000, 2000, 4000, 8000} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
--- a/internal/catalogstore/compact.go
+++ b/internal/catalogstore/compact.go
@@ -13,16 +13,16 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// keepSnapshots is how many snapshots stay, so that a reader of the list still
-// finds its object while a new one is written.
-const keepSnapshots = 3
+// maxSnapshots is the number of snapshots kept, so that a reader still finds the
+// objects that it has listed when a new one is written.
+const maxSnapshots = 3
 
-// Compact writes a snapshot of the table when one is due and trims what it
-// makes superfluous. Any number of processes may compact at once: a snapshot's
-// content is fixed by its generation, and trimming twice changes nothing.
+// Compact writes a snapshot of the table if one is due, and prunes old changes and
+// snapshots. Processes may compact concurrently: the content of a snapshot is
+// determined by its generation, and pruning is idempotent.
 func (s *Store) Compact(ctx context.Context, table *catalog.Table) error {
 	s.mu.Lock()
-	last := s.snapshotAt
+	last := s.snapshotGeneration
 	s.mu.Unlock()
 	if table.Generation() < last+s.options.SnapshotEvery {
 		return nil
@@ -42,12 +42,12 @@
 		newest = table.Generation()
 	}
 	s.mu.Lock()
-	s.snapshotAt = newest
+	s.snapshotGeneration = newest
 	s.mu.Unlock()
-	if err := s.trimChanges(ctx, newest); err != nil {
+	if err := s.pruneChanges(ctx, newest); err != nil {
 		return err
 	}
-	return s.trimSnapshots(ctx)
+	return s.pruneSnapshots(ctx)
 }
 
 func (s *Store) newestSnapshotGeneration(ctx context.Context) (uint64, error) {
@@ -59,20 +59,20 @@
 		return 0, nil
 	}
 	generation, err := strconv.ParseUint(strings.TrimPrefix(keys[len(keys)-1], SnapshotPrefix), 10, 64)
-	return generation, eris.Wrap(err, "name of a snapshot")
+	return generation, eris.Wrap(err, "parse generation in the key of a snapshot")
 }
 
-// trimChanges deletes old changes below a written snapshot. The change of the
-// snapshot's own generation stays, so that a reader that is behind always
-// finds a row and sees the gap in front of it.
-func (s *Store) trimChanges(ctx context.Context, snapshot uint64) error {
+// pruneChanges deletes changes that are older than ChangeRetention and below a
+// written snapshot. The change of the snapshot's generation is kept, so that a
+// reader that is behind finds a row and detects the gap before it.
+func (s *Store) pruneChanges(ctx context.Context, snapshot uint64) error {
 	const rowsPerChange = 2
 	const batch = platform.MaxTxnRows / rowsPerChange
-	oldest := s.options.Now().Add(-s.options.ChangeRetention)
+	cutoff := s.options.Now().Add(-s.options.ChangeRetention)
 	for {
 		rows, err := s.table.Range(ctx, DeltaPrefix, "", batch)
 		if err != nil {
-			return eris.Wrap(err, "read changes to trim")
+			return eris.Wrap(err, "read changes to prune")
 		}
 		var txn platform.Txn
 		for _, row := range rows {
@@ -80,7 +80,7 @@
 			if err != nil {
 				return err
 			}
-			if change.GetGeneration() >= snapshot || time.UnixMilli(change.GetAcceptedUnixMs()).After(oldest) {
+			if change.GetGeneration() >= snapshot || time.UnixMilli(change.GetAcceptedUnixMs()).After(cutoff) {
 				break
 			}
 			txn.Deletes = append(txn.Deletes, row.Key, ChangePrefix+change.GetChangeId())
@@ -89,17 +89,17 @@
 			return nil
 		}
 		if _, err := s.table.Commit(ctx, txn); err != nil {
-			return eris.Wrap(err, "trim changes")
+			return eris.Wrap(err, "prune changes")
 		}
 	}
 }
 
-func (s *Store) trimSnapshots(ctx context.Context) error {
+func (s *Store) pruneSnapshots(ctx context.Context) error {
 	keys, err := s.objects.ListObjects(ctx, SnapshotPrefix)
 	if err != nil {
 		return eris.Wrap(err, "list snapshots of the catalog")
 	}
-	for i := 0; i < len(keys)-keepSnapshots; i++ {
+	for i := 0; i < len(keys)-maxSnapshots; i++ {
 		if err := s.objects.DeleteObject(ctx, keys[i]); err != nil {
 			return eris.Wrapf(err, "delete %s", keys[i])
 		}
--- a/internal/catalogstore/examples_test.go
+++ b/internal/catalogstore/examples_test.go
@@ -12,8 +12,8 @@
 	"github.com/jayproxy/jayproxy/internal/platform/platformtest"
 )
 
-// Both deployments of the brief are accepted as they are declared, and
-// applying them again changes nothing.
+// Guards against an example deployment that is not accepted, or that makes a new
+// generation when it is applied again.
 func TestExamplesAreAcceptedOnce(t *testing.T) {
 	for _, folder := range []string{"association", "darovnica"} {
 		t.Run(folder, func(t *testing.T) {
@@ -31,7 +31,7 @@
 			proposal.ChangeID = "again"
 			accepted, err = store.Accept(t.Context(), proposal)
 			require.NoError(t, err)
-			assert.Equal(t, uint64(1), accepted.Generation, "nothing is new")
+			assert.Equal(t, uint64(1), accepted.Generation, "applying the same resources again makes no generation")
 			table, err := store.Load(t.Context())
 			require.NoError(t, err)
 			assert.Len(t, table.Snapshot().GetResources(), len(resources))
--- a/internal/catalogstore/store.go
+++ b/internal/catalogstore/store.go
@@ -1,10 +1,13 @@
-// Package catalogstore keeps the catalog in the platform's service: the head
-// row, one row per change, and snapshots in the object store. It accepts
-// changes there and reads them back; it puts nothing in force.
+// Package catalogstore keeps the catalog in the platform's table and object store.
+// It accepts changes and reads them back, but does not put them in force.
 //
-// Rows: catalog/head {generation}; catalog/delta/<generation> the change that
-// made it; catalog/change/<change id> {generation, digest} so that a change is
-// accepted once. Object: catalog/snapshot/<generation>.
+// Rows of the table:
+//
+//	catalog/head                 {generation}: the newest accepted generation
+//	catalog/delta/<generation>   the change that made the generation
+//	catalog/change/<change id>   {generation, digest}: detects repeated changes
+//
+// Objects: catalog/snapshot/<generation>.
 package catalogstore
 
 import (
@@ -24,7 +27,7 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// Keys and prefixes in the platform's service.
+// Keys and key prefixes of rows and objects.
 const (
 	HeadKey        = "catalog/head"
 	DeltaPrefix    = "catalog/delta/"
@@ -33,24 +36,26 @@
 )
 
 const (
-	defaultSnapshotEvery = 256
-	defaultKeepChanges   = 24 * time.Hour
-	defaultAttempts      = 32
-	// rangeLimit is the number of changes read at once.
-	rangeLimit = 500
+	defaultSnapshotEvery   = 256
+	defaultChangeRetention = 24 * time.Hour
+	defaultAttempts        = 32
+	// pageSize is the maximum number of changes in one read.
+	pageSize = 500
 )
 
-// Options of a store. Zero values take the defaults.
+// Options of a Store. Zero values mean the defaults in parentheses.
 type Options struct {
 	// SnapshotEvery is the number of generations between snapshots (256).
 	SnapshotEvery uint64
-	// ChangeRetention: changes younger than this stay in the table, and a repeat
-	// of their change id is recognised (24 h).
+	// ChangeRetention is how long changes and their ids are kept in the table at
+	// least (24 h). A repeat of a change after that may
+	// not be recognised.
 	ChangeRetention time.Duration
-	// Attempts bounds the tries of one acceptance against racing ones (32).
+	// Attempts is the maximum number of attempts to accept a change when others
+	// are accepted concurrently (32).
 	Attempts int
 	Now      platform.Clock
-	// Check finds the faults of a whole set of resources; nil accepts any.
+	// Check returns the findings of a whole set of resources (none).
 	Check func([]*jayv1.Resource) findings.List
 }
 
@@ -59,7 +64,7 @@
 		o.SnapshotEvery = defaultSnapshotEvery
 	}
 	if o.ChangeRetention == 0 {
-		o.ChangeRetention = defaultKeepChanges
+		o.ChangeRetention = defaultChangeRetention
 	}
 	if o.Attempts == 0 {
 		o.Attempts = defaultAttempts
@@ -73,25 +78,27 @@
 	return o
 }
 
-// Store reads and writes the catalog of one platform. Safe for concurrent use.
+// Store reads and writes the catalog of one platform. It is safe for concurrent
+// use.
 type Store struct {
 	table   platform.Table
 	objects platform.Objects
 	options Options
 
 	mu sync.Mutex
-	// known is the newest table put together here; a cache, never trusted
-	// without the head row beside it.
-	known *catalog.Table
-	// snapshotAt is the newest snapshot known to be written.
-	snapshotAt uint64
+	// cached is the newest table that this process has read or built. It may be
+	// older than the head.
+	cached *catalog.Table
+	// snapshotGeneration is the generation of the newest snapshot known to be
+	// written.
+	snapshotGeneration uint64
 }
 
-// New returns a store over the platform.
+// New returns a store that uses the table and objects of a platform.
 func New(table platform.Table, objects platform.Objects, options Options) *Store {
 	return &Store{
 		table: table, objects: objects, options: options.withDefaults(),
-		known: catalog.Build(&jayv1.Snapshot{}),
+		cached: catalog.Build(&jayv1.Snapshot{}),
 	}
 }
 
@@ -100,13 +107,13 @@
 	Generation uint64 `json:"generation"`
 }
 
-// changeRow is the value of a change id's row.
+// changeRow is the value of the row of a change id.
 type changeRow struct {
 	Generation uint64 `json:"generation"`
 	Digest     []byte `json:"digest"`
 }
 
-// Head returns the newest accepted generation, 0 when nothing was declared.
+// Head returns the newest accepted generation, 0 if nothing was ever accepted.
 func (s *Store) Head(ctx context.Context) (uint64, error) {
 	rows, err := s.table.Get(ctx, HeadKey)
 	if err != nil {
@@ -116,51 +123,51 @@
 	return head.Generation, err
 }
 
-// After returns what brings a reader of the generation to the head: the
-// changes in order, or a snapshot and the changes after it when older ones
-// were trimmed or are many. An empty delta means that the reader has the head.
+// After returns the delta from a generation to the head: the changes in order, or
+// a snapshot and the changes after it if older changes were pruned or are many.
+// An empty delta means that the generation is the head.
 func (s *Store) After(ctx context.Context, generation uint64) (*jayv1.CatalogDelta, error) {
-	changes, err := s.page(ctx, generation)
+	changes, err := s.readPage(ctx, generation)
 	if err != nil {
 		return nil, err
 	}
-	trimmed := len(changes) > 0 && changes[0].GetGeneration() != generation+1
-	if !trimmed && len(changes) < rangeLimit {
+	pruned := len(changes) > 0 && changes[0].GetGeneration() != generation+1
+	if !pruned && len(changes) < pageSize {
 		return &jayv1.CatalogDelta{Changes: changes}, nil
 	}
-	// A day's changes are thousands of rows. Were each process of a herd that
-	// restarts to read them all, the table's reads would not do for minutes.
+	// Prefer a snapshot to many rows: processes that restart at the same time
+	// would otherwise exhaust the read capacity of the table.
 	snapshot, err := s.newestSnapshot(ctx)
 	switch {
 	case err == nil && snapshot.GetGeneration() > generation:
-		changes, err = s.changes(ctx, snapshot.GetGeneration())
+		changes, err = s.readChanges(ctx, snapshot.GetGeneration())
 		return &jayv1.CatalogDelta{Snapshot: snapshot, Changes: changes}, err
-	case trimmed:
+	case pruned:
 		return nil, err
 	}
-	changes, err = s.changes(ctx, generation)
+	changes, err = s.readChanges(ctx, generation)
 	return &jayv1.CatalogDelta{Changes: changes}, err
 }
 
 // Load returns the newest accepted table.
 func (s *Store) Load(ctx context.Context) (*catalog.Table, error) {
 	s.mu.Lock()
-	known := s.known
+	cached := s.cached
 	s.mu.Unlock()
-	delta, err := s.After(ctx, known.Generation())
+	delta, err := s.After(ctx, cached.Generation())
 	if err != nil {
 		return nil, err
 	}
-	table, err := known.ApplyDelta(delta)
+	table, err := cached.ApplyDelta(delta)
 	if err != nil {
 		return nil, err
 	}
-	s.remember(table)
+	s.updateCache(table)
 	return table, nil
 }
 
-// LoadSnapshot returns the newest snapshot of the object store: what a
-// starting process gets while the table service is down. It may be old.
+// LoadSnapshot returns the newest snapshot in the object store, which may be older
+// than the head. A starting process uses it while the table is unavailable.
 func (s *Store) LoadSnapshot(ctx context.Context) (*catalog.Table, error) {
 	snapshot, err := s.newestSnapshot(ctx)
 	if err != nil {
@@ -169,34 +176,34 @@
 	return catalog.Build(snapshot), nil
 }
 
-func (s *Store) remember(table *catalog.Table) {
+func (s *Store) updateCache(table *catalog.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if table.Generation() > s.known.Generation() {
-		s.known = table
+	if table.Generation() > s.cached.Generation() {
+		s.cached = table
 	}
 }
 
-// changes reads all change rows above a generation, in order. The rows run on
-// without a hole; only the oldest may have been trimmed.
-func (s *Store) changes(ctx context.Context, after uint64) ([]*jayv1.Change, error) {
+// readChanges reads all changes after a generation, in order. Only the oldest rows
+// are ever pruned, so the changes that remain are consecutive.
+func (s *Store) readChanges(ctx context.Context, after uint64) ([]*jayv1.Change, error) {
 	var all []*jayv1.Change
 	for {
-		page, err := s.page(ctx, after)
+		page, err := s.readPage(ctx, after)
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, page...)
-		if len(page) < rangeLimit {
+		if len(page) < pageSize {
 			return all, nil
 		}
 		after = page[len(page)-1].GetGeneration()
 	}
 }
 
-// page is one read of change rows.
-func (s *Store) page(ctx context.Context, after uint64) ([]*jayv1.Change, error) {
-	rows, err := s.table.Range(ctx, DeltaPrefix, deltaKey(after), rangeLimit)
+// readPage reads up to pageSize changes after a generation, in order.
+func (s *Store) readPage(ctx context.Context, after uint64) ([]*jayv1.Change, error) {
+	rows, err := s.table.Range(ctx, DeltaPrefix, deltaKey(after), pageSize)
 	if err != nil {
 		return nil, eris.Wrapf(err, "read changes after generation %d", after)
 	}
@@ -216,7 +223,8 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "list snapshots of the catalog")
 	}
-	// Newest first; one that was deleted meanwhile has a newer one after it.
+	// Newest first. A snapshot may have been deleted since the keys were listed;
+	// newer ones then exist.
 	for i := len(keys) - 1; i >= 0; i-- {
 		body, err := s.objects.GetObject(ctx, keys[i])
 		if errors.Is(err, platform.ErrNotFound) {
@@ -258,7 +266,7 @@
 		return nil, eris.Wrapf(err, "decode %s", row.Key)
 	}
 	if deltaKey(change.GetGeneration()) != row.Key {
-		return nil, eris.Errorf("%s holds the change of generation %d", row.Key, change.GetGeneration())
+		return nil, eris.Errorf("row %s holds the change of generation %d", row.Key, change.GetGeneration())
 	}
 	return change, nil
 }
--- a/internal/catalogstore/store_test.go
+++ b/internal/catalogstore/store_test.go
@@ -24,8 +24,8 @@
 	return &jayv1.Resource{Kind: &jayv1.Resource_Service{Service: &jayv1.Service{Name: name, Concurrency: concurrency}}}
 }
 
-// put is a proposal that declares one service.
-func put(id, name string, concurrency uint32) catalogstore.Proposal {
+// declareService returns a proposal that declares one service.
+func declareService(id, name string, concurrency uint32) catalogstore.Proposal {
 	return catalogstore.Proposal{
 		ChangeID: id, Digest: []byte(fmt.Sprint(name, concurrency)), Operator: "ana",
 		Edit: func(table *catalog.Table) (catalog.Difference, error) {
@@ -57,35 +57,34 @@
 	return declared.GetConcurrency()
 }
 
-// Two operators' changes seem to flip back. Ana's apply is accepted, its answer
-// is lost; Ivo changes the same service; Ana's tool repeats her apply under
-// the same id. Without the row of the change id the repeat would undo Ivo's.
+// Guards against a repeat of an accepted change, whose answer was lost, that undoes
+// another operator's later change.
 func TestRepeatAfterALostAnswerIsAcceptedOnce(t *testing.T) {
 	p := platformtest.New()
 	ana := catalogstore.New(p, p, catalogstore.Options{Attempts: 1})
 	ivo := catalogstore.New(p, p, catalogstore.Options{})
 	failOnce(p, platformtest.LostAnswer, nil)
-	_, err := ana.Accept(t.Context(), put("a", "claims-portal", 3))
+	_, err := ana.Accept(t.Context(), declareService("a", "claims-portal", 3))
 	require.ErrorIs(t, err, platform.ErrUnknown)
-	_, err = ivo.Accept(t.Context(), put("b", "claims-portal", 5))
+	_, err = ivo.Accept(t.Context(), declareService("b", "claims-portal", 5))
 	require.NoError(t, err)
 
-	again, err := ana.Accept(t.Context(), put("a", "claims-portal", 3))
+	again, err := ana.Accept(t.Context(), declareService("a", "claims-portal", 3))
 	require.NoError(t, err)
 	assert.Equal(t, uint64(1), again.Generation)
 	assert.True(t, again.Changed)
 	assert.Equal(t, uint32(5), concurrencyOf(t, ana, "claims-portal"))
 }
 
-// An apply answers by itself although the table's answer was lost, whether the
-// write took effect or not.
-func TestLostAnswersAreSettled(t *testing.T) {
+// Guards against an uncertain outcome when the table's answer was lost but a second
+// attempt can determine it, whether the write took effect or not.
+func TestAcceptDeterminesTheOutcomeAfterALostAnswer(t *testing.T) {
 	for name, fault := range map[string]platformtest.Fault{"after the write": platformtest.LostAnswer, "before the write": platformtest.LostRequest} {
 		t.Run(name, func(t *testing.T) {
 			p := platformtest.New()
 			store := catalogstore.New(p, p, catalogstore.Options{})
 			failOnce(p, fault, nil)
-			accepted, err := store.Accept(t.Context(), put("a", "claims-portal", 3))
+			accepted, err := store.Accept(t.Context(), declareService("a", "claims-portal", 3))
 			require.NoError(t, err)
 			assert.Equal(t, uint64(1), accepted.Generation)
 			head, err := store.Head(t.Context())
@@ -95,9 +94,8 @@
 	}
 }
 
-// An operator is told "nothing was done", applies something else, and both are
-// in force: the first answer was lost after the write, and the outage that
-// followed was reported as if it spoke of the whole apply.
+// Guards against reporting that nothing was done when the answer of a first write
+// was lost and the next attempt met an outage.
 func TestOutageAfterALostAnswerIsUnknown(t *testing.T) {
 	p := platformtest.New()
 	store := catalogstore.New(p, p, catalogstore.Options{})
@@ -105,42 +103,42 @@
 		p.SetDownLater()
 		return platformtest.LostAnswer
 	})
-	_, err := store.Accept(t.Context(), put("a", "claims-portal", 3))
+	_, err := store.Accept(t.Context(), declareService("a", "claims-portal", 3))
 	require.ErrorIs(t, err, platform.ErrUnknown)
 	require.NotErrorIs(t, err, platform.ErrUnavailable)
 }
 
-// One id for two changes must not report the second as accepted.
+// Guards against reporting a change as accepted because another one used its id.
 func TestChangeIDOfAnotherChangeIsRefused(t *testing.T) {
 	p := platformtest.New()
 	store := catalogstore.New(p, p, catalogstore.Options{})
-	_, err := store.Accept(t.Context(), put("a", "claims-portal", 3))
+	_, err := store.Accept(t.Context(), declareService("a", "claims-portal", 3))
 	require.NoError(t, err)
-	_, err = store.Accept(t.Context(), put("a", "claims-portal", 4))
+	_, err = store.Accept(t.Context(), declareService("a", "claims-portal", 4))
 	require.ErrorIs(t, err, catalogstore.ErrChangeIDReused)
-	_, err = store.Accept(t.Context(), put("", "claims-portal", 4))
+	_, err = store.Accept(t.Context(), declareService("", "claims-portal", 4))
 	require.ErrorIs(t, err, catalogstore.ErrNoChangeID)
 }
 
-// Ivo's change vanishes: both operators read generation 1, both write. With
-// the expected generation the second is refused; without it both are kept.
-func TestRacingOperators(t *testing.T) {
+// Guards against lost updates when two operators change the same generation:
+// both changes are kept, unless one expects another head generation.
+func TestConcurrentChanges(t *testing.T) {
 	p := platformtest.New()
 	ana := catalogstore.New(p, p, catalogstore.Options{})
 	ivo := catalogstore.New(p, p, catalogstore.Options{})
-	_, err := ana.Accept(t.Context(), put("0", "reservas-app", 1))
+	_, err := ana.Accept(t.Context(), declareService("0", "reservas-app", 1))
 	require.NoError(t, err)
 	failOnce(p, platformtest.Pass, func() {
-		_, err := ivo.Accept(context.Background(), put("b", "rulebook-cache", 2))
+		_, err := ivo.Accept(context.Background(), declareService("b", "rulebook-cache", 2))
 		require.NoError(t, err)
 	})
-	accepted, err := ana.Accept(t.Context(), put("a", "claims-portal", 3))
+	accepted, err := ana.Accept(t.Context(), declareService("a", "claims-portal", 3))
 	require.NoError(t, err)
 	assert.Equal(t, uint64(3), accepted.Generation)
 	assert.Equal(t, uint32(2), concurrencyOf(t, ana, "rulebook-cache"))
 	assert.Equal(t, uint32(3), concurrencyOf(t, ana, "claims-portal"))
 
-	stale := put("c", "claims-portal", 9)
+	stale := declareService("c", "claims-portal", 9)
 	stale.ExpectGeneration = 2
 	_, err = ana.Accept(t.Context(), stale)
 	var conflict *catalogstore.ConflictError
@@ -151,52 +149,52 @@
 func TestSameContentMakesNoGeneration(t *testing.T) {
 	p := platformtest.New()
 	store := catalogstore.New(p, p, catalogstore.Options{})
-	_, err := store.Accept(t.Context(), put("a", "claims-portal", 3))
+	_, err := store.Accept(t.Context(), declareService("a", "claims-portal", 3))
 	require.NoError(t, err)
-	again, err := store.Accept(t.Context(), put("b", "claims-portal", 3))
+	again, err := store.Accept(t.Context(), declareService("b", "claims-portal", 3))
 	require.NoError(t, err)
 	assert.False(t, again.Changed)
 	assert.Equal(t, uint64(1), again.Generation)
 }
 
-// A process that was away while changes were trimmed must not skip them: it
-// gets a snapshot and the changes after it, and the same table as the others.
-func TestTrimmedChangesAreReplacedByASnapshot(t *testing.T) {
+// Guards against a process that skips pruned changes: it must get a snapshot and
+// the changes after it, and end with the same table as others.
+func TestPrunedChangesAreReplacedByASnapshot(t *testing.T) {
 	p := platformtest.New()
 	now := time.Unix(1_800_000_000, 0)
 	options := catalogstore.Options{SnapshotEvery: 4, ChangeRetention: time.Hour, Now: func() time.Time { return now }}
 	store := catalogstore.New(p, p, options)
-	away, err := store.Load(t.Context())
+	behind, err := store.Load(t.Context())
 	require.NoError(t, err)
 	for i := range uint32(10) {
-		accepted, err := store.Accept(t.Context(), put(fmt.Sprint(i), fmt.Sprint("s", i%3), i+1))
+		accepted, err := store.Accept(t.Context(), declareService(fmt.Sprint(i), fmt.Sprint("s", i%3), i+1))
 		require.NoError(t, err)
 		require.NoError(t, store.Compact(t.Context(), accepted.Table))
 		now = now.Add(40 * time.Minute)
 	}
-	delta, err := store.After(t.Context(), away.Generation())
+	delta, err := store.After(t.Context(), behind.Generation())
 	require.NoError(t, err)
 	require.NotNil(t, delta.GetSnapshot())
-	back, err := away.ApplyDelta(delta)
+	updated, err := behind.ApplyDelta(delta)
 	require.NoError(t, err)
-	inForce, err := store.Load(t.Context())
+	head, err := store.Load(t.Context())
 	require.NoError(t, err)
-	assert.Equal(t, uint64(10), back.Generation())
-	assert.True(t, equalTables(inForce, back))
-	_, err = store.Accept(t.Context(), put("9", "s0", 10))
-	require.NoError(t, err, "the id of a young change is still known")
+	assert.Equal(t, uint64(10), updated.Generation())
+	assert.True(t, equalTables(head, updated))
+	_, err = store.Accept(t.Context(), declareService("9", "s0", 10))
+	require.NoError(t, err, "a repeat within ChangeRetention is recognised by its id")
 	snapshot, err := store.LoadSnapshot(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, uint64(8), snapshot.Generation())
 }
 
-// All entries restart at once after a day of changes, and none serves for
-// minutes: each reads the whole day row by row, and the table's reads run out.
+// Guards against a start that reads all changes of a day, which exhausts the read
+// capacity of the table when many processes start at once.
 func TestStartAfterManyChangesTakesFewReads(t *testing.T) {
 	p := platformtest.New()
 	store := catalogstore.New(p, p, catalogstore.Options{})
 	for i := range uint32(1300) {
-		accepted, err := store.Accept(t.Context(), put(fmt.Sprint(i), "s", i+1))
+		accepted, err := store.Accept(t.Context(), declareService(fmt.Sprint(i), "s", i+1))
 		require.NoError(t, err)
 		require.NoError(t, store.Compact(t.Context(), accepted.Table))
 	}
@@ -213,9 +211,8 @@
 		catalog.Diff(a, b.Snapshot().GetResources(), true).Empty()
 }
 
-// Whatever the platform loses, each change that was reported accepted is in
-// the catalog once, each refused one not at all, and every reader that goes
-// forward by any path arrives at the same table.
+// Guards against faults of the platform that lose an accepted change, apply a
+// refused one, or lead readers to different tables.
 func TestAcceptanceUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := platformtest.New()
@@ -233,15 +230,15 @@
 		}
 		reader := catalog.Build(&jayv1.Snapshot{})
 		outcome := map[string]error{}
-		for i, who := range rapid.SliceOfN(rapid.IntRange(0, 1), 1, 12).Draw(t, "operators") {
+		for i, operator := range rapid.SliceOfN(rapid.IntRange(0, 1), 1, 12).Draw(t, "operators") {
 			id := fmt.Sprint("c", i)
-			accepted, err := stores[who].Accept(context.Background(), put(id, id, 1))
+			accepted, err := stores[operator].Accept(context.Background(), declareService(id, id, 1))
 			outcome[id] = err
 			if accepted.Table != nil && rapid.Bool().Draw(t, "compact") {
-				_ = stores[who].Compact(context.Background(), accepted.Table)
+				_ = stores[operator].Compact(context.Background(), accepted.Table)
 			}
 			if rapid.Bool().Draw(t, "read") {
-				delta, err := stores[who].After(context.Background(), reader.Generation())
+				delta, err := stores[operator].After(context.Background(), reader.Generation())
 				require.NoError(t, err)
 				reader, err = reader.ApplyDelta(delta)
 				require.NoError(t, err)
@@ -252,9 +249,9 @@
 			present := concurrencyOf(t, stores[0], id) == 1
 			switch {
 			case err == nil:
-				require.True(t, present, "accepted change %s is gone", id)
+				require.True(t, present, "accepted change %s is not in the catalog", id)
 			case !errors.Is(err, platform.ErrUnknown):
-				require.False(t, present, "change %s was refused (%v) and is in force", id, err)
+				require.False(t, present, "change %s was refused (%v) but is in the catalog", id, err)
 			}
 		}
 		delta, err := stores[1].After(context.Background(), reader.Generation())
