--- a/cmd/jayctl/main.go
+++ b/cmd/jayctl/main.go
@@ -1,4 +1,4 @@
-// Command jayctl is the operators' command line.
+// Command jayctl is the command line for operators; see package ctl.
 package main
 
 import (
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -19,26 +19,27 @@
 
 const (
 	defaultRetryFor = 10 * time.Second
-	retryPause      = 200 * time.Millisecond
+	retryInterval   = 200 * time.Millisecond
 	callTimeout     = 15 * time.Second
-	// connectTimeout bounds dial and handshake each: the kernel of a frozen
-	// process still accepts connections, and the next entry should be tried soon.
+	// connectTimeout bounds dial and TLS handshake each. The handshake needs its
+	// own timeout because the kernel still accepts connections for a process that
+	// is suspended.
 	connectTimeout = 3 * time.Second
 )
 
 type client = jayv1connect.OperatorServiceClient
 
-// clients returns one client per entry, in the order of the flags.
+// clients returns one client per --entry flag, in the order of the flags.
 func (a *app) clients() ([]client, error) {
 	if len(a.entries) == 0 {
-		return nil, usage(eris.New("--entry is missing"))
+		return nil, usageError(eris.New("--entry is missing"))
 	}
 	if a.keysDir == "" {
-		return nil, usage(eris.New("--keys is missing"))
+		return nil, usageError(eris.New("--keys is missing"))
 	}
 	creds, err := transport.LoadCredentials(a.keysDir)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	httpClient := &http.Client{Transport: &http.Transport{
 		TLSClientConfig:     creds.ClientTLS([]string{"h2", "http/1.1"}, keys.RoleEntry),
@@ -56,9 +57,9 @@
 	return all, nil
 }
 
-// call tries the entries in turn until one gives a final answer. An outcome
-// that is unknown is tried again as well: changes carry a change id, so a
-// repeat is accepted once.
+// call calls the entries in turn until one returns a final result, or for retryFor.
+// It also retries when the outcome is unknown: changes have a change id, so a
+// repeated change is accepted once.
 func call[T any](ctx context.Context, a *app, do func(context.Context, client) (*connect.Response[T], error)) (*T, error) {
 	clients, err := a.clients()
 	if err != nil {
@@ -72,17 +73,17 @@
 			if err == nil {
 				return response.Msg, nil
 			}
-			if !tryAgain(err) || ctx.Err() != nil {
-				return nil, asExit(err)
+			if !isRetryable(err) || ctx.Err() != nil {
+				return nil, withExitCode(err)
 			}
 		}
 		if time.Now().After(deadline) {
-			return nil, asExit(err)
+			return nil, withExitCode(err)
 		}
 		select {
 		case <-ctx.Done():
-			return nil, asExit(err)
-		case <-time.After(retryPause):
+			return nil, withExitCode(err)
+		case <-time.After(retryInterval):
 		}
 	}
 }
@@ -93,7 +94,7 @@
 	return do(ctx, c)
 }
 
-func tryAgain(err error) bool {
+func isRetryable(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeUnavailable, connect.CodeUnknown, connect.CodeAborted, connect.CodeDeadlineExceeded:
 		return true
@@ -101,8 +102,8 @@
 	return false
 }
 
-// asExit gives an error of a call its exit code.
-func asExit(err error) error {
+// withExitCode returns the error of a call with its exit code.
+func withExitCode(err error) error {
 	var exit *exitError
 	if errors.As(err, &exit) {
 		return err
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the operators' command line: it checks declarations on the
-// operator's machine and makes the remote procedure calls of an entry.
+// Package ctl implements the operators' command line, jayctl. It checks declarations
+// locally and makes remote procedure calls to entries.
 package ctl
 
 import (
@@ -21,13 +21,14 @@
 // Exit codes of jayctl, for scripts.
 const (
 	ExitOK = 0
-	// ExitFindings: check found faults, or diff found a difference.
+	// ExitFindings: declarations have findings, diff found a difference, apply
+	// would delete resources without --prune, or --wait timed out.
 	ExitFindings = 1
-	// ExitUsage: unknown command, flag or argument, or an unreadable file.
+	// ExitUsage: an unknown command, flag or argument, or an unreadable file.
 	ExitUsage = 2
 	// ExitRefused: an entry refused the call; nothing was changed.
 	ExitRefused = 3
-	// ExitUnreachable: no entry answered, or none could settle the outcome.
+	// ExitUnreachable: no entry answered, or the outcome is unknown.
 	ExitUnreachable = 4
 )
 
@@ -37,7 +38,8 @@
 	outputJSON = "json"
 )
 
-// exitError carries the exit code of a command. A nil cause prints nothing.
+// exitError is an error with the exit code of the command. If cause is nil, no error
+// is printed.
 type exitError struct {
 	code  int
 	cause error
@@ -52,9 +54,9 @@
 
 func (e *exitError) Unwrap() error { return e.cause }
 
-func usage(err error) error { return &exitError{code: ExitUsage, cause: err} }
+func usageError(err error) error { return &exitError{code: ExitUsage, cause: err} }
 
-// app holds the flags that all commands share.
+// app holds the flags and the output of all commands.
 type app struct {
 	entries  []string
 	keysDir  string
@@ -63,7 +65,7 @@
 	out      io.Writer
 }
 
-// Main runs the command line and returns the exit code.
+// Main runs the command with the arguments and returns the exit code.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	a := &app{out: stdout}
 	root := a.root()
@@ -94,21 +96,21 @@
 		SilenceUsage: true, SilenceErrors: true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
 			if a.output != outputText && a.output != outputJSON {
-				return usage(eris.Errorf("--output %q is none of text, json", a.output))
+				return usageError(eris.Errorf("--output %q is none of text, json", a.output))
 			}
 			return nil
 		},
 	}
 	flags := root.PersistentFlags()
-	flags.StringSliceVar(&a.entries, "entry", nil, "operators' address of an entry, IP:port or https URL; several are tried in turn")
+	flags.StringSliceVar(&a.entries, "entry", nil, "address of an entry for operators, IP:port or https URL; several are tried in turn")
 	flags.StringVar(&a.keysDir, "keys", "", "folder with ca.pem, cert.pem and key.pem of a viewer or operator")
 	flags.StringVar(&a.output, "output", outputText, "text or json")
-	flags.DurationVar(&a.retryFor, "retry-for", defaultRetryFor, "how long to try again when no entry answers or an outcome is unknown")
+	flags.DurationVar(&a.retryFor, "retry-for", defaultRetryFor, "how long to retry while no entry answers or the outcome is unknown")
 	root.AddCommand(a.keys(), a.check(), a.diff(), a.apply(), a.delete(), a.get(), a.list(), a.watch(), a.status(), a.drain(), a.explain(), a.trace())
 	return root
 }
 
-// print writes a message as JSON, or as text by the function.
+// print writes a message as JSON or, with --output text, calls text.
 func (a *app) print(message proto.Message, text func(io.Writer)) error {
 	if a.output == outputText {
 		text(a.out)
@@ -122,7 +124,7 @@
 	return err
 }
 
-// printValue writes a plain value as JSON, or as text by the function.
+// printValue writes a value as JSON or, with --output text, calls text.
 func (a *app) printValue(value any, text func(io.Writer)) error {
 	if a.output == outputText {
 		text(a.out)
@@ -131,7 +133,7 @@
 	return eris.Wrap(json.NewEncoder(a.out).Encode(value), "encode output")
 }
 
-// checkReport is the JSON output of check.
+// checkReport is the JSON output of the check command.
 type checkReport struct {
 	Resources int           `json:"resources"`
 	Findings  findings.List `json:"findings"`
--- a/internal/ctl/declare.go
+++ b/internal/ctl/declare.go
@@ -18,18 +18,18 @@
 
 func (a *app) check() *cobra.Command {
 	return &cobra.Command{
-		Use: "check FOLDER", Short: "Find every fault of a folder of declarations", Args: cobra.ExactArgs(1),
+		Use: "check FOLDER", Short: "Check a folder of declarations and print all findings", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			resources, found, err := catalog.LoadDir(args[0])
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			err = a.printValue(checkReport{Resources: len(resources), Findings: found}, func(w io.Writer) {
 				printFindings(w, found)
 				fmt.Fprintf(w, "%d resources, %d findings\n", len(resources), len(found))
 			})
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if len(found) > 0 {
 				return &exitError{code: ExitFindings}
@@ -39,11 +39,11 @@
 	}
 }
 
-// load reads a folder for diff and apply; faults end the command.
-func (a *app) load(dir string) ([]*jayv1.Resource, error) {
+// loadDeclarations reads a folder of declarations. Findings are an error.
+func (a *app) loadDeclarations(dir string) ([]*jayv1.Resource, error) {
 	resources, found, err := catalog.LoadDir(dir)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	if len(found) > 0 {
 		return nil, &exitError{code: ExitFindings, cause: found.Err()}
@@ -56,7 +56,7 @@
 	cmd := &cobra.Command{
 		Use: "diff FOLDER", Short: "Show what apply would change", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			resources, err := a.load(args[0])
+			resources, err := a.loadDeclarations(args[0])
 			if err != nil {
 				return err
 			}
@@ -67,7 +67,7 @@
 				return err
 			}
 			if err := a.print(response, func(w io.Writer) { printChanges(w, response) }); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if response.GetChanged() {
 				return &exitError{code: ExitFindings}
@@ -75,7 +75,7 @@
 			return nil
 		},
 	}
-	cmd.Flags().BoolVar(&prune, "prune", true, "delete what the folder does not declare")
+	cmd.Flags().BoolVar(&prune, "prune", true, "delete resources that the folder does not declare")
 	return cmd
 }
 
@@ -87,16 +87,16 @@
 	cmd := &cobra.Command{
 		Use: "apply FOLDER", Short: "Put a folder of declarations in force as one change", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			resources, err := a.load(args[0])
+			resources, err := a.loadDeclarations(args[0])
 			if err != nil {
 				return err
 			}
 			if prune && !cmd.Flags().Changed("prune") {
-				if err := a.refuseUnaskedDeletes(cmd.Context(), resources); err != nil {
+				if err := a.refuseImplicitDeletes(cmd.Context(), resources); err != nil {
 					return err
 				}
 			}
-			changeID = orNewID(changeID)
+			changeID = changeIDOrNew(changeID)
 			response, err := call(cmd.Context(), a, func(ctx context.Context, c client) (*connect.Response[jayv1.ApplyResponse], error) {
 				return c.Apply(ctx, connect.NewRequest(&jayv1.ApplyRequest{
 					ChangeId: changeID, Resources: resources, Prune: prune, ExpectGeneration: expect,
@@ -104,28 +104,27 @@
 				}))
 			})
 			if err != nil {
-				return a.withChangeID(err, changeID)
+				return a.addChangeIDHint(err, changeID)
 			}
 			if err := a.print(response, func(w io.Writer) { printChanges(w, response) }); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			return a.waitInForce(cmd.Context(), response.GetGeneration(), wait)
 		},
 	}
 	flags := cmd.Flags()
-	flags.BoolVar(&prune, "prune", true, "delete what the folder does not declare; deletes are refused unless it is said")
+	flags.BoolVar(&prune, "prune", true, "delete resources that the folder does not declare; apply refuses to delete any unless the flag is set explicitly")
 	flags.StringVar(&changeID, "change-id", "", "id of the change; repeat one whose outcome is unknown with the same id")
-	flags.Uint64Var(&expect, "expect-generation", 0, "refuse when another generation is accepted (0: any)")
-	flags.BoolVar(&unloaded, "activate-unloaded", false, "activate a version also when fewer backend servers than min_ready have it loaded")
+	flags.Uint64Var(&expect, "expect-generation", 0, "refuse the change if the head generation is another (0: any)")
+	flags.BoolVar(&unloaded, "activate-unloaded", false, "activate a version even if fewer backend servers than min_ready have it loaded")
 	flags.DurationVar(&wait, "wait", 0, "wait until every process that answers has the generation in force")
 	return cmd
 }
 
-// refuseUnaskedDeletes stops an apply that would delete something when nobody
-// asked for it. A folder that holds one new workspace and not the rest is a
-// common mistake: without this it deletes the whole deployment, in force
-// everywhere within seconds.
-func (a *app) refuseUnaskedDeletes(ctx context.Context, resources []*jayv1.Resource) error {
+// refuseImplicitDeletes returns an error if an apply would delete resources
+// although --prune was not set explicitly. It guards against deleting the whole
+// deployment by applying a folder that declares only the new resources.
+func (a *app) refuseImplicitDeletes(ctx context.Context, resources []*jayv1.Resource) error {
 	preview, err := call(ctx, a, func(ctx context.Context, c client) (*connect.Response[jayv1.ApplyResponse], error) {
 		return c.Apply(ctx, connect.NewRequest(&jayv1.ApplyRequest{Resources: resources, Prune: true, DryRun: true}))
 	})
@@ -133,18 +132,19 @@
 		return err
 	}
 	return &exitError{code: ExitFindings, cause: fmt.Errorf(
-		"the folder does not declare %s; say --prune to delete what it does not declare, --prune=false to keep it",
+		"the folder does not declare %s; use --prune to delete resources that it does not declare, or --prune=false to keep them",
 		strings.Join(preview.GetDeleted(), ", "))}
 }
 
-// waitInForce asks for the status until no process is behind.
+// waitInForce polls the status until all processes that answer have the generation
+// in force. It does not wait if wait is 0.
 func (a *app) waitInForce(ctx context.Context, generation uint64, wait time.Duration) error {
 	if wait == 0 {
 		return nil
 	}
 	deadline := time.Now().Add(wait)
 	for {
-		status, err := a.askStatus(ctx)
+		status, err := a.fetchStatus(ctx)
 		if err != nil {
 			return err
 		}
@@ -158,9 +158,9 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return &exitError{code: ExitFindings, cause: fmt.Errorf("%d processes are behind generation %d", behind, generation)}
+			return &exitError{code: ExitFindings, cause: fmt.Errorf("%d processes do not have generation %d in force within the time of --wait", behind, generation)}
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryInterval)
 	}
 }
 
@@ -170,14 +170,14 @@
 	cmd := &cobra.Command{
 		Use: "delete KIND/NAME", Short: "Delete one resource", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			changeID = orNewID(changeID)
+			changeID = changeIDOrNew(changeID)
 			return a.change(cmd.Context(), changeID, func(ctx context.Context, c client) (*connect.Response[jayv1.ApplyResponse], error) {
 				return c.Delete(ctx, connect.NewRequest(&jayv1.DeleteRequest{ChangeId: changeID, Name: args[0], ExpectGeneration: expect}))
 			})
 		},
 	}
 	cmd.Flags().StringVar(&changeID, "change-id", "", "id of the change")
-	cmd.Flags().Uint64Var(&expect, "expect-generation", 0, "refuse when another generation is accepted (0: any)")
+	cmd.Flags().Uint64Var(&expect, "expect-generation", 0, "refuse the change if the head generation is another (0: any)")
 	return cmd
 }
 
@@ -185,41 +185,41 @@
 	var changeID string
 	var undo bool
 	cmd := &cobra.Command{
-		Use: "drain BACKEND_SERVER", Short: "Stop new work for a backend server; running work ends", Args: cobra.ExactArgs(1),
+		Use: "drain BACKEND_SERVER", Short: "Stop new requests to a backend server; running requests are completed", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			changeID = orNewID(changeID)
+			changeID = changeIDOrNew(changeID)
 			return a.change(cmd.Context(), changeID, func(ctx context.Context, c client) (*connect.Response[jayv1.ApplyResponse], error) {
 				return c.Drain(ctx, connect.NewRequest(&jayv1.DrainRequest{ChangeId: changeID, BackendServer: args[0], Undo: undo}))
 			})
 		},
 	}
 	cmd.Flags().StringVar(&changeID, "change-id", "", "id of the change")
-	cmd.Flags().BoolVar(&undo, "undo", false, "take the backend server back into service")
+	cmd.Flags().BoolVar(&undo, "undo", false, "return the backend server to service")
 	return cmd
 }
 
-// change makes one changing call and prints what it changed.
+// change makes a call that changes the catalog and prints the difference.
 func (a *app) change(ctx context.Context, changeID string, do func(context.Context, client) (*connect.Response[jayv1.ApplyResponse], error)) error {
 	response, err := call(ctx, a, do)
 	if err != nil {
-		return a.withChangeID(err, changeID)
+		return a.addChangeIDHint(err, changeID)
 	}
 	if err := a.print(response, func(w io.Writer) { printChanges(w, response) }); err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	return nil
 }
 
-func orNewID(changeID string) string {
+func changeIDOrNew(changeID string) string {
 	if changeID != "" {
 		return changeID
 	}
 	return uuid.NewString()
 }
 
-// withChangeID tells the id when the outcome is unknown, so that the operator
-// can repeat the change safely.
-func (a *app) withChangeID(err error, changeID string) error {
+// addChangeIDHint adds the change id to an error if the outcome is unknown, so that
+// the operator can repeat the change with the same id.
+func (a *app) addChangeIDHint(err error, changeID string) error {
 	var exit *exitError
 	if errors.As(err, &exit) && exit.code == ExitUnreachable && connect.CodeOf(err) == connect.CodeUnknown {
 		return &exitError{code: ExitUnreachable, cause: fmt.Errorf("%w; repeat with --change-id %s", err, changeID)}
--- a/internal/ctl/inspect.go
+++ b/internal/ctl/inspect.go
@@ -62,31 +62,32 @@
 func (a *app) watch() *cobra.Command {
 	var after uint64
 	cmd := &cobra.Command{
-		Use: "watch", Short: "Show each change as it comes into force", Args: cobra.NoArgs,
+		Use: "watch", Short: "Show each change when it comes into force", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			clients, err := a.clients()
 			if err != nil {
 				return err
 			}
-			return a.follow(cmd.Context(), clients, after)
+			return a.watchChanges(cmd.Context(), clients, after)
 		},
 	}
 	cmd.Flags().Uint64Var(&after, "after-generation", 0, "show the changes after this generation")
 	return cmd
 }
 
-// follow watches at one entry after the other; a change is shown once, because
-// the next watch starts after the last generation shown.
-func (a *app) follow(ctx context.Context, clients []client, after uint64) error {
-	silentSince := time.Now()
+// watchChanges prints changes from one entry and continues at the next when the
+// watch ends. Each watch starts after the last generation printed, so that a change
+// is printed once.
+func (a *app) watchChanges(ctx context.Context, clients []client, after uint64) error {
+	lastReceived := time.Now()
 	for i := 0; ; i++ {
 		stream, err := clients[i%len(clients)].Watch(ctx, connect.NewRequest(&jayv1.WatchRequest{AfterGeneration: after}))
 		if err == nil {
 			for stream.Receive() {
 				change := stream.Msg()
-				after, silentSince = change.GetGeneration(), time.Now()
+				after, lastReceived = change.GetGeneration(), time.Now()
 				if err := a.print(change, func(w io.Writer) { printChange(w, change) }); err != nil {
-					return usage(err)
+					return usageError(err)
 				}
 			}
 			err = stream.Err()
@@ -94,10 +95,10 @@
 		if ctx.Err() != nil || errors.Is(err, context.Canceled) {
 			return nil
 		}
-		if err != nil && !tryAgain(err) || time.Since(silentSince) > a.retryFor {
-			return asExit(err)
+		if err != nil && !isRetryable(err) || time.Since(lastReceived) > a.retryFor {
+			return withExitCode(err)
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryInterval)
 	}
 }
 
@@ -112,7 +113,7 @@
 	}
 }
 
-func (a *app) askStatus(ctx context.Context) (*jayv1.StatusResponse, error) {
+func (a *app) fetchStatus(ctx context.Context) (*jayv1.StatusResponse, error) {
 	return call(ctx, a, func(ctx context.Context, c client) (*connect.Response[jayv1.StatusResponse], error) {
 		return c.Status(ctx, connect.NewRequest(&jayv1.StatusRequest{}))
 	})
@@ -121,14 +122,14 @@
 func (a *app) status() *cobra.Command {
 	var wait time.Duration
 	cmd := &cobra.Command{
-		Use: "status", Short: "Show the generation in force per process", Args: cobra.NoArgs,
+		Use: "status", Short: "Show the generation in force in each process", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			response, err := a.awaitStatus(cmd.Context(), wait)
 			if err != nil {
 				return err
 			}
 			if err := a.print(response, func(w io.Writer) { printStatus(w, response) }); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if wait > 0 && !allInForce(response) {
 				return &exitError{code: ExitFindings}
@@ -136,23 +137,23 @@
 			return nil
 		},
 	}
-	cmd.Flags().DurationVar(&wait, "wait", 0, "wait until every process answers and has the head generation in force; exit code 1 when it runs out")
+	cmd.Flags().DurationVar(&wait, "wait", 0, "wait until all processes answer and have the head generation in force; exit code 1 if they do not in time")
 	return cmd
 }
 
-// awaitStatus asks until all processes have the head generation, or the time
-// has run out.
+// awaitStatus polls the status until all processes have the head generation in
+// force or the time has passed, and returns the last status.
 func (a *app) awaitStatus(ctx context.Context, wait time.Duration) (*jayv1.StatusResponse, error) {
 	deadline := time.Now().Add(wait)
 	for {
-		response, err := a.askStatus(ctx)
+		response, err := a.fetchStatus(ctx)
 		if err != nil || allInForce(response) || !time.Now().Before(deadline) {
 			return response, err
 		}
 		select {
 		case <-ctx.Done():
 			return response, nil
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
@@ -168,7 +169,7 @@
 	for _, p := range response.GetProcesses() {
 		state := "serving"
 		if p.GetLeaving() {
-			state = "leaving"
+			state = "draining"
 		}
 		if p.GetGeneration() < response.GetHeadGeneration() {
 			state += ", behind"
@@ -184,7 +185,7 @@
 
 func (a *app) explain() *cobra.Command {
 	return &cobra.Command{
-		Use: "explain REQUEST_ID", Short: "Show why a request went where it did", Args: cobra.ExactArgs(1),
+		Use: "explain REQUEST_ID", Short: "Show how a request was placed: the candidates, their costs and the attempts", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			response, err := call(cmd.Context(), a, func(ctx context.Context, c client) (*connect.Response[jayv1.Explanation], error) {
 				return c.Explain(ctx, connect.NewRequest(&jayv1.ExplainRequest{RequestId: args[0]}))
--- a/internal/ctl/keys.go
+++ b/internal/ctl/keys.go
@@ -13,7 +13,7 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-const defaultValid = 365 * 24 * time.Hour
+const defaultValidity = 365 * 24 * time.Hour
 
 func (a *app) keys() *cobra.Command {
 	cmd := &cobra.Command{Use: "keys", Short: "Make a development authority, certificates and callers' keys"}
@@ -29,18 +29,18 @@
 		RunE: func(*cobra.Command, []string) error {
 			authority, err := keys.NewAuthority(valid)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if err := authority.Save(out); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			return a.printValue(map[string]string{"folder": out}, func(w io.Writer) {
-				fmt.Fprintf(w, "authority in %s; keep %s apart from the processes\n", out, keys.AuthorityKeyFile)
+				fmt.Fprintf(w, "authority written to %s; keep %s off the machines of the processes\n", out, keys.AuthorityKeyFile)
 			})
 		},
 	}
 	cmd.Flags().StringVar(&out, "out", "keys/ca", "folder to write")
-	cmd.Flags().DurationVar(&valid, "valid", defaultValid, "validity")
+	cmd.Flags().DurationVar(&valid, "valid", defaultValidity, "validity")
 	return cmd
 }
 
@@ -52,25 +52,25 @@
 		RunE: func(*cobra.Command, []string) error {
 			parsed, err := keys.ParseRole(role)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if name == "" || out == "" {
-				return usage(eris.New("--name and --out are needed"))
+				return usageError(eris.New("--name and --out are required"))
 			}
 			authority, err := keys.LoadAuthority(ca)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			id := keys.Identity{Role: parsed, Name: name}
 			cert, err := authority.Issue(id, valid)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if err := cert.Save(out); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			return a.printValue(map[string]string{"identity": id.String(), "folder": out}, func(w io.Writer) {
-				fmt.Fprintf(w, "%s in %s\n", id, out)
+				fmt.Fprintf(w, "certificate of %s written to %s\n", id, out)
 			})
 		},
 	}
@@ -79,11 +79,11 @@
 	flags.StringVar(&role, "role", "", "entry, agent, viewer or operator")
 	flags.StringVar(&name, "name", "", "name of the process (an agent has the name of its backend server) or person")
 	flags.StringVar(&out, "out", "", "folder to write")
-	flags.DurationVar(&valid, "valid", defaultValid, "validity")
+	flags.DurationVar(&valid, "valid", defaultValidity, "validity")
 	return cmd
 }
 
-// callerKeyReport is the JSON output of keys caller.
+// callerKeyReport is the JSON output of the command keys caller.
 type callerKeyReport struct {
 	Workspace string `json:"workspace"`
 	Key       string `json:"key"`
@@ -95,14 +95,14 @@
 func (a *app) keysCaller() *cobra.Command {
 	var workspace string
 	cmd := &cobra.Command{
-		Use: "caller", Short: "Make a caller's key; it is shown once, the declaration keeps its salted hash", Args: cobra.NoArgs,
+		Use: "caller", Short: "Make a caller's key; it is shown only once, since the declaration holds only its salted hash", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if workspace == "" {
-				return usage(eris.New("--workspace is missing"))
+				return usageError(eris.New("--workspace is missing"))
 			}
 			plain, key, err := catalog.NewCallerKey()
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			report := callerKeyReport{
 				Workspace: workspace, Key: plain, ID: key.GetId(),
--- a/internal/ctl/trace.go
+++ b/internal/ctl/trace.go
@@ -13,13 +13,14 @@
 	"github.com/spf13/cobra"
 )
 
-// maxLogLine of a log that is read.
-const maxLogLine = 1 << 20
+// maxLogLineBytes is the maximum length of a log line.
+const maxLogLineBytes = 1 << 20
 
-// logTime finds a line's severity, day and time of day, as klog writes them.
+// logTime matches the severity, day and time of day of a line written by klog.
 var logTime = regexp.MustCompile(`[IWEF](\d{4} \d\d:\d\d:\d\d\.\d{6})`)
 
-// tracedLine is a line of one process's log about one request.
+// tracedLine is a log line of the request. at is its day and time, "" if it has
+// none; file is the log that it is from.
 type tracedLine struct {
 	at, file, text string
 }
@@ -35,7 +36,7 @@
 				return err
 			}
 			if len(lines) == 0 {
-				return eris.Errorf("no line about request %s", args[0])
+				return eris.Errorf("no log line of request %s found", args[0])
 			}
 			for _, line := range lines {
 				_, _ = fmt.Fprintf(a.out, "%s\t%s\n", line.file, line.text)
@@ -47,7 +48,7 @@
 
 func traceFiles(request string, files []string, in io.Reader) ([]tracedLine, error) {
 	if len(files) == 0 {
-		return sorted(traceLog(request, "-", in))
+		return sortByTime(traceLog(request, "-", in))
 	}
 	var all []tracedLine
 	for _, name := range files {
@@ -62,23 +63,24 @@
 		}
 		all = append(all, lines...)
 	}
-	return sorted(all, nil)
+	return sortByTime(all, nil)
 }
 
-func sorted(lines []tracedLine, err error) ([]tracedLine, error) {
+func sortByTime(lines []tracedLine, err error) ([]tracedLine, error) {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].at < lines[j].at })
 	return lines, err
 }
 
-// traceLog keeps the lines that name the request whole: one id may begin another.
+// traceLog returns the lines of a log with the request's id. It matches the quoted
+// id, since one id may be a prefix of another.
 func traceLog(request, name string, in io.Reader) ([]tracedLine, error) {
 	var lines []tracedLine
-	mark := fmt.Sprintf("request=%q", request)
+	field := fmt.Sprintf("request=%q", request)
 	scanner := bufio.NewScanner(in)
-	scanner.Buffer(nil, maxLogLine)
+	scanner.Buffer(nil, maxLogLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
-		if !strings.Contains(text, mark) {
+		if !strings.Contains(text, field) {
 			continue
 		}
 		at := ""
--- a/internal/operator/activate.go
+++ b/internal/operator/activate.go
@@ -9,19 +9,19 @@
 	"github.com/jayproxy/jayproxy/internal/catalog"
 )
 
-// checkActivations refuses to activate a version that fewer backend servers
-// than the pool's min_ready have loaded. From the moment of the change on,
-// entries ask for the new version alone: where it is not loaded, callers are
-// refused until the weight store has delivered it.
+// checkActivations returns an error if the difference activates a version that is
+// loaded on fewer ready backend servers than the pool's min_ready, or on none.
+// Once the change is in force, entries send requests for the new version only, and
+// callers would be refused until enough backend servers have loaded it.
 func (s *Service) checkActivations(ctx context.Context, table *catalog.Table, difference catalog.Difference) error {
 	if s.options.CountLoaded == nil {
 		return nil
 	}
 	for _, resource := range difference.Put {
 		next := resource.GetPool()
-		current, existed := table.Pool(next.GetName())
+		current, exists := table.Pool(next.GetName())
 		version := catalog.ActiveVersion(next)
-		if next == nil || !existed || version == nil || next.GetActiveVersion() == current.GetActiveVersion() {
+		if next == nil || !exists || version == nil || next.GetActiveVersion() == current.GetActiveVersion() {
 			continue
 		}
 		servers := len(table.BackendServersOfPool(next.GetName()))
@@ -31,7 +31,7 @@
 		}
 		if loaded := s.options.CountLoaded(ctx, next.GetName(), version.GetDigest()); loaded < needed {
 			return connect.NewError(connect.CodeFailedPrecondition, eris.Errorf(
-				"pool/%s.active_version: version %q is loaded and ready at %d of %d backend servers, %d are needed; wait for the rollout or allow it",
+				"pool/%s.active_version: version %q is loaded and ready at %d of %d backend servers, %d are needed; wait for the rollout, or apply with activate_unloaded",
 				next.GetName(), version.GetName(), loaded, servers, needed))
 		}
 	}
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -12,15 +12,17 @@
 	"github.com/jayproxy/jayproxy/internal/platform"
 )
 
-// toConnect gives an error the code by which callers act on it:
+// toConnectError returns an error with the code that tells callers how to proceed:
 //
-//	InvalidArgument    the set has faults, sent as a Findings detail
-//	FailedPrecondition another generation than the expected one is accepted
+//	InvalidArgument    the set is invalid (a Findings detail says why), or the
+//	                   change id is missing
+//	FailedPrecondition the head is not the expected generation
 //	AlreadyExists      the change id was used for another change
-//	Aborted            other changes came first; nothing was accepted
-//	Unavailable        nothing was done; try again
-//	Unknown            accepted or not; repeat with the same change id
-func toConnect(err error) error {
+//	Aborted            other changes were accepted first; nothing was accepted
+//	Unavailable        nothing was done; retry
+//	Unknown            the outcome is uncertain; repeat with the same change id
+//	Internal           any other error
+func toConnectError(err error) error {
 	var coded *connect.Error
 	var found *findings.Error
 	var conflict *catalogstore.ConflictError
@@ -59,7 +61,8 @@
 	return coded
 }
 
-// FindingsOf reads the findings that refused a set from the error of a call.
+// FindingsOf returns the findings in the details of a call's error, nil if there
+// are none.
 func FindingsOf(err error) findings.List {
 	var coded *connect.Error
 	if !errors.As(err, &coded) {
--- a/internal/operator/roles.go
+++ b/internal/operator/roles.go
@@ -11,11 +11,13 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// maxRequestBytes bounds one call: a whole declaration set.
+// maxRequestBytes is the maximum size of a request, which may hold all resources
+// of a deployment.
 const maxRequestBytes = 64 << 20
 
-// viewerCalls are the calls that change nothing.
-var viewerCalls = map[string]bool{
+// viewerProcedures are the procedures that the viewer role may call: those that
+// change nothing.
+var viewerProcedures = map[string]bool{
 	jayv1connect.OperatorServiceGetProcedure:     true,
 	jayv1connect.OperatorServiceListProcedure:    true,
 	jayv1connect.OperatorServiceWatchProcedure:   true,
@@ -23,29 +25,29 @@
 	jayv1connect.OperatorServiceExplainProcedure: true,
 }
 
-type callerKey struct{}
+type callerContextKey struct{}
 
-// CallerOf returns who makes the call, by the client's certificate.
+// CallerOf returns the identity in the client certificate of the call.
 func CallerOf(ctx context.Context) keys.Identity {
-	caller, _ := ctx.Value(callerKey{}).(keys.Identity)
+	caller, _ := ctx.Value(callerContextKey{}).(keys.Identity)
 	return caller
 }
 
-// Handler serves the calls over HTTP. The listener must ask for client
-// certificates; a viewer gets only the calls that change nothing.
+// Handler returns the HTTP handler of the service. The listener must request client
+// certificates. The viewer role may make only calls that change nothing.
 func Handler(service *Service) http.Handler {
 	_, calls := jayv1connect.NewOperatorServiceHandler(service, connect.WithReadMaxBytes(maxRequestBytes))
-	refuse := connect.NewErrorWriter()
+	errorWriter := connect.NewErrorWriter()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		caller, err := callerOfRequest(r)
 		if err == nil && !mayCall(caller.Role, r.URL.Path) {
 			err = connect.NewError(connect.CodePermissionDenied, eris.Errorf("role %s may not call %s", caller.Role, r.URL.Path))
 		}
 		if err != nil {
-			_ = refuse.Write(w, r, err)
+			_ = errorWriter.Write(w, r, err)
 			return
 		}
-		calls.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), callerKey{}, caller)))
+		calls.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), callerContextKey{}, caller)))
 	})
 }
 
@@ -61,5 +63,5 @@
 }
 
 func mayCall(role keys.Role, procedure string) bool {
-	return role == keys.RoleOperator || (role == keys.RoleViewer && viewerCalls[procedure])
+	return role == keys.RoleOperator || (role == keys.RoleViewer && viewerProcedures[procedure])
 }
--- a/internal/operator/service.go
+++ b/internal/operator/service.go
@@ -1,5 +1,6 @@
-// Package operator serves the operators' remote procedure calls. Changes go to
-// the catalog's store, reads come from the table in force in this process.
+// Package operator implements the operators' remote procedure calls. Changes are
+// accepted in the catalog's store; reads are from the table in force in this
+// process.
 package operator
 
 import (
@@ -19,39 +20,42 @@
 	"github.com/jayproxy/jayproxy/internal/catalogstore"
 )
 
-// compactTimeout bounds the writing of a snapshot after a change.
+// compactTimeout bounds the compaction of the catalog's store after a change.
 const compactTimeout = 10 * time.Second
 
-// ErrNoExplanation means: the entry keeps no explanation for the request any more.
+// ErrNoExplanation means that no entry has an explanation of the request.
 var ErrNoExplanation = errors.New("no explanation is kept for the request")
 
-// Spread puts accepted changes in force; *spread.Service has it.
+// Spread distributes accepted changes to all processes. *spread.Service implements
+// it.
 type Spread interface {
-	// Accepted takes a change that this process got accepted.
+	// Accepted puts a change in force that was accepted through this process.
 	Accepted(change *jayv1.Change)
-	// Noticed takes a generation that the table is known to hold.
+	// Noticed reports that a generation was accepted, without its change.
 	Noticed(generation uint64)
-	// Since returns the changes after a generation, as far as they are at hand.
+	// Since returns the delta from a generation; a snapshot if the changes are no
+	// longer in memory.
 	Since(generation uint64) *jayv1.CatalogDelta
-	// Status asks all processes.
+	// Status requests the status of all processes.
 	Status(ctx context.Context) *jayv1.StatusResponse
 }
 
-// Options of the service.
+// Options of a Service.
 type Options struct {
 	Store  *catalogstore.Store
 	Holder *catalog.Holder
 	Spread Spread
-	// Explain finds the explanation of a request on any entry; ErrNoExplanation.
+	// Explain returns the explanation of a request from the entry that has it. The
+	// error is ErrNoExplanation if there is none.
 	Explain func(ctx context.Context, requestID string) (*jayv1.Explanation, error)
-	// CountLoaded counts the backend servers of a pool that are ready and have the
-	// weights with the digest; nil: not asked.
+	// CountLoaded returns the number of ready backend servers of a pool that have
+	// the weights with the digest loaded. If nil, activations are not checked.
 	CountLoaded func(ctx context.Context, pool, digest string) int
-	// Closing is closed when the process shuts down; watches end then.
+	// Closing is closed when the process shuts down, which ends all watches.
 	Closing <-chan struct{}
 }
 
-// Service implements the OperatorService of the schema.
+// Service implements OperatorService.
 type Service struct {
 	options Options
 }
@@ -61,13 +65,13 @@
 // New returns the service.
 func New(options Options) *Service { return &Service{options: options} }
 
-// Apply accepts a declaration set as one change, or none of it.
+// Apply accepts a set of resources as one change.
 func (s *Service) Apply(ctx context.Context, req *connect.Request[jayv1.ApplyRequest]) (*connect.Response[jayv1.ApplyResponse], error) {
 	msg := req.Msg
 	return s.accept(ctx, msg, catalogstore.Proposal{
 		ChangeID: msg.GetChangeId(), ExpectGeneration: msg.GetExpectGeneration(), DryRun: msg.GetDryRun(),
 		Edit: func(table *catalog.Table) (catalog.Difference, error) {
-			difference := catalog.Diff(table, keepDrains(table, msg.GetResources()), msg.GetPrune())
+			difference := catalog.Diff(table, preserveDraining(table, msg.GetResources()), msg.GetPrune())
 			if msg.GetActivateUnloaded() {
 				return difference, nil
 			}
@@ -76,10 +80,10 @@
 	})
 }
 
-// keepDrains carries the drain of a backend server over into a declaration
-// that does not know of it: an unrelated apply must not bring a server back
-// that an operator took out of service. Only an undone drain does.
-func keepDrains(table *catalog.Table, declared []*jayv1.Resource) []*jayv1.Resource {
+// preserveDraining sets draining on declared backend servers that were drained by
+// Drain, so that an apply does not return them to service. Only Drain with undo
+// does.
+func preserveDraining(table *catalog.Table, declared []*jayv1.Resource) []*jayv1.Resource {
 	kept := make([]*jayv1.Resource, len(declared))
 	for i, resource := range declared {
 		kept[i] = resource
@@ -100,7 +104,7 @@
 	return &jayv1.Resource{Kind: &jayv1.Resource_BackendServer{BackendServer: changed}}
 }
 
-// Put creates or changes one resource.
+// Put creates or replaces one resource.
 func (s *Service) Put(ctx context.Context, req *connect.Request[jayv1.PutRequest]) (*connect.Response[jayv1.ApplyResponse], error) {
 	msg := req.Msg
 	return s.accept(ctx, msg, catalogstore.Proposal{
@@ -112,7 +116,7 @@
 	})
 }
 
-// Delete deletes one resource; one that does not exist is no error.
+// Delete deletes one resource. It is not an error if the resource does not exist.
 func (s *Service) Delete(ctx context.Context, req *connect.Request[jayv1.DeleteRequest]) (*connect.Response[jayv1.ApplyResponse], error) {
 	msg := req.Msg
 	return s.accept(ctx, msg, catalogstore.Proposal{
@@ -123,7 +127,7 @@
 	})
 }
 
-// Drain stops, or resumes, new work for a backend server.
+// Drain stops new requests to a backend server, or resumes them with undo.
 func (s *Service) Drain(ctx context.Context, req *connect.Request[jayv1.DrainRequest]) (*connect.Response[jayv1.ApplyResponse], error) {
 	msg := req.Msg
 	return s.accept(ctx, msg, catalogstore.Proposal{
@@ -139,8 +143,8 @@
 	})
 }
 
-// accept gets a proposal accepted and in force here. msg is the request whose
-// digest tells a repeat from another change under the same id.
+// accept accepts a proposal and puts the change in force. The digest of msg, the
+// request, distinguishes a repeat from another change with the same id.
 func (s *Service) accept(ctx context.Context, msg proto.Message, proposal catalogstore.Proposal) (*connect.Response[jayv1.ApplyResponse], error) {
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(msg)
 	if err != nil {
@@ -151,9 +155,9 @@
 	proposal.Operator = CallerOf(ctx).Name
 	accepted, err := s.options.Store.Accept(ctx, proposal)
 	if err != nil {
-		return nil, toConnect(err)
+		return nil, toConnectError(err)
 	}
-	s.putInForce(proposal, accepted)
+	s.publish(proposal, accepted)
 	difference := accepted.Difference
 	return connect.NewResponse(&jayv1.ApplyResponse{
 		Generation: accepted.Generation, Changed: accepted.Changed,
@@ -161,7 +165,8 @@
 	}), nil
 }
 
-func (s *Service) putInForce(proposal catalogstore.Proposal, accepted catalogstore.Accepted) {
+// publish distributes an accepted change and compacts the store in the background.
+func (s *Service) publish(proposal catalogstore.Proposal, accepted catalogstore.Accepted) {
 	if accepted.Change == nil {
 		s.options.Spread.Noticed(accepted.Generation)
 		return
@@ -173,22 +178,23 @@
 		ctx, cancel := context.WithTimeout(context.Background(), compactTimeout)
 		defer cancel()
 		if err := s.options.Store.Compact(ctx, accepted.Table); err != nil {
-			klog.ErrorS(err, "Snapshot of the catalog not written; the next change tries again")
+			klog.ErrorS(err, "Compaction of the catalog failed; it is retried after the next change")
 		}
 	}()
 }
 
-// Get returns one resource of the table in force here.
+// Get returns one resource of the table in force in this process.
 func (s *Service) Get(_ context.Context, req *connect.Request[jayv1.GetRequest]) (*connect.Response[jayv1.GetResponse], error) {
 	table := s.options.Holder.Current()
 	resource, ok := table.Resource(req.Msg.GetName())
 	if !ok {
-		return nil, connect.NewError(connect.CodeNotFound, eris.Errorf("%q is not declared at generation %d", req.Msg.GetName(), table.Generation()))
+		return nil, connect.NewError(connect.CodeNotFound, eris.Errorf("resource %q is not declared in generation %d", req.Msg.GetName(), table.Generation()))
 	}
 	return connect.NewResponse(&jayv1.GetResponse{Generation: table.Generation(), Resource: resource}), nil
 }
 
-// List returns the resources of a kind, or all, of the table in force here.
+// List returns all resources, or those of one kind, of the table in force in this
+// process.
 func (s *Service) List(_ context.Context, req *connect.Request[jayv1.ListRequest]) (*connect.Response[jayv1.ListResponse], error) {
 	kind := req.Msg.GetKind()
 	if kind != "" && !catalog.IsKind(kind) {
@@ -204,7 +210,8 @@
 	return connect.NewResponse(response), nil
 }
 
-// Watch sends each change after a generation as it comes into force here.
+// Watch sends each change after a generation when it comes into force in this
+// process.
 func (s *Service) Watch(ctx context.Context, req *connect.Request[jayv1.WatchRequest], stream *connect.ServerStream[jayv1.Change]) error {
 	after := req.Msg.GetAfterGeneration()
 	for {
@@ -223,13 +230,14 @@
 		case <-ctx.Done():
 			return nil
 		case <-s.options.Closing:
-			return connect.NewError(connect.CodeUnavailable, eris.New("entry is leaving; watch at another"))
+			return connect.NewError(connect.CodeUnavailable, eris.New("entry is shutting down; continue the watch at another entry"))
 		case <-next:
 		}
 	}
 }
 
-// changesAfter takes the changes at hand, or reads older ones from the store.
+// changesAfter returns the changes after a generation from memory, or from the
+// store if they are older. The code is OutOfRange if they were pruned.
 func (s *Service) changesAfter(ctx context.Context, after uint64) ([]*jayv1.Change, error) {
 	delta := s.options.Spread.Since(after)
 	if delta.GetSnapshot() == nil {
@@ -237,23 +245,23 @@
 	}
 	delta, err := s.options.Store.After(ctx, after)
 	if err != nil {
-		return nil, toConnect(err)
+		return nil, toConnectError(err)
 	}
 	if delta.GetSnapshot() != nil {
-		return nil, connect.NewError(connect.CodeOutOfRange, eris.Errorf("changes after generation %d are no longer kept; list, then watch from there", after))
+		return nil, connect.NewError(connect.CodeOutOfRange, eris.Errorf("changes after generation %d are no longer kept; list the resources, then watch after the generation of the list", after))
 	}
 	return delta.GetChanges(), nil
 }
 
-// Status tells the generation in force per process.
+// Status returns the generation in force in each process.
 func (s *Service) Status(ctx context.Context, _ *connect.Request[jayv1.StatusRequest]) (*connect.Response[jayv1.StatusResponse], error) {
 	return connect.NewResponse(s.options.Spread.Status(ctx)), nil
 }
 
-// Explain tells why a request went where it did.
+// Explain returns how a request was placed.
 func (s *Service) Explain(ctx context.Context, req *connect.Request[jayv1.ExplainRequest]) (*connect.Response[jayv1.Explanation], error) {
 	if s.options.Explain == nil {
-		return nil, connect.NewError(connect.CodeUnimplemented, eris.New("this entry explains nothing"))
+		return nil, connect.NewError(connect.CodeUnimplemented, eris.New("explanations are not available at this entry"))
 	}
 	explanation, err := s.options.Explain(ctx, req.Msg.GetRequestId())
 	switch {
