--- a/internal/control/worker.go
+++ b/internal/control/worker.go
@@ -229,7 +229,8 @@
 }
 
 // view returns a backend server as input of the planner. A server without an
-// observation younger than StaleAfter counts as unreachable and not ready.
+// observation younger than StaleAfter may be down, and counts as unreachable and
+// not ready.
 func (w *worker) view(server *jayv1.BackendServer) orders.Server {
 	_, busy := w.pending[server.GetName()]
 	view := orders.Server{Name: server.GetName(), Draining: server.GetDraining(), Busy: busy}
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -21,9 +21,9 @@
 	defaultRetryFor = 10 * time.Second
 	retryInterval   = 200 * time.Millisecond
 	callTimeout     = 15 * time.Second
-	// connectTimeout bounds dial and TLS handshake each. The handshake needs its
-	// own timeout because the kernel still accepts connections for a process that
-	// is suspended.
+	// connectTimeout bounds dial and TLS handshake each, so that the next entry is
+	// tried soon. The handshake needs a timeout because the kernel accepts
+	// connections for a process that is suspended.
 	connectTimeout = 3 * time.Second
 )
 
