--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -46,7 +46,7 @@
 	}
 	e.operators, err = newOperatorServer(operatorDeps{
 		Address: e.settings.OperatorsAddress, Credentials: e.creds,
-		Operator: operator.Options{Store: store, Holder: e.holder, Spread: service, Explain: e.explainOrForward, Loaded: e.rollouts.Load().Loaded},
+		Operator: operator.Options{Store: store, Holder: e.holder, Spread: service, Explain: e.explainOrForward, CountLoaded: e.rollouts.Load().CountLoaded},
 	})
 	return err
 }
