--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -16,8 +16,8 @@
 		Self: creds.Self(), DataCentre: a.settings.DataCentre, Region: a.settings.Region,
 		Address: a.Address(), Incarnation: uint64(a.started.UnixNano()), //nolint:gosec // after 1970
 		Settings: a.settings.Spread, Node: a.node, Holder: a.catalog,
-		Leaving: a.isLeaving,
-		Process: func(status *jayv1.ProcessStatus) { status.Agent = a.state() },
+		Draining:   a.isLeaving,
+		FillStatus: func(status *jayv1.ProcessStatus) { status.Agent = a.state() },
 	})
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 func (a *Agent) heardGeneration(peer keys.Identity, generation uint64) {
 	select {
 	case <-a.ready:
-		a.spread.Heard(peer, generation)
+		a.spread.ReceivedGeneration(peer, generation)
 	default: // Still starting; the next message tells it again.
 	}
 }
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -29,11 +29,11 @@
 		Incarnation: uint64(e.started.UnixNano()), //nolint:gosec // after 1970
 		Settings:    e.settings.Spread, Node: e.node, Holder: e.holder, Seeds: e.settings.Seeds,
 		Store: store, VMs: e.platform, OnVMs: e.heardVMs,
-		OnNews:    func(_ keys.Identity, news []*jayv1.MemberNews) { e.picker.news(time.Now(), news) },
-		News:      func() []*jayv1.MemberNews { return e.picker.tell(time.Now()) },
+		OnUpdates: func(_ keys.Identity, news []*jayv1.MemberNews) { e.picker.news(time.Now(), news) },
+		Updates:   func() []*jayv1.MemberNews { return e.picker.tell(time.Now()) },
 		OnCrashes: func(news []*jayv1.CrashNews) { e.crashes.heard(time.Now(), news) },
 		Crashes:   func(all bool) []*jayv1.CrashNews { return e.crashes.tell(time.Now(), all) },
-		Leaving:   e.stopping.Load, Process: e.tellLeases,
+		Draining:  e.stopping.Load, FillStatus: e.tellLeases,
 	})
 	if err != nil {
 		return err
@@ -123,7 +123,7 @@
 		return nil, operator.ErrNoExplanation
 	}
 	question := &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Explain{Explain: &jayv1.ExplainQuery{RequestId: requestID}}}
-	answer, err := e.spread.AskEntry(ctx, name, question)
+	answer, err := e.spread.QueryEntry(ctx, name, question)
 	if errors.Is(err, spread.ErrUnknownPeer) {
 		return nil, operator.ErrNoExplanation
 	}
--- a/internal/spread/core.go
+++ b/internal/spread/core.go
@@ -10,8 +10,8 @@
 // Action is what the shell does for the core.
 type Action interface{ isAction() }
 
-// Tell sends a digest to a peer and reports its answer by Heard or Failed.
-type Tell struct{ To Peer }
+// SendDigest sends a digest to a peer and reports its answer by Heard or Failed.
+type SendDigest struct{ To Peer }
 
 // Pull asks a peer for what is newer than Have.
 type Pull struct {
@@ -28,11 +28,11 @@
 // ReadVMs reads the changes of the VM list.
 type ReadVMs struct{}
 
-func (Tell) isAction()      {}
-func (Pull) isAction()      {}
-func (ReadHead) isAction()  {}
-func (PullStore) isAction() {}
-func (ReadVMs) isAction()   {}
+func (SendDigest) isAction() {}
+func (Pull) isAction()       {}
+func (ReadHead) isAction()   {}
+func (PullStore) isAction()  {}
+func (ReadVMs) isAction()    {}
 
 // Core decides whom a process tells of generations and from whom it pulls
 // them. It has no I/O, goroutine or clock. Not safe for concurrent use.
@@ -165,9 +165,9 @@
 	return c.Tick(now)
 }
 
-// HeardDigest takes a digest, or the answer to one. A digest tells the
+// ReceivedDigest takes a digest, or the answer to one. A digest tells the
 // sender's address and data centre as well.
-func (c *Core) HeardDigest(now time.Time, from Peer, generation uint64) []Action {
+func (c *Core) ReceivedDigest(now time.Time, from Peer, generation uint64) []Action {
 	state := c.known(from)
 	if state == nil {
 		return nil
@@ -176,8 +176,8 @@
 	return c.heard(now, state, generation)
 }
 
-// Heard takes a stamp on any other message. The peer's address may be unknown.
-func (c *Core) Heard(now time.Time, from keys.Identity, generation uint64) []Action {
+// ReceivedGeneration takes a stamp on any other message. The peer's address may be unknown.
+func (c *Core) ReceivedGeneration(now time.Time, from keys.Identity, generation uint64) []Action {
 	if generation <= c.generation && c.fresh(now, from) {
 		return nil
 	}
@@ -245,8 +245,8 @@
 	return c.pull(now)
 }
 
-// Served says that a peer pulled from here and was sent the generation.
-func (c *Core) Served(now time.Time, peer Peer, generation uint64) {
+// PullServed says that a peer pulled from here and was sent the generation.
+func (c *Core) PullServed(now time.Time, peer Peer, generation uint64) {
 	state := c.known(peer)
 	if state == nil {
 		return
@@ -274,11 +274,11 @@
 	return c.remember(known, peer)
 }
 
-// Failed says that a digest to the peer, or its answer, did not arrive. A peer
+// DigestFailed says that a digest to the peer, or its answer, did not arrive. A peer
 // that lacks the generation is told once more at once: waiting for its next
 // turn, or for another who tells it, is what makes the last process late when
 // packets get lost. A peer that is dead costs one more digest.
-func (c *Core) Failed(now time.Time, peer keys.Identity) []Action {
+func (c *Core) DigestFailed(now time.Time, peer keys.Identity) []Action {
 	state := c.entries[peer]
 	if state == nil {
 		state = c.agents[peer]
--- a/internal/spread/core_test.go
+++ b/internal/spread/core_test.go
@@ -138,7 +138,7 @@
 func TestPeerThatTellsMoreThanItGivesIsNotAskedForEver(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	c := NewCore(now, Peer{ID: entryID("a"), Address: "10.0.0.1:1"}, DefaultSettings())
-	actions := c.HeardDigest(now, Peer{ID: entryID("b"), Address: "10.0.0.2:1"}, 9)
+	actions := c.ReceivedDigest(now, Peer{ID: entryID("b"), Address: "10.0.0.2:1"}, 9)
 	require.IsType(t, Pull{}, actions[0])
 	asked := 0
 	for range 100 {
@@ -155,7 +155,7 @@
 	c := NewCore(now, Peer{ID: entryID("a"), Address: "10.0.0.1:1"}, DefaultSettings())
 	c.Adopted(now, 5)
 	assert.Empty(t, c.HeadRead(now, 4))
-	assert.Empty(t, c.Heard(now, entryID("b"), 3))
+	assert.Empty(t, c.ReceivedGeneration(now, entryID("b"), 3))
 	assert.Empty(t, c.Adopted(now, 4))
 	assert.Equal(t, uint64(5), c.Generation())
 }
--- a/internal/spread/exchange.go
+++ b/internal/spread/exchange.go
@@ -36,7 +36,7 @@
 
 func (s *Service) perform(ctx context.Context, action Action) {
 	switch a := action.(type) {
-	case Tell:
+	case SendDigest:
 		s.tell(ctx, a.To)
 	case Pull:
 		s.pull(ctx, a)
@@ -117,14 +117,14 @@
 // digest is what changes; introduce adds what does not.
 func (s *Service) digest() *jayv1.GossipDigest {
 	digest := &jayv1.GossipDigest{Generation: s.options.Holder.Current().Generation()}
-	if s.options.News != nil {
-		digest.News = s.options.News()
+	if s.options.Updates != nil {
+		digest.News = s.options.Updates()
 	}
 	if s.options.Crashes != nil {
 		digest.Crashes = s.options.Crashes(false)
 	}
-	if s.options.Leaving != nil {
-		digest.Leaving = s.options.Leaving()
+	if s.options.Draining != nil {
+		digest.Leaving = s.options.Draining()
 	}
 	return digest
 }
@@ -156,13 +156,13 @@
 	}
 	stream, err := s.open(ctx, to)
 	if err != nil {
-		s.then(func(now time.Time) []Action { return s.core.Failed(now, to.ID) })
+		s.then(func(now time.Time) []Action { return s.core.DigestFailed(now, to.ID) })
 		return
 	}
 	answer, err := s.askOn(stream, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Gossip{Gossip: digest}})
 	if err != nil {
 		stream.DoubtLink()
-		s.then(func(now time.Time) []Action { return s.core.Failed(now, to.ID) })
+		s.then(func(now time.Time) []Action { return s.core.DigestFailed(now, to.ID) })
 		return
 	}
 	s.heardDigest(stream.Peer(), answer.GetGossip())
@@ -193,14 +193,14 @@
 			klog.V(1).InfoS("Changes of a digest not taken", "peer", from.String(), "err", err)
 		}
 	}
-	if s.options.OnNews != nil && len(digest.GetNews()) > 0 {
-		s.options.OnNews(from, digest.GetNews())
+	if s.options.OnUpdates != nil && len(digest.GetNews()) > 0 {
+		s.options.OnUpdates(from, digest.GetNews())
 	}
 	if s.options.OnCrashes != nil && len(digest.GetCrashes()) > 0 {
 		s.options.OnCrashes(digest.GetCrashes())
 	}
 	peer := Peer{ID: from, Address: digest.GetAddress(), DataCentre: digest.GetDataCentre(), Region: digest.GetRegion()}
-	s.then(func(now time.Time) []Action { return s.core.HeardDigest(now, peer, digest.GetGeneration()) })
+	s.then(func(now time.Time) []Action { return s.core.ReceivedDigest(now, peer, digest.GetGeneration()) })
 }
 
 func (s *Service) pull(ctx context.Context, action Pull) {
@@ -306,7 +306,7 @@
 	var actions []Action
 	for _, address := range s.options.Seeds {
 		if address != s.options.Address {
-			actions = append(actions, Tell{To: Peer{Address: address}})
+			actions = append(actions, SendDigest{To: Peer{Address: address}})
 		}
 	}
 	s.run(actions)
@@ -348,7 +348,7 @@
 	}
 	generation := s.options.Holder.Current().Generation()
 	s.then(func(now time.Time) []Action {
-		s.core.Served(now, Peer{ID: peer}, generation)
+		s.core.PullServed(now, Peer{ID: peer}, generation)
 		return nil
 	})
 }
--- a/internal/spread/herd_test.go
+++ b/internal/spread/herd_test.go
@@ -29,7 +29,7 @@
 		n := 0
 		for end := now.Add(d); now.Before(end); now = now.Add(tickEvery) {
 			for _, action := range core.Tick(now) {
-				if tell, ok := action.(Tell); ok && tell.To.ID.Role == keys.RoleAgent {
+				if tell, ok := action.(SendDigest); ok && tell.To.ID.Role == keys.RoleAgent {
 					n++
 				}
 			}
--- a/internal/spread/service.go
+++ b/internal/spread/service.go
@@ -46,19 +46,19 @@
 	Seeds []string
 	// OnVMs gets each answer of the VM list that holds something.
 	OnVMs func(platform.VMList)
-	// OnNews gets the news of other processes' digests.
-	OnNews func(from keys.Identity, news []*jayv1.MemberNews)
-	// News is what the process's digests carry; keep it small.
-	News func() []*jayv1.MemberNews
+	// OnUpdates gets the news of other processes' digests.
+	OnUpdates func(from keys.Identity, news []*jayv1.MemberNews)
+	// Updates is what the process's digests carry; keep it small.
+	Updates func() []*jayv1.MemberNews
 	// OnCrashes gets the requests under which engines crashed, of other processes'
 	// digests; Crashes are those that ours carry. all: those that a process which
 	// has just started must know too. Both may be nil.
 	OnCrashes func(news []*jayv1.CrashNews)
 	Crashes   func(all bool) []*jayv1.CrashNews
-	// Leaving tells whether the process is shutting down.
-	Leaving func() bool
-	// Process adds what else the process tells of itself in a status; may be nil.
-	Process func(*jayv1.ProcessStatus)
+	// Draining tells whether the process is shutting down.
+	Draining func() bool
+	// FillStatus adds what else the process tells of itself in a status; may be nil.
+	FillStatus func(*jayv1.ProcessStatus)
 	// Now is the clock; nil: time.Now.
 	Now platform.Clock
 }
@@ -143,10 +143,10 @@
 	return s.log.since(generation, s.options.Holder.Current())
 }
 
-// Heard takes the generation that any message of a peer was stamped with.
-func (s *Service) Heard(peer keys.Identity, generation uint64) {
+// ReceivedGeneration takes the generation that any message of a peer was stamped with.
+func (s *Service) ReceivedGeneration(peer keys.Identity, generation uint64) {
 	s.mu.Lock()
-	actions := s.core.Heard(s.options.Now(), peer, generation)
+	actions := s.core.ReceivedGeneration(s.options.Now(), peer, generation)
 	s.mu.Unlock()
 	s.run(actions)
 }
--- a/internal/spread/settings.go
+++ b/internal/spread/settings.go
@@ -18,19 +18,19 @@
 	SilentAfter time.Duration `toml:"silent_after" unit:"duration" doc:"an entry that heard no other for this long reads the head by itself"`
 	// PullTimeout bounds one exchange with a peer or the store.
 	PullTimeout time.Duration `toml:"pull_timeout" unit:"duration" doc:"bound of one exchange with a peer or the store"`
-	// Homes is the number of entries that look after an agent. Another one
+	// PreferredEntries is the number of entries that look after an agent. Another one
 	// stands in for a home that can't be reached.
-	Homes int `toml:"homes" validate:"min=1,max=4" unit:"entries" doc:"entries that tell an agent of new generations"`
-	// HomeInterval between two digests to an agent that is up to date.
-	HomeInterval time.Duration `toml:"home_interval" unit:"duration" doc:"time between two digests to an agent that is up to date"`
+	PreferredEntries int `toml:"homes" validate:"min=1,max=4" unit:"entries" doc:"entries that tell an agent of new generations"`
+	// EntryToAgentInterval between two digests to an agent that is up to date.
+	EntryToAgentInterval time.Duration `toml:"home_interval" unit:"duration" doc:"time between two digests to an agent that is up to date"`
 	// SuspectFor: a peer that could not be reached is passed over for this long.
 	SuspectFor time.Duration `toml:"suspect_for" unit:"duration" doc:"a peer that could not be reached is passed over for this long, unless it is heard"`
 	// VMInterval is the least time between two reads of the VM list.
 	VMInterval time.Duration `toml:"vm_interval" validate:"min=100ms" unit:"duration" doc:"least time between two reads of the VM list"`
 	// VMReadsPerSecond bounds the whole fleet's reads of the VM list.
 	VMReadsPerSecond float64 `toml:"vm_reads_per_second" validate:"gt=0" unit:"reads/s" doc:"bound on the whole fleet's reads of the VM list; each entry's interval grows with the number of entries"`
-	// AgentInterval between two digests of an agent to an entry it knows.
-	AgentInterval time.Duration `toml:"agent_interval" unit:"duration" doc:"time between two digests of an agent to entries that it knows"`
+	// AgentToEntryInterval between two digests of an agent to an entry it knows.
+	AgentToEntryInterval time.Duration `toml:"agent_interval" unit:"duration" doc:"time between two digests of an agent to entries that it knows"`
 	// StartWait bounds the wait of a starting process for the newest generation.
 	StartWait time.Duration `toml:"start_wait" unit:"duration" doc:"bound on a starting process's wait for the newest generation"`
 }
@@ -38,19 +38,19 @@
 // DefaultSettings are right for a few entries up to several hundred.
 func DefaultSettings() Settings {
 	return Settings{
-		Interval:         3 * time.Second,
-		FanOut:           3,
-		PushGap:          50 * time.Millisecond,
-		Pollers:          2,
-		PollInterval:     time.Second,
-		SilentAfter:      4 * time.Second,
-		PullTimeout:      time.Second,
-		Homes:            1,
-		HomeInterval:     10 * time.Second,
-		SuspectFor:       15 * time.Second,
-		VMInterval:       time.Second,
-		VMReadsPerSecond: 100,
-		AgentInterval:    10 * time.Second,
-		StartWait:        2 * time.Second,
+		Interval:             3 * time.Second,
+		FanOut:               3,
+		PushGap:              50 * time.Millisecond,
+		Pollers:              2,
+		PollInterval:         time.Second,
+		SilentAfter:          4 * time.Second,
+		PullTimeout:          time.Second,
+		PreferredEntries:     1,
+		EntryToAgentInterval: 10 * time.Second,
+		SuspectFor:           15 * time.Second,
+		VMInterval:           time.Second,
+		VMReadsPerSecond:     100,
+		AgentToEntryInterval: 10 * time.Second,
+		StartWait:            2 * time.Second,
 	}
 }
--- a/internal/spread/sim_test.go
+++ b/internal/spread/sim_test.go
@@ -166,7 +166,7 @@
 func (p *fakeProcess) perform(actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case Tell:
+		case SendDigest:
 			p.tell(a.To)
 		case Pull:
 			p.pull(a)
@@ -255,10 +255,10 @@
 	from, told := p.peer, p.gen
 	p.exchange(to.ID, 2*digestSize(p), func(target *fakeProcess) {
 		answer = target.gen
-		target.perform(target.core.HeardDigest(p.net.now, from, told))
+		target.perform(target.core.ReceivedDigest(p.net.now, from, told))
 	}, func() {
-		p.perform(p.core.HeardDigest(p.net.now, to, answer))
-	}, func() { p.perform(p.core.Failed(p.net.now, to.ID)) })
+		p.perform(p.core.ReceivedDigest(p.net.now, to, answer))
+	}, func() { p.perform(p.core.DigestFailed(p.net.now, to.ID)) })
 }
 
 func (p *fakeProcess) pull(a Pull) {
@@ -266,7 +266,7 @@
 	const deltaBytes = 320
 	p.exchange(a.From.ID, deltaBytes, func(target *fakeProcess) {
 		answer = target.gen
-		target.core.Served(p.net.now, p.peer, answer)
+		target.core.PullServed(p.net.now, p.peer, answer)
 	}, func() {
 		p.adopt(answer)
 		p.perform(p.core.PullDone(p.net.now, a.From.ID, true))
--- a/internal/spread/status.go
+++ b/internal/spread/status.go
@@ -48,8 +48,8 @@
 	return names
 }
 
-// AskEntry sends one frame to another entry by its name and returns the answer.
-func (s *Service) AskEntry(ctx context.Context, name string, question *jayv1.ClientFrame) (*jayv1.ServerFrame, error) {
+// QueryEntry sends one frame to another entry by its name and returns the answer.
+func (s *Service) QueryEntry(ctx context.Context, name string, question *jayv1.ClientFrame) (*jayv1.ServerFrame, error) {
 	id := keys.Identity{Role: keys.RoleEntry, Name: name}
 	s.mu.Lock()
 	state := s.core.entries[id]
@@ -128,12 +128,12 @@
 		Name: s.options.Self.Name, Role: string(s.options.Self.Role), DataCentre: s.options.DataCentre,
 		StartedUnixMs: s.started.UnixMilli(),
 	}
-	if s.options.Process != nil {
-		s.options.Process(self)
+	if s.options.FillStatus != nil {
+		s.options.FillStatus(self)
 	}
 	self.Generation = s.options.Holder.Current().Generation()
-	if s.options.Leaving != nil {
-		self.Leaving = s.options.Leaving()
+	if s.options.Draining != nil {
+		self.Leaving = s.options.Draining()
 	}
 	all := []*jayv1.ProcessStatus{self}
 	s.mu.Lock()
--- a/internal/spread/tick.go
+++ b/internal/spread/tick.go
@@ -37,7 +37,7 @@
 	c.overlayDirty = false
 	c.overlayLive = live
 	c.neighbours = neighbours(c.self, live, c.settings.FanOut)
-	homes := newHomes(c.self, c.addressed(), live, c.settings.Homes)
+	homes := newHomes(c.self, c.addressed(), live, c.settings.PreferredEntries)
 	var agents []Peer
 	for _, agent := range c.agents {
 		if agent.peer.Address != "" {
@@ -127,7 +127,7 @@
 		if agent.inFlight && now.Sub(agent.toldAt) < c.settings.PullTimeout {
 			continue
 		}
-		wait := c.settings.HomeInterval
+		wait := c.settings.EntryToAgentInterval
 		if agent.generation < c.generation {
 			wait = c.settings.PullTimeout
 		}
@@ -142,7 +142,7 @@
 func (c *Core) tell(now time.Time, state *peerState) Action {
 	state.toldAt = now
 	state.inFlight = true
-	return Tell{To: state.peer}
+	return SendDigest{To: state.peer}
 }
 
 // readHead is due for the pollers of a data centre, and for an entry that has
@@ -183,9 +183,9 @@
 	if now.Before(c.nextDigest) {
 		return nil
 	}
-	c.nextDigest = now.Add(c.settings.AgentInterval)
+	c.nextDigest = now.Add(c.settings.AgentToEntryInterval)
 	c.forgetSilent(now)
-	if now.Sub(c.heardEntryAt) < c.settings.AgentInterval {
+	if now.Sub(c.heardEntryAt) < c.settings.AgentToEntryInterval {
 		// Some entry looks after this agent. A digest to another one would cost
 		// a handshake, ten times as many bytes as the digest itself.
 		return nil
