--- a/internal/agent/enginecache.go
+++ b/internal/agent/enginecache.go
@@ -67,14 +67,14 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.aliases.Learn(chain, blocks, ends)
-	c.index.Used(time.Now(), blocks)
+	c.aliases.Record(chain, blocks, ends)
+	c.index.MarkUsed(time.Now(), blocks)
 }
 
 func (c *engineCache) sawIncarnation(incarnation uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.index.SawIncarnation(incarnation)
+	c.index.ObserveIncarnation(incarnation)
 }
 
 func (c *engineCache) incarnation() uint64 {
@@ -86,14 +86,14 @@
 func (c *engineCache) survival(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.index.Survival(now)
+	return c.index.Retention(now)
 }
 
 // evicting tells whether the engine has removed blocks to make room.
 func (c *engineCache) evicting() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.index.Evicting()
+	return c.index.HasEvicted()
 }
 
 // repair reads snapshots when the index asks for them, and gives up overdue events.
@@ -132,8 +132,8 @@
 		c.snapshots = false
 		incarnation := c.index.Incarnation()
 		c.index = cacheindex.New(now, cacheindex.Options{Repair: cacheindex.Forget})
-		c.index.SawIncarnation(incarnation)
-		c.index.Lost(now)
+		c.index.ObserveIncarnation(incarnation)
+		c.index.StreamLost(now)
 	case err != nil:
 		klog.V(1).InfoS("no snapshot of the cache", "error", err.Error())
 	default:
@@ -183,7 +183,7 @@
 		return nil
 	}
 	c.mu.Lock()
-	c.index.Lost(time.Now())
+	c.index.StreamLost(time.Now())
 	snapshots := c.snapshots
 	c.mu.Unlock()
 	if snapshots {
--- a/internal/cacheindex/alias.go
+++ b/internal/cacheindex/alias.go
@@ -36,9 +36,9 @@
 	return &Aliases{entries: entries}
 }
 
-// Learn takes the engine's blocks of a prompt, and the prompt bytes at which
+// Record takes the engine's blocks of a prompt, and the prompt bytes at which
 // each ends, for the points of the prompt's chain.
-func (a *Aliases) Learn(chain []*jayv1.PrefixPoint, blocks []engine.BlockHash, ends []int) {
+func (a *Aliases) Record(chain []*jayv1.PrefixPoint, blocks []engine.BlockHash, ends []int) {
 	last := -1
 	for _, point := range chain {
 		for last+1 < len(blocks) && ends[last+1] <= int(point.GetBytes()) {
--- a/internal/cacheindex/events.go
+++ b/internal/cacheindex/events.go
@@ -33,7 +33,7 @@
 		x.stats.Ignored++
 		return
 	}
-	x.SawIncarnation(event.Incarnation)
+	x.ObserveIncarnation(event.Incarnation)
 	x.blind = false
 	if x.next == 0 {
 		x.begin(now, event)
@@ -72,7 +72,7 @@
 			x.remove(event.at, block, event.Age)
 		}
 	}
-	if len(x.held) > x.options.MaxHeld {
+	if len(x.held) > x.options.MaxPending {
 		x.skipMissing(now)
 	}
 }
@@ -108,10 +108,10 @@
 	x.drain(now)
 }
 
-// Lost tells that the stream of events can't be continued where it was.
+// StreamLost tells that the stream of events can't be continued where it was.
 // Nothing is claimed until one arrives again: without removals, all that was
 // ever stored would seem to be there still.
-func (x *Index) Lost(now time.Time) {
+func (x *Index) StreamLost(now time.Time) {
 	x.blind = true
 	x.doubt(now)
 	x.next = 0
@@ -133,7 +133,7 @@
 
 func (x *Index) apply(event dated) {
 	x.change(event)
-	if x.wantSnapshot && len(x.journal) < x.options.MaxHeld {
+	if x.wantSnapshot && len(x.journal) < x.options.MaxPending {
 		x.journal = append(x.journal, event)
 	}
 }
@@ -180,7 +180,7 @@
 	if snapshot.Incarnation < x.incarnation {
 		return false
 	}
-	x.SawIncarnation(snapshot.Incarnation)
+	x.ObserveIncarnation(snapshot.Incarnation)
 	if !x.reaches(snapshot.Seq) {
 		return false
 	}
--- a/internal/cacheindex/index.go
+++ b/internal/cacheindex/index.go
@@ -28,8 +28,8 @@
 	Repair Repair
 	// ReorderWait is how long a missing event may be late before it counts as lost.
 	ReorderWait time.Duration
-	// MaxHeld bounds the events that wait for a missing one.
-	MaxHeld int
+	// MaxPending bounds the events that wait for a missing one.
+	MaxPending int
 }
 
 const (
@@ -61,8 +61,8 @@
 	if o.ReorderWait == 0 {
 		o.ReorderWait = defaultReorderWait
 	}
-	if o.MaxHeld == 0 {
-		o.MaxHeld = defaultMaxHeld
+	if o.MaxPending == 0 {
+		o.MaxPending = defaultMaxHeld
 	}
 	return o
 }
@@ -125,10 +125,10 @@
 // Incarnation that the picture is of.
 func (x *Index) Incarnation() uint64 { return x.incarnation }
 
-// SawIncarnation tells the boot number that an answer or report of the engine
+// ObserveIncarnation tells the boot number that an answer or report of the engine
 // carried. A newer one means that all that was cached is gone, whatever its
 // events say, which may come much later.
-func (x *Index) SawIncarnation(incarnation uint64) {
+func (x *Index) ObserveIncarnation(incarnation uint64) {
 	if incarnation > x.incarnation {
 		x.reset(incarnation)
 	}
@@ -168,12 +168,12 @@
 
 // usedWithin tells whether a stamp is no older than a share of the survival time.
 func (x *Index) usedWithin(now time.Time, used stamp, share float64) bool {
-	return float64(x.since(now, used)) <= share*float64(x.Survival(now))
+	return float64(x.since(now, used)) <= share*float64(x.Retention(now))
 }
 
-// Used tells that the engine has just computed or reused these blocks of a
+// MarkUsed tells that the engine has just computed or reused these blocks of a
 // prompt. In doubt this is evidence that they are cached.
-func (x *Index) Used(now time.Time, blocks []engine.BlockHash) {
+func (x *Index) MarkUsed(now time.Time, blocks []engine.BlockHash) {
 	at := x.stampOf(now)
 	for _, block := range blocks {
 		if _, ok := x.blocks[block]; ok || x.doubtAt != 0 {
@@ -182,13 +182,13 @@
 	}
 }
 
-// Survival is how long a block that is not used stays cached now. 0: unknown.
-func (x *Index) Survival(now time.Time) time.Duration {
+// Retention is how long a block that is not used stays cached now. 0: unknown.
+func (x *Index) Retention(now time.Time) time.Duration {
 	return x.survival.value(now.Sub(x.base))
 }
 
-// Evicting tells whether blocks have left this engine's cache since its start.
-func (x *Index) Evicting() bool { return x.survival.count > 0 }
+// HasEvicted tells whether blocks have left this engine's cache since its start.
+func (x *Index) HasEvicted() bool { return x.survival.count > 0 }
 
 // Tick gives up waiting for events that are overdue and drops blocks that must
 // be gone.
@@ -224,8 +224,8 @@
 	return time.Duration(at-used) * stampUnit
 }
 
-// Claimed lists the blocks that Has answers for with true, in no order.
-func (x *Index) Claimed(now time.Time) []engine.BlockHash {
+// CachedBlocks lists the blocks that Has answers for with true, in no order.
+func (x *Index) CachedBlocks(now time.Time) []engine.BlockHash {
 	claimed := make([]engine.BlockHash, 0, len(x.blocks))
 	for block := range x.blocks {
 		if x.Has(now, block) {
--- a/internal/cacheindex/index_test.go
+++ b/internal/cacheindex/index_test.go
@@ -47,7 +47,7 @@
 func TestIncarnationInAnAnswerClearsAll(t *testing.T) {
 	x := newIndex(cacheindex.Forget)
 	apply(x, stored(1, 1, 10))
-	x.SawIncarnation(2)
+	x.ObserveIncarnation(2)
 	assert.False(t, x.Has(epoch, 10))
 	apply(x, stored(1, 2, 11))
 	assert.False(t, x.Has(epoch, 11))
@@ -109,14 +109,14 @@
 	at := func(s int) time.Time { return epoch.Add(time.Duration(s) * time.Second) }
 	x.Apply(at(0), []engine.CacheEvent{stored(1, 1, 10, 11, 12)})
 	x.Apply(at(20), []engine.CacheEvent{removed(1, 2, 12)}) // blocks survive for 20 s
-	x.Used(at(20), []engine.BlockHash{11})
+	x.MarkUsed(at(20), []engine.BlockHash{11})
 	x.Apply(at(21), []engine.CacheEvent{stored(1, 4, 13)})
 	x.Tick(at(22))
 	assert.False(t, x.Has(at(22), 10), "not used for longer than half of the survival time")
 	assert.True(t, x.Has(at(22), 11))
 	assert.True(t, x.Has(at(22), 13))
 	assert.False(t, x.Has(at(39), 11))
-	x.Used(at(40), []engine.BlockHash{10})
+	x.MarkUsed(at(40), []engine.BlockHash{10})
 	assert.True(t, x.Has(at(40), 10), "the engine has just computed it")
 }
 
@@ -124,8 +124,8 @@
 func TestNothingIsClaimedWithoutEvents(t *testing.T) {
 	x := newIndex(cacheindex.Forget)
 	apply(x, stored(1, 1, 10))
-	x.Lost(epoch)
-	x.Used(epoch, []engine.BlockHash{10})
+	x.StreamLost(epoch)
+	x.MarkUsed(epoch, []engine.BlockHash{10})
 	assert.False(t, x.Has(epoch, 10))
 	apply(x, stored(1, 900, 11))
 	assert.True(t, x.Has(epoch, 11))
@@ -137,7 +137,7 @@
 	x := newIndex(cacheindex.Forget)
 	at := func(s int) time.Time { return epoch.Add(time.Duration(s) * time.Second) }
 	x.Apply(at(0), []engine.CacheEvent{stored(1, 1, 10)})
-	x.Used(at(5), []engine.BlockHash{10})
+	x.MarkUsed(at(5), []engine.BlockHash{10})
 	late := removed(1, 2, 10)
 	late.Age = 2 * time.Second
 	x.Apply(at(6), []engine.CacheEvent{late})
@@ -156,14 +156,14 @@
 			x.Apply(now, []engine.CacheEvent{removed(1, seq, engine.BlockHash(i-50))})
 		}
 	}
-	assert.InDelta(t, 5, x.Survival(epoch.Add(200*time.Second)).Seconds(), 0.1)
-	assert.InDelta(t, 100, x.Survival(epoch.Add(300*time.Second)).Seconds(), 1, "nothing was removed for 100 s")
+	assert.InDelta(t, 5, x.Retention(epoch.Add(200*time.Second)).Seconds(), 0.1)
+	assert.InDelta(t, 100, x.Retention(epoch.Add(300*time.Second)).Seconds(), 1, "nothing was removed for 100 s")
 }
 
 func TestCachedBytesEndAtTheFirstMissingPoint(t *testing.T) {
 	x, aliases := newIndex(cacheindex.Forget), cacheindex.NewAliases(100)
 	chain := []*jayv1.PrefixPoint{{Hash: 1, Bytes: 30}, {Hash: 2, Bytes: 64}, {Hash: 3, Bytes: 200}, {Hash: 4, Bytes: 256}}
-	aliases.Learn(chain, []engine.BlockHash{10, 11, 12, 13}, []int{64, 128, 192, 256})
+	aliases.Record(chain, []engine.BlockHash{10, 11, 12, 13}, []int{64, 128, 192, 256})
 	assert.Zero(t, x.CachedBytes(epoch, aliases, chain))
 	apply(x, stored(1, 1, 10, 11, 12, 13))
 	assert.Equal(t, 256, x.CachedBytes(epoch, aliases, chain))
@@ -213,7 +213,7 @@
 	f.Add([]byte{1, 1, 0, 5, 1, 3, 1, 5, 2, 1, 0, 7})
 	f.Fuzz(func(t *testing.T, script []byte) {
 		for _, repair := range []cacheindex.Repair{cacheindex.Resync, cacheindex.Forget} {
-			x := cacheindex.New(epoch, cacheindex.Options{Repair: repair, MaxHeld: 4})
+			x := cacheindex.New(epoch, cacheindex.Options{Repair: repair, MaxPending: 4})
 			highest := uint64(0)
 			for i := 0; i+3 < len(script); i += 4 {
 				now := epoch.Add(time.Duration(i) * 50 * time.Millisecond)
--- a/internal/cacheindex/loss_test.go
+++ b/internal/cacheindex/loss_test.go
@@ -166,7 +166,7 @@
 		for backlog += rate; backlog >= 1; backlog-- {
 			blocks := prompts.next()
 			cache.use(blocks)
-			x.Used(now, blocks)
+			x.MarkUsed(now, blocks)
 		}
 		net.send(now, cache.events)
 		if i >= warm*stepsPerSecond {
@@ -189,13 +189,13 @@
 	measured := float64(seconds - warm)
 	return picture{
 		eventsPerSecond: float64(count) / measured, precise: sum.precise / measured, complete: sum.complete / measured,
-		survival: x.Survival(epoch.Add(seconds * time.Second)), snapshots: x.Stats().Snapshots,
+		survival: x.Retention(epoch.Add(seconds * time.Second)), snapshots: x.Stats().Snapshots,
 	}
 }
 
 func compare(now time.Time, x *cacheindex.Index, cache *lruCache) (precise, complete float64) {
 	claimed, right := 0, 0
-	for _, block := range x.Claimed(now) {
+	for _, block := range x.CachedBlocks(now) {
 		claimed++
 		if _, ok := cache.at[block]; ok {
 			right++
