--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -218,7 +218,7 @@
 	var frame jayv1.ServerFrame
 	if err := stream.Receive(&frame); err != nil {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			stream.DoubtLink()
+			stream.RetireLink()
 		}
 		return err
 	}
--- a/internal/spread/exchange.go
+++ b/internal/spread/exchange.go
@@ -161,7 +161,7 @@
 	}
 	answer, err := s.askOn(stream, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Gossip{Gossip: digest}})
 	if err != nil {
-		stream.DoubtLink()
+		stream.RetireLink()
 		s.then(func(now time.Time) []Action { return s.core.DigestFailed(now, to.ID) })
 		return
 	}
--- a/internal/transport/node.go
+++ b/internal/transport/node.go
@@ -32,9 +32,9 @@
 	// LinkTimeout without a frame or heartbeat on an open stream means that the
 	// link is lost.
 	LinkTimeout time.Duration
-	// IdleClose: a connection without any packet for this long is dropped by
+	// IdleTimeout: a connection without any packet for this long is dropped by
 	// both ends, which costs no packet.
-	IdleClose time.Duration
+	IdleTimeout time.Duration
 	// MaxStreams that a peer may have open at once on a connection.
 	MaxStreams int64
 }
@@ -60,8 +60,8 @@
 	if o.LinkTimeout == 0 {
 		o.LinkTimeout = defaultLinkTimeout
 	}
-	if o.IdleClose == 0 {
-		o.IdleClose = defaultIdleClose
+	if o.IdleTimeout == 0 {
+		o.IdleTimeout = defaultIdleClose
 	}
 	if o.MaxStreams == 0 {
 		o.MaxStreams = defaultMaxStreams
@@ -153,7 +153,7 @@
 func (n *Node) quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout: n.options.DialTimeout,
-		MaxIdleTimeout:       n.options.IdleClose,
+		MaxIdleTimeout:       n.options.IdleTimeout,
 		MaxIncomingStreams:   n.options.MaxStreams,
 		// A search for the largest packet sends some ten packets of up to 1.4 KB
 		// on each new connection, more than a node may spend on control in seconds.
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -17,8 +17,8 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// MaxFrame bounds one message in bytes; a peer that announces more is cut off.
-const MaxFrame = 16 << 20
+// MaxFrameBytes bounds one message in bytes; a peer that announces more is cut off.
+const MaxFrameBytes = 16 << 20
 
 // ErrFrameTooLong means that a peer announced a frame above MaxFrame.
 var ErrFrameTooLong = errors.New("frame too long")
@@ -78,11 +78,11 @@
 // Peer is who stands at the other end, as its certificate says.
 func (s *Stream) Peer() keys.Identity { return s.link.peer }
 
-// DoubtLink makes the next Open to the peer dial anew: this stream's link has
+// RetireLink makes the next Open to the peer dial anew: this stream's link has
 // been silent for longer than its user waits. A process that was replaced at
 // its address answers nothing on the old connection, which would otherwise be
 // used until it idles out. Streams that are open on it stay.
-func (s *Stream) DoubtLink() { s.node.forget(s.link) }
+func (s *Stream) RetireLink() { s.node.forget(s.link) }
 
 // Send writes one message.
 func (s *Stream) Send(message proto.Message) error {
@@ -134,7 +134,7 @@
 			return s.readFault(err)
 		}
 	}
-	if size > MaxFrame {
+	if size > MaxFrameBytes {
 		return ErrFrameTooLong
 	}
 	body := make([]byte, size)
@@ -175,7 +175,7 @@
 	if own := s.readDeadline; !own.IsZero() && !time.Now().Before(own) {
 		return eris.Wrap(err, "receive frame")
 	}
-	s.DoubtLink()
+	s.RetireLink()
 	return ErrLinkLost
 }
 
