--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -12,9 +12,9 @@
 var (
 	// ErrEngineGap means that the engine left out an event.
 	ErrEngineGap = errors.New("engine left out an event of the stream")
-	// ErrMixed means that one stream carries events of two engine boots or of
+	// ErrMixedOrigin means that one stream carries events of two engine boots or of
 	// other weights than asked for.
-	ErrMixed = errors.New("stream mixes incarnations or versions")
+	ErrMixedOrigin = errors.New("stream mixes incarnations or versions")
 )
 
 // Verdict is what to do with an engine's event.
@@ -86,10 +86,10 @@
 		}
 	}
 	if event.Incarnation != o.incarnation {
-		return eris.Wrapf(ErrMixed, "incarnation %d after %d", event.Incarnation, o.incarnation)
+		return eris.Wrapf(ErrMixedOrigin, "incarnation %d after %d", event.Incarnation, o.incarnation)
 	}
 	if event.VersionDigest != o.versionDigest {
-		return eris.Wrapf(ErrMixed, "version %s in a stream of %s", event.VersionDigest, o.versionDigest)
+		return eris.Wrapf(ErrMixedOrigin, "version %s in a stream of %s", event.VersionDigest, o.versionDigest)
 	}
 	return nil
 }
