--- a/internal/agent/enginecache.go
+++ b/internal/agent/enginecache.go
@@ -131,7 +131,7 @@
 	case errors.Is(err, engine.ErrUnsupported):
 		c.snapshots = false
 		incarnation := c.index.Incarnation()
-		c.index = cacheindex.New(now, cacheindex.Options{Repair: cacheindex.Forget})
+		c.index = cacheindex.New(now, cacheindex.Options{Repair: cacheindex.Expire})
 		c.index.ObserveIncarnation(incarnation)
 		c.index.StreamLost(now)
 	case err != nil:
--- a/internal/cacheindex/index.go
+++ b/internal/cacheindex/index.go
@@ -18,9 +18,9 @@
 const (
 	// Resync asks for a snapshot of the engine's cache.
 	Resync Repair = iota + 1
-	// Forget is for engines without snapshots: it stops claiming blocks that
+	// Expire is for engines without snapshots: it stops claiming blocks that
 	// nothing has confirmed lately.
-	Forget
+	Expire
 )
 
 // Options of an index. Zero values take the defaults.
--- a/internal/cacheindex/index_test.go
+++ b/internal/cacheindex/index_test.go
@@ -33,7 +33,7 @@
 // An engine crashes and comes back cold. Its last events from before arrive
 // afterwards; requests would be sent there for a prefix that nobody holds.
 func TestEventsOfAnOldBootAreIgnored(t *testing.T) {
-	x := newIndex(cacheindex.Forget)
+	x := newIndex(cacheindex.Expire)
 	apply(x, stored(1, 1, 10), stored(1, 2, 11))
 	require.True(t, x.Has(epoch, 10))
 	apply(x, stored(2, 1, 20))
@@ -45,7 +45,7 @@
 
 // The engine's answer shows the new boot before any event of it has come.
 func TestIncarnationInAnAnswerClearsAll(t *testing.T) {
-	x := newIndex(cacheindex.Forget)
+	x := newIndex(cacheindex.Expire)
 	apply(x, stored(1, 1, 10))
 	x.ObserveIncarnation(2)
 	assert.False(t, x.Has(epoch, 10))
@@ -56,21 +56,21 @@
 
 // A block is evicted, and the event that stored it comes a second time.
 func TestDoubledEventsPutNothingBack(t *testing.T) {
-	x := newIndex(cacheindex.Forget)
+	x := newIndex(cacheindex.Expire)
 	apply(x, stored(1, 1, 10), removed(1, 2, 10), stored(1, 1, 10))
 	assert.False(t, x.Has(epoch, 10))
 }
 
 // Removal and storing of a block arrive in the wrong order.
 func TestReorderedEventsAreAppliedInOrder(t *testing.T) {
-	x := newIndex(cacheindex.Forget)
+	x := newIndex(cacheindex.Expire)
 	apply(x, stored(1, 1, 10), stored(1, 3, 10), removed(1, 2, 10), removed(1, 5, 11), stored(1, 4, 11))
 	assert.True(t, x.Has(epoch, 10))
 	assert.False(t, x.Has(epoch, 11))
 }
 
 func TestRemovalsOfHeldEventsCountAtOnce(t *testing.T) {
-	x := newIndex(cacheindex.Forget)
+	x := newIndex(cacheindex.Expire)
 	apply(x, stored(1, 1, 10), removed(1, 3, 10))
 	assert.False(t, x.Has(epoch, 10))
 }
@@ -105,7 +105,7 @@
 // A removal is lost on an engine without snapshots. The block is claimed only
 // as long as its last use makes it likely.
 func TestGapWithoutSnapshotsForgetsWhatNothingConfirms(t *testing.T) {
-	x := newIndex(cacheindex.Forget)
+	x := newIndex(cacheindex.Expire)
 	at := func(s int) time.Time { return epoch.Add(time.Duration(s) * time.Second) }
 	x.Apply(at(0), []engine.CacheEvent{stored(1, 1, 10, 11, 12)})
 	x.Apply(at(20), []engine.CacheEvent{removed(1, 2, 12)}) // blocks survive for 20 s
@@ -122,7 +122,7 @@
 
 // The stream of events ends and can't be continued; blocks are evicted unseen.
 func TestNothingIsClaimedWithoutEvents(t *testing.T) {
-	x := newIndex(cacheindex.Forget)
+	x := newIndex(cacheindex.Expire)
 	apply(x, stored(1, 1, 10))
 	x.StreamLost(epoch)
 	x.MarkUsed(epoch, []engine.BlockHash{10})
@@ -134,7 +134,7 @@
 // The removal of a block arrives after the engine has computed it again, and
 // the event of that is lost: a hot prefix would count as missing.
 func TestRemovalBeforeTheLastUseIsOldNews(t *testing.T) {
-	x := newIndex(cacheindex.Forget)
+	x := newIndex(cacheindex.Expire)
 	at := func(s int) time.Time { return epoch.Add(time.Duration(s) * time.Second) }
 	x.Apply(at(0), []engine.CacheEvent{stored(1, 1, 10)})
 	x.MarkUsed(at(5), []engine.BlockHash{10})
@@ -145,7 +145,7 @@
 }
 
 func TestSurvivalFollowsTheRemovals(t *testing.T) {
-	x := newIndex(cacheindex.Forget)
+	x := newIndex(cacheindex.Expire)
 	seq := uint64(0)
 	for i := range 2000 {
 		now := epoch.Add(time.Duration(i) * 100 * time.Millisecond)
@@ -161,7 +161,7 @@
 }
 
 func TestCachedBytesEndAtTheFirstMissingPoint(t *testing.T) {
-	x, aliases := newIndex(cacheindex.Forget), cacheindex.NewAliases(100)
+	x, aliases := newIndex(cacheindex.Expire), cacheindex.NewAliases(100)
 	chain := []*jayv1.PrefixPoint{{Hash: 1, Bytes: 30}, {Hash: 2, Bytes: 64}, {Hash: 3, Bytes: 200}, {Hash: 4, Bytes: 256}}
 	aliases.Record(chain, []engine.BlockHash{10, 11, 12, 13}, []int{64, 128, 192, 256})
 	assert.Zero(t, x.CachedBytes(epoch, aliases, chain))
@@ -195,7 +195,7 @@
 			}
 		}
 		arrival := rapid.Permutation(append(events[1:], events...)).Draw(t, "arrival")
-		x := newIndex(cacheindex.Forget)
+		x := newIndex(cacheindex.Expire)
 		apply(x, events[0])
 		for _, event := range arrival {
 			apply(x, event)
@@ -212,7 +212,7 @@
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte{1, 1, 0, 5, 1, 3, 1, 5, 2, 1, 0, 7})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		for _, repair := range []cacheindex.Repair{cacheindex.Resync, cacheindex.Forget} {
+		for _, repair := range []cacheindex.Repair{cacheindex.Resync, cacheindex.Expire} {
 			x := cacheindex.New(epoch, cacheindex.Options{Repair: repair, MaxPending: 4})
 			highest := uint64(0)
 			for i := 0; i+3 < len(script); i += 4 {
--- a/internal/cacheindex/loss_test.go
+++ b/internal/cacheindex/loss_test.go
@@ -207,8 +207,8 @@
 // An entry is told that a prompt is cached where it is not: events are lost,
 // and the picture drifts from the truth.
 func TestClaimedBlocksAreCachedUnderLoss(t *testing.T) {
-	for _, repair := range []cacheindex.Repair{cacheindex.Resync, cacheindex.Forget} {
-		name := map[cacheindex.Repair]string{cacheindex.Resync: "resync", cacheindex.Forget: "forget"}[repair]
+	for _, repair := range []cacheindex.Repair{cacheindex.Resync, cacheindex.Expire} {
+		name := map[cacheindex.Repair]string{cacheindex.Resync: "resync", cacheindex.Expire: "forget"}[repair]
 		for _, run := range []struct{ loss, surge float64 }{{0, 1}, {0.01, 1}, {0.5, 1}, {0.5, 3}} {
 			p := watch(repair, run.loss, run.surge)
 			t.Logf("%s, %2.0f%% lost, load %.0f, %.0f events/s: claimed and cached %.4f, cached and claimed %.4f, survival %.1f s, %d snapshots",
@@ -241,7 +241,7 @@
 }
 
 func fill(blocks int) *cacheindex.Index {
-	x := cacheindex.New(epoch, cacheindex.Options{Repair: cacheindex.Forget})
+	x := cacheindex.New(epoch, cacheindex.Options{Repair: cacheindex.Expire})
 	for i := range blocks {
 		x.Apply(epoch, []engine.CacheEvent{{
 			Incarnation: 1, Seq: uint64(i + 1), Kind: engine.BlocksStored, Blocks: []engine.BlockHash{engine.BlockHash(i)},
--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -24,10 +24,10 @@
 const (
 	// Deliver the event: it is the next one of this request.
 	Deliver Verdict = iota + 1
-	// DropCrossed: the event belongs to another request.
-	DropCrossed
-	// DropDoubled: the event came before.
-	DropDoubled
+	// DropOtherRequest: the event belongs to another request.
+	DropOtherRequest
+	// DropDuplicate: the event came before.
+	DropDuplicate
 )
 
 // Origin checks that each event of an engine's stream belongs to the one
@@ -60,10 +60,10 @@
 // since a later event would be glued to an earlier one without a trace.
 func (o *Origin) Check(event engine.Event) (Verdict, error) {
 	if event.RequestID != o.requestID {
-		return DropCrossed, nil
+		return DropOtherRequest, nil
 	}
 	if event.Index < o.next {
-		return DropDoubled, nil
+		return DropDuplicate, nil
 	}
 	if event.Index > o.next {
 		return 0, eris.Wrapf(ErrEngineGap, "event %d came, %d was due", event.Index, o.next)
