--- a/internal/spread/core.go
+++ b/internal/spread/core.go
@@ -7,22 +7,23 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// Action is what the shell does for the core.
+// Action is an I/O operation that Core asks Service to carry out.
 type Action interface{ isAction() }
 
-// SendDigest sends a digest to a peer and reports its answer by Heard or Failed.
+// SendDigest sends a digest to a peer. The caller reports the result with
+// ReceivedDigest or DigestFailed.
 type SendDigest struct{ To Peer }
 
-// Pull asks a peer for what is newer than Have.
+// Pull requests the catalog changes after generation Have from a peer.
 type Pull struct {
 	From Peer
 	Have uint64
 }
 
-// ReadHead reads the head row of the table.
+// ReadHead reads the highest generation in the catalog store.
 type ReadHead struct{}
 
-// PullStore reads the changes after Have from the table.
+// PullStore reads the changes after generation Have from the catalog store.
 type PullStore struct{ Have uint64 }
 
 // ReadVMs reads the changes of the VM list.
@@ -34,88 +35,88 @@
 func (PullStore) isAction()  {}
 func (ReadVMs) isAction()    {}
 
-// Core decides whom a process tells of generations and from whom it pulls
-// them. It has no I/O, goroutine or clock. Not safe for concurrent use.
+// Core decides which peers a process sends digests to and where it pulls newer
+// generations from. It has no I/O, goroutine or clock. Not safe for concurrent use.
 type Core struct {
 	self       Peer
 	settings   Settings
 	startedAt  time.Time
 	generation uint64
-	// storeHead is the highest generation that the table showed.
+	// storeHead is the highest generation seen in the catalog store.
 	storeHead uint64
-	// maxTold is the highest generation that any peer told of.
-	maxTold uint64
-	entries map[keys.Identity]*peerState
-	agents  map[keys.Identity]*peerState
-	listed  []Peer // entries of the VM list and seeds, self left out
-	// entriesKnown: the list was read, be it empty.
-	entriesKnown bool
-
-	// overlayDirty: members changed since neighbours and homes were computed.
-	overlayDirty bool
-	overlayUntil time.Time
-	overlayLive  []Peer
-	neighbours   []Peer
-	homeAgents   []*peerState
-
-	pushDue    bool
-	pushedAt   time.Time
-	nextDigest time.Time
-	rotation   int
-	nextHead   time.Time
-	nextVMs    time.Time
-	pullUntil  time.Time
-	pulling    bool
-	// heardEntryAt is when any other entry was last heard.
-	heardEntryAt time.Time
+	// maxReported is the highest generation that any peer reported.
+	maxReported uint64
+	entries     map[keys.Identity]*peerState
+	agents      map[keys.Identity]*peerState
+	listed      []Peer // entries of the VM list, without this process
+	// entryListRead: the list of entries was read at least once, even if it was empty.
+	entryListRead bool
+
+	// overlayDirty: peers changed since neighbours and assignedAgents were computed.
+	overlayDirty     bool
+	nextOverlayCheck time.Time
+	overlayLive      []Peer
+	neighbours       []Peer
+	assignedAgents   []*peerState
+
+	pushDue      bool
+	pushedAt     time.Time
+	nextDigest   time.Time
+	rotation     int
+	nextHeadRead time.Time
+	nextVMRead   time.Time
+	pullDeadline time.Time
+	pulling      bool
+	// lastEntryContact is when a message from any other entry last arrived.
+	lastEntryContact time.Time
 }
 
-// peerState is what the core knows of a peer.
+// peerState is the view of one peer.
 type peerState struct {
 	peer Peer
-	// generation last heard from it.
-	generation uint64
-	toldAt     time.Time
-	heardAt    time.Time
-	failedAt   time.Time
-	// introducedAt is when the peer was last told who this process is.
-	introducedAt time.Time
-	// inFlight: a digest is on its way.
-	inFlight bool
-	// pullFailed at, so that the next pull tries another peer first.
+	// generation is the highest one that the peer reported.
+	generation     uint64
+	digestSentAt   time.Time
+	lastReceivedAt time.Time
+	failedAt       time.Time
+	// identitySentAt is when a digest last carried this process's identity and address.
+	identitySentAt time.Time
+	// digestInFlight: a digest was sent and neither answered nor failed yet.
+	digestInFlight bool
+	// pullFailedAt makes the next pull prefer another peer.
 	pullFailedAt time.Time
 }
 
-// NewCore returns the core of a process that starts now.
+// NewCore returns the core of a process that starts at now.
 func NewCore(now time.Time, self Peer, settings Settings) *Core {
 	return &Core{
 		self: self, settings: settings,
 		entries: map[keys.Identity]*peerState{}, agents: map[keys.Identity]*peerState{},
-		startedAt: now, heardEntryAt: now,
-		// Processes that start together spread their timers over an interval.
-		nextDigest: now.Add(phase(self.ID.Name, settings.Interval)),
-		nextHead:   now,
-		nextVMs:    now,
+		startedAt: now, lastEntryContact: now,
+		// Processes that start together distribute their first digests over an interval.
+		nextDigest:   now.Add(startOffset(self.ID.Name, settings.Interval)),
+		nextHeadRead: now,
+		nextVMRead:   now,
 	}
 }
 
-// phase maps a name evenly into the interval.
-func phase(name string, interval time.Duration) time.Duration {
+// startOffset maps a name to a pseudorandom, evenly distributed offset within the interval.
+func startOffset(name string, interval time.Duration) time.Duration {
 	const steps = 1 << 16
-	return time.Duration(score("phase", name)%steps) * interval / steps
+	return time.Duration(rendezvousWeight("phase", name)%steps) * interval / steps
 }
 
-// Generation in force, as the core was told.
+// Generation returns the generation in force, as last passed to Adopted.
 func (c *Core) Generation() uint64 { return c.generation }
 
-// SetEntries replaces the list of entries (VM list and seeds).
+// SetEntries replaces the list of entries. An empty list keeps the peers already known.
 func (c *Core) SetEntries(entries []Peer) {
-	c.entriesKnown = true
-	c.listed = without(entries, c.self.ID)
+	c.entryListRead = true
+	c.listed = excluding(entries, c.self.ID)
 	named := map[keys.Identity]bool{}
 	for _, entry := range c.listed {
 		named[entry.ID] = true
-		c.remember(c.entries, entry)
+		c.upsertPeer(c.entries, entry)
 	}
 	for id := range c.entries {
 		if !named[id] && len(named) > 0 {
@@ -125,12 +126,12 @@
 	c.overlayDirty = true
 }
 
-// SetAgents replaces the list of agents, as the catalog declares them.
+// SetAgents replaces the list of agents that the catalog declares.
 func (c *Core) SetAgents(agents []Peer) {
 	named := map[keys.Identity]bool{}
 	for _, agent := range agents {
 		named[agent.ID] = true
-		c.remember(c.agents, agent)
+		c.upsertPeer(c.agents, agent)
 	}
 	for id := range c.agents {
 		if !named[id] {
@@ -140,7 +141,7 @@
 	c.overlayDirty = true
 }
 
-func (c *Core) remember(known map[keys.Identity]*peerState, peer Peer) *peerState {
+func (c *Core) upsertPeer(known map[keys.Identity]*peerState, peer Peer) *peerState {
 	state := known[peer.ID]
 	if state == nil {
 		state = &peerState{}
@@ -154,8 +155,8 @@
 	return state
 }
 
-// Adopted says that a newer generation is in force here. The peers hear of it
-// at the next tick, or at once when the last push is long enough ago.
+// Adopted records that a newer generation is in force in this process. Digests to
+// peers are due at the next tick, or at once if PushGap has passed since the last push.
 func (c *Core) Adopted(now time.Time, generation uint64) []Action {
 	if generation <= c.generation {
 		return nil
@@ -165,30 +166,31 @@
 	return c.Tick(now)
 }
 
-// ReceivedDigest takes a digest, or the answer to one. A digest tells the
-// sender's address and data centre as well.
+// ReceivedDigest processes a digest or the answer to one. A digest may also carry
+// the sender's address and data centre.
 func (c *Core) ReceivedDigest(now time.Time, from Peer, generation uint64) []Action {
-	state := c.known(from)
+	state := c.stateOf(from)
 	if state == nil {
 		return nil
 	}
-	state.inFlight = false
-	return c.heard(now, state, generation)
+	state.digestInFlight = false
+	return c.receivedFrom(now, state, generation)
 }
 
-// ReceivedGeneration takes a stamp on any other message. The peer's address may be unknown.
+// ReceivedGeneration processes the generation attached to any other message. The
+// peer's address may be unknown.
 func (c *Core) ReceivedGeneration(now time.Time, from keys.Identity, generation uint64) []Action {
-	if generation <= c.generation && c.fresh(now, from) {
+	if generation <= c.generation && c.recentlyReceived(now, from) {
 		return nil
 	}
-	state := c.known(Peer{ID: from})
+	state := c.stateOf(Peer{ID: from})
 	if state == nil {
 		return nil
 	}
-	return c.heard(now, state, generation)
+	return c.receivedFrom(now, state, generation)
 }
 
-// generationOf is the generation last heard from a peer, 0 when none was.
+// generationOf returns the highest generation that a peer reported, or 0.
 func (c *Core) generationOf(peer keys.Identity) uint64 {
 	if state := c.entries[peer]; state != nil {
 		return state.generation
@@ -199,12 +201,12 @@
 	return 0
 }
 
-// introduceEvery is how often a peer hears again who the process is.
-const introduceEvery = 10 * time.Minute
+// identityInterval is the time after which a digest carries the process's identity again.
+const identityInterval = 10 * time.Minute
 
-// introductionDue tells whether the peer should hear who this process is, and
-// takes it as done.
-func (c *Core) introductionDue(now time.Time, peer keys.Identity) bool {
+// identityDue reports whether the next digest to the peer must carry this process's
+// identity and address, and records them as sent.
+func (c *Core) identityDue(now time.Time, peer keys.Identity) bool {
 	state := c.entries[peer]
 	if state == nil {
 		state = c.agents[peer]
@@ -212,51 +214,52 @@
 	if state == nil {
 		return true
 	}
-	if !state.introducedAt.IsZero() && now.Sub(state.introducedAt) < introduceEvery {
+	if !state.identitySentAt.IsZero() && now.Sub(state.identitySentAt) < identityInterval {
 		return false
 	}
-	state.introducedAt = now
+	state.identitySentAt = now
 	return true
 }
 
-// fresh tells whether the peer was heard lately: the stamp of each of
-// thousands of messages a second then costs a map look-up.
-func (c *Core) fresh(now time.Time, from keys.Identity) bool {
+// recentlyReceived reports whether a message of the peer arrived within the last
+// Interval. This keeps the cost per message to one map lookup.
+func (c *Core) recentlyReceived(now time.Time, from keys.Identity) bool {
 	state := c.entries[from]
 	if state == nil {
 		state = c.agents[from]
 	}
-	return state != nil && now.Sub(state.heardAt) < c.settings.Interval
+	return state != nil && now.Sub(state.lastReceivedAt) < c.settings.Interval
 }
 
-func (c *Core) heard(now time.Time, state *peerState, generation uint64) []Action {
-	state.heardAt = now
+func (c *Core) receivedFrom(now time.Time, state *peerState, generation uint64) []Action {
+	state.lastReceivedAt = now
 	if state.suspectedAt(now, c.settings.SuspectFor) {
 		c.overlayDirty = true
 	}
 	state.failedAt = time.Time{}
 	if state.peer.ID.Role == keys.RoleEntry {
-		c.heardEntryAt = now
+		c.lastEntryContact = now
 	}
 	if generation > state.generation {
 		state.generation = generation
 	}
-	c.maxTold = max(c.maxTold, generation)
+	c.maxReported = max(c.maxReported, generation)
 	return c.pull(now)
 }
 
-// PullServed says that a peer pulled from here and was sent the generation.
+// PullServed records that a peer pulled from this process and was sent the generation.
 func (c *Core) PullServed(now time.Time, peer Peer, generation uint64) {
-	state := c.known(peer)
+	state := c.stateOf(peer)
 	if state == nil {
 		return
 	}
-	state.heardAt = now
+	state.lastReceivedAt = now
 	state.generation = max(state.generation, generation)
 }
 
-// known finds the state of a peer and makes one for a peer that speaks first.
-func (c *Core) known(peer Peer) *peerState {
+// stateOf returns the state of a peer and adds a peer that is not known yet. It
+// returns nil for this process itself.
+func (c *Core) stateOf(peer Peer) *peerState {
 	if peer.ID == c.self.ID {
 		return nil
 	}
@@ -271,13 +274,12 @@
 		}
 		return state
 	}
-	return c.remember(known, peer)
+	return c.upsertPeer(known, peer)
 }
 
-// DigestFailed says that a digest to the peer, or its answer, did not arrive. A peer
-// that lacks the generation is told once more at once: waiting for its next
-// turn, or for another who tells it, is what makes the last process late when
-// packets get lost. A peer that is dead costs one more digest.
+// DigestFailed records that a digest to the peer, or its answer, was lost. After
+// the first failure a peer that lacks the generation is sent one more digest at
+// once, so that a single lost packet doesn't delay it until its next turn.
 func (c *Core) DigestFailed(now time.Time, peer keys.Identity) []Action {
 	state := c.entries[peer]
 	if state == nil {
@@ -286,19 +288,19 @@
 	if state == nil {
 		return nil
 	}
-	first := !state.suspectedAt(now, c.settings.SuspectFor)
-	state.inFlight = false
+	newlySuspected := !state.suspectedAt(now, c.settings.SuspectFor)
+	state.digestInFlight = false
 	state.failedAt = now
-	state.introducedAt = time.Time{}
+	state.identitySentAt = time.Time{}
 	c.overlayDirty = true
-	if first && state.generation < c.generation {
-		return []Action{c.tell(now, state)}
+	if newlySuspected && state.generation < c.generation {
+		return []Action{c.sendDigest(now, state)}
 	}
 	return nil
 }
 
-// PullDone says that a pull from the peer ended, well or not. The shell calls
-// Adopted before it when the pull brought something newer.
+// PullDone records that a pull from the peer ended. If the pull brought a newer
+// generation, Adopted must be called first.
 func (c *Core) PullDone(now time.Time, from keys.Identity, ok bool) []Action {
 	c.pulling = false
 	state := c.entries[from]
@@ -310,26 +312,26 @@
 	case !ok:
 		state.pullFailedAt = now
 	case state.generation > c.generation:
-		// It told of more than it gave. Believing it further would pull from it
-		// without end.
+		// The peer reported a higher generation than it served. Lowering the reported
+		// value prevents an endless loop of pulls from it.
 		state.generation = c.generation
-		c.recountTold()
+		c.recomputeMaxReported()
 	}
 	return c.pull(now)
 }
 
-func (c *Core) recountTold() {
-	c.maxTold = 0
+func (c *Core) recomputeMaxReported() {
+	c.maxReported = 0
 	for _, known := range []map[keys.Identity]*peerState{c.entries, c.agents} {
 		for _, state := range known {
-			c.maxTold = max(c.maxTold, state.generation)
+			c.maxReported = max(c.maxReported, state.generation)
 		}
 	}
 }
 
-// StorePullDone says that reading changes from the table ended. When it failed,
-// the head is forgotten until it is read again, so that an outage is not met
-// with a loop of reads.
+// StorePullDone records that reading changes from the store ended; ok is false if it
+// failed. The head is then reset until it is read again, so that an outage doesn't
+// cause a loop of reads.
 func (c *Core) StorePullDone(now time.Time, ok bool) []Action {
 	c.pulling = false
 	if !ok {
@@ -338,7 +340,7 @@
 	return c.pull(now)
 }
 
-// HeadRead takes the head generation that the table showed.
+// HeadRead processes the head generation read from the store.
 func (c *Core) HeadRead(now time.Time, generation uint64) []Action {
 	if generation > c.storeHead {
 		c.storeHead = generation
@@ -346,14 +348,14 @@
 	return c.pull(now)
 }
 
-// pull asks for what is newer, one pull at a time. A process that is behind
-// asks the peer that told of the highest generation, and the table when it
-// showed a higher one than every peer that answers.
+// pull starts a pull if a newer generation is known, one at a time. It uses the
+// peer that reported the highest generation, or the store if its head is higher
+// than that of every peer that can be asked.
 func (c *Core) pull(now time.Time) []Action {
-	if c.pulling && now.Before(c.pullUntil) {
+	if c.pulling && now.Before(c.pullDeadline) {
 		return nil
 	}
-	if c.maxTold <= c.generation && c.storeHead <= c.generation {
+	if c.maxReported <= c.generation && c.storeHead <= c.generation {
 		return nil
 	}
 	best := c.newestPeer(now)
@@ -373,25 +375,24 @@
 
 func (c *Core) startPull(now time.Time) {
 	c.pulling = true
-	c.pullUntil = now.Add(c.settings.PullTimeout)
+	c.pullDeadline = now.Add(c.settings.PullTimeout)
 }
 
-// pullPauseShare of PullTimeout passes before a peer is asked again whose pull
-// failed: most pulls fail by a lost packet, and a process that is behind should
-// not wait for another's word.
-const pullPauseShare = 4
+// pullRetryDivisor: a peer whose pull failed is skipped for PullTimeout divided by
+// this value. It is short because most pulls fail by a lost packet.
+const pullRetryDivisor = 4
 
-// newestPeer is the peer with the highest generation above our own; of
-// several, entries of the same data centre first. A peer whose pull failed
-// just now is passed over for a moment, so that another is asked first.
+// newestPeer returns the peer with the highest generation above this process's
+// own, preferring entries and agents of the same data centre. Peers whose pull
+// failed recently are skipped. It returns nil if there is none.
 func (c *Core) newestPeer(now time.Time) *peerState {
 	var best *peerState
 	for _, known := range []map[keys.Identity]*peerState{c.entries, c.agents} {
 		for _, state := range known {
-			if state.generation <= c.generation || now.Sub(state.pullFailedAt) < c.settings.PullTimeout/pullPauseShare {
+			if state.generation <= c.generation || now.Sub(state.pullFailedAt) < c.settings.PullTimeout/pullRetryDivisor {
 				continue
 			}
-			if best == nil || c.preferred(state, best) {
+			if best == nil || c.isBetterSource(state, best) {
 				best = state
 			}
 		}
@@ -399,22 +400,23 @@
 	return best
 }
 
-func (c *Core) preferred(a, b *peerState) bool {
+func (c *Core) isBetterSource(a, b *peerState) bool {
 	if a.generation != b.generation {
 		return a.generation > b.generation
 	}
-	if aNear, bNear := a.peer.DataCentre == c.self.DataCentre, b.peer.DataCentre == c.self.DataCentre; aNear != bNear {
-		return aNear
+	if aLocal, bLocal := a.peer.DataCentre == c.self.DataCentre, b.peer.DataCentre == c.self.DataCentre; aLocal != bLocal {
+		return aLocal
 	}
-	return score(c.self.ID.Name, a.peer.ID.Name) > score(c.self.ID.Name, b.peer.ID.Name)
+	return rendezvousWeight(c.self.ID.Name, a.peer.ID.Name) > rendezvousWeight(c.self.ID.Name, b.peer.ID.Name)
 }
 
-// suspectedAt tells whether the last word of the peer is a failure that is young.
+// suspectedAt reports whether the last exchange with the peer failed less than
+// suspectFor ago.
 func (p *peerState) suspectedAt(now time.Time, suspectFor time.Duration) bool {
 	return !p.failedAt.IsZero() && now.Sub(p.failedAt) < suspectFor
 }
 
-// live returns the entries that are not suspected, in order of name.
+// live returns the entries that have an address and are not suspected, sorted by name.
 func (c *Core) live(now time.Time) []Peer {
 	var live []Peer
 	for _, state := range c.entries {
--- a/internal/spread/exchange.go
+++ b/internal/spread/exchange.go
@@ -16,13 +16,13 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// errWrongPeer means that another process answers at a peer's old address.
-var errWrongPeer = errors.New("another process answers at the address")
+// errWrongPeer means that another process answers at the peer's address.
+var errWrongPeer = errors.New("another process answers at the peer's address")
 
-// run carries out the core's actions, each in its own goroutine with a bound.
+// run carries out the actions, each in its own goroutine bounded by PullTimeout.
 func (s *Service) run(actions []Action) {
 	for _, action := range actions {
-		if !s.enter() {
+		if !s.addWorker() {
 			return
 		}
 		go func() {
@@ -37,7 +37,7 @@
 func (s *Service) perform(ctx context.Context, action Action) {
 	switch a := action.(type) {
 	case SendDigest:
-		s.tell(ctx, a.To)
+		s.sendDigest(ctx, a.To)
 	case Pull:
 		s.pull(ctx, a)
 	case ReadHead:
@@ -49,16 +49,16 @@
 	}
 }
 
-// then runs a step of the core and carries out what it returns.
-func (s *Service) then(step func(now time.Time) []Action) {
+// stepCore runs step with the lock held and carries out the actions it returns.
+func (s *Service) stepCore(step func(now time.Time) []Action) {
 	s.mu.Lock()
 	actions := step(s.options.Now())
 	s.mu.Unlock()
 	s.run(actions)
 }
 
-// open opens a stream to the peer: on the open connection when there is one,
-// whoever dialled it.
+// open opens a stream to the peer, on an existing connection in either direction if
+// there is one.
 func (s *Service) open(ctx context.Context, peer Peer) (*transport.Stream, error) {
 	stream, err := s.options.Node.OpenPeer(ctx, peer.ID)
 	if errors.Is(err, transport.ErrNoConnection) && peer.Address != "" {
@@ -77,8 +77,8 @@
 	return stream, nil
 }
 
-// rolesOf is what a process at the peer's address may be. A seed is only an
-// address; an agent is as good as an entry, it knows the catalog too.
+// rolesOf returns the roles accepted at the peer's address. A seed is an address
+// without a role; an agent serves as well as an entry, as it also has the catalog.
 func rolesOf(peer Peer) []keys.Role {
 	if peer.ID.Role == "" {
 		return []keys.Role{keys.RoleEntry, keys.RoleAgent}
@@ -86,35 +86,35 @@
 	return []keys.Role{peer.ID.Role}
 }
 
-// ask sends one frame and reads the answer.
-func (s *Service) ask(ctx context.Context, peer Peer, question *jayv1.ClientFrame) (*jayv1.ServerFrame, error) {
+// query sends one frame to the peer and reads the answer.
+func (s *Service) query(ctx context.Context, peer Peer, request *jayv1.ClientFrame) (*jayv1.ServerFrame, error) {
 	stream, err := s.open(ctx, peer)
 	if err != nil {
 		return nil, err
 	}
-	return s.askOn(stream, question)
+	return s.queryOn(stream, request)
 }
 
-func (s *Service) askOn(stream *transport.Stream, question *jayv1.ClientFrame) (*jayv1.ServerFrame, error) {
+func (s *Service) queryOn(stream *transport.Stream, request *jayv1.ClientFrame) (*jayv1.ServerFrame, error) {
 	defer stream.Abort()
-	if err := stream.Send(question); err != nil {
+	if err := stream.Send(request); err != nil {
 		return nil, err
 	}
 	if err := stream.CloseSend(); err != nil {
-		return nil, eris.Wrap(err, "end question")
+		return nil, eris.Wrap(err, "close send side of query")
 	}
 	answer := &jayv1.ServerFrame{}
 	if err := stream.Receive(answer); err != nil {
 		return nil, err
 	}
-	// Read to the end: giving up a stream that is over would cost a packet.
+	// Read to the end of the stream: aborting a finished stream would cost a packet.
 	if err := stream.Receive(&jayv1.ServerFrame{}); !errors.Is(err, io.EOF) {
-		klog.V(1).InfoS("Answer not ended", "peer", stream.Peer().String(), "err", err)
+		klog.V(1).InfoS("Peer did not end the stream after its answer", "peer", stream.Peer().String(), "err", err)
 	}
 	return answer, nil
 }
 
-// digest is what changes; introduce adds what does not.
+// digest returns the part of a digest that changes; addIdentity adds the rest.
 func (s *Service) digest() *jayv1.GossipDigest {
 	digest := &jayv1.GossipDigest{Generation: s.options.Holder.Current().Generation()}
 	if s.options.Updates != nil {
@@ -129,9 +129,10 @@
 	return digest
 }
 
-// introduce adds who the process is and where it is reached. That is most of a
-// digest's bytes, so a peer hears it rarely; its link says who speaks anyway.
-func (s *Service) introduce(digest *jayv1.GossipDigest) {
+// addIdentity adds the process's incarnation, location and address, and all crash
+// records. They make up most of a digest's bytes, so they are sent rarely; the
+// connection authenticates the sender in any case.
+func (s *Service) addIdentity(digest *jayv1.GossipDigest) {
 	digest.Incarnation = s.options.Incarnation
 	digest.DataCentre, digest.Region = s.options.DataCentre, s.options.Region
 	digest.Address = s.options.Address
@@ -140,38 +141,38 @@
 	}
 }
 
-// introductionDue tells whether the peer should hear who the process is: at
-// first, after a failure, since the peer may have been replaced, and now and then.
-func (s *Service) introductionDue(to Peer) bool {
+// identityDue reports whether the digest must carry the identity: in the first
+// digest, after a failure, since the peer may have been replaced, and periodically.
+func (s *Service) identityDue(to Peer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return to.ID.Name == "" || s.core.introductionDue(s.options.Now(), to.ID)
+	return to.ID.Name == "" || s.core.identityDue(s.options.Now(), to.ID)
 }
 
-func (s *Service) tell(ctx context.Context, to Peer) {
+func (s *Service) sendDigest(ctx context.Context, to Peer) {
 	digest := s.digest()
-	digest.Changes = s.lacking(to.ID)
-	if s.introductionDue(to) {
-		s.introduce(digest)
+	digest.Changes = s.missingChanges(to.ID)
+	if s.identityDue(to) {
+		s.addIdentity(digest)
 	}
 	stream, err := s.open(ctx, to)
 	if err != nil {
-		s.then(func(now time.Time) []Action { return s.core.DigestFailed(now, to.ID) })
+		s.stepCore(func(now time.Time) []Action { return s.core.DigestFailed(now, to.ID) })
 		return
 	}
-	answer, err := s.askOn(stream, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Gossip{Gossip: digest}})
+	answer, err := s.queryOn(stream, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Gossip{Gossip: digest}})
 	if err != nil {
 		stream.RetireLink()
-		s.then(func(now time.Time) []Action { return s.core.DigestFailed(now, to.ID) })
+		s.stepCore(func(now time.Time) []Action { return s.core.DigestFailed(now, to.ID) })
 		return
 	}
-	s.heardDigest(stream.Peer(), answer.GetGossip())
+	s.receiveDigest(stream.Peer(), answer.GetGossip())
 }
 
-// lacking returns the changes that a peer is known to lack, none when they are
-// too many or too long for one packet: the peer then pulls.
-func (s *Service) lacking(peer keys.Identity) []*jayv1.Change {
-	const onePacket = 900
+// missingChanges returns the changes that a peer is known to lack, or none if they
+// don't fit into one packet: the peer then pulls.
+func (s *Service) missingChanges(peer keys.Identity) []*jayv1.Change {
+	const maxDeltaBytes = 900
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	generation := s.core.generationOf(peer)
@@ -179,18 +180,18 @@
 		return nil
 	}
 	delta := s.log.since(generation, s.options.Holder.Current())
-	if proto.Size(delta) > onePacket {
+	if proto.Size(delta) > maxDeltaBytes {
 		return nil
 	}
 	return delta.GetChanges()
 }
 
-// heardDigest takes a digest of a peer whose identity was verified by its link.
-func (s *Service) heardDigest(from keys.Identity, digest *jayv1.GossipDigest) {
+// receiveDigest processes a digest of a peer that the connection authenticated.
+func (s *Service) receiveDigest(from keys.Identity, digest *jayv1.GossipDigest) {
 	if changes := digest.GetChanges(); len(changes) > 0 {
-		// What does not fit on the table in force is left to a pull.
+		// Changes that don't follow the generation in force are left to a pull.
 		if err := s.adopt(&jayv1.CatalogDelta{Changes: changes}); err != nil {
-			klog.V(1).InfoS("Changes of a digest not taken", "peer", from.String(), "err", err)
+			klog.V(1).InfoS("Changes of a digest not applied", "peer", from.String(), "err", err)
 		}
 	}
 	if s.options.OnUpdates != nil && len(digest.GetNews()) > 0 {
@@ -200,17 +201,17 @@
 		s.options.OnCrashes(digest.GetCrashes())
 	}
 	peer := Peer{ID: from, Address: digest.GetAddress(), DataCentre: digest.GetDataCentre(), Region: digest.GetRegion()}
-	s.then(func(now time.Time) []Action { return s.core.ReceivedDigest(now, peer, digest.GetGeneration()) })
+	s.stepCore(func(now time.Time) []Action { return s.core.ReceivedDigest(now, peer, digest.GetGeneration()) })
 }
 
 func (s *Service) pull(ctx context.Context, action Pull) {
-	answer, err := s.ask(ctx, action.From, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_CatalogPull{
+	answer, err := s.query(ctx, action.From, &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_CatalogPull{
 		CatalogPull: &jayv1.CatalogPull{HaveGeneration: action.Have},
 	}})
 	if err == nil {
 		err = s.adopt(answer.GetCatalogDelta())
 	}
-	s.then(func(now time.Time) []Action { return s.core.PullDone(now, action.From.ID, err == nil) })
+	s.stepCore(func(now time.Time) []Action { return s.core.PullDone(now, action.From.ID, err == nil) })
 }
 
 func (s *Service) readHead(ctx context.Context) {
@@ -219,10 +220,10 @@
 	}
 	head, err := s.options.Store.Head(ctx)
 	if err != nil {
-		klog.V(1).InfoS("Head of the catalog not read", "process", s.options.Self.String(), "err", err)
+		klog.V(1).InfoS("Reading the head generation from the catalog store failed", "process", s.options.Self.String(), "err", err)
 		return
 	}
-	s.then(func(now time.Time) []Action { return s.core.HeadRead(now, head) })
+	s.stepCore(func(now time.Time) []Action { return s.core.HeadRead(now, head) })
 }
 
 func (s *Service) pullStore(ctx context.Context, action PullStore) {
@@ -230,7 +231,7 @@
 	if err == nil {
 		err = s.adopt(delta)
 	}
-	s.then(func(now time.Time) []Action { return s.core.StorePullDone(now, err == nil) })
+	s.stepCore(func(now time.Time) []Action { return s.core.StorePullDone(now, err == nil) })
 }
 
 func (s *Service) readVMs(ctx context.Context) {
@@ -238,11 +239,11 @@
 		return
 	}
 	s.mu.Lock()
-	revision := s.vmsRev
+	revision := s.vmRevision
 	s.mu.Unlock()
 	list, err := s.options.VMs.List(ctx, revision)
 	if err != nil {
-		klog.V(1).InfoS("VM list not read", "process", s.options.Self.String(), "err", err)
+		klog.V(1).InfoS("Reading the VM list failed", "process", s.options.Self.String(), "err", err)
 		return
 	}
 	if len(list.VMs) == 0 && !list.Whole {
@@ -258,13 +259,13 @@
 	}
 }
 
-// mergeVMs takes a part of the list. Two reads may overlap; the older of both
-// answers must not bring back what the newer one took away.
+// mergeVMs merges an answer of the VM list, unless a newer one was merged already:
+// two reads may overlap.
 func (s *Service) mergeVMs(list platform.VMList) {
-	if list.Revision < s.vmsRev {
+	if list.Revision < s.vmRevision {
 		return
 	}
-	s.vmsRev = list.Revision
+	s.vmRevision = list.Revision
 	if list.Whole {
 		clear(s.vms)
 	}
@@ -290,19 +291,19 @@
 	return entries
 }
 
-// greetDue tells whether seeds are to be asked: no entry is known yet, or those
-// that are know no configuration either, as after a restart of all entries
-// while the platform is down. The caller holds the lock.
-func (s *Service) greetDue(now time.Time) bool {
-	lost := len(s.core.entries) == 0 || s.core.generation == 0
-	if len(s.options.Seeds) == 0 || !lost || now.Before(s.seedAt) {
+// seedsDue reports whether seeds must be contacted: no entry is known yet, or no
+// generation is, as after a restart of all entries during an outage of the
+// platform. The caller holds the lock.
+func (s *Service) seedsDue(now time.Time) bool {
+	isolated := len(s.core.entries) == 0 || s.core.generation == 0
+	if len(s.options.Seeds) == 0 || !isolated || now.Before(s.nextSeedContact) {
 		return false
 	}
-	s.seedAt = now.Add(s.options.Settings.Interval)
+	s.nextSeedContact = now.Add(s.options.Settings.Interval)
 	return true
 }
 
-func (s *Service) greetSeeds() {
+func (s *Service) contactSeeds() {
 	var actions []Action
 	for _, address := range s.options.Seeds {
 		if address != s.options.Address {
@@ -312,21 +313,21 @@
 	s.run(actions)
 }
 
-// Handle serves a stream that a peer opened with a digest, a pull or a status query. It
-// returns false, with nothing done, for any other first frame.
+// Handle serves a stream that a peer opened with a digest, a pull or a status query.
+// For any other first frame it returns false and does nothing.
 func (s *Service) Handle(_ context.Context, peer keys.Identity, first *jayv1.ClientFrame, stream *transport.Stream) bool {
 	switch {
 	case first.GetGossip() != nil:
-		// First take, then answer: the answer tells the sender that what it sent
-		// is in force here, and it needs not tell it again.
-		s.heardDigest(peer, first.GetGossip())
+		// Process the digest before answering: the answer then reports the sender's
+		// generation as in force here, and the sender doesn't send it again.
+		s.receiveDigest(peer, first.GetGossip())
 		digest := s.digest()
 		if first.GetGossip().GetAddress() != "" {
-			s.introduce(digest)
+			s.addIdentity(digest)
 		}
 		answer := &jayv1.ServerFrame{Frame: &jayv1.ServerFrame_Gossip{Gossip: digest}}
 		if err := stream.Send(answer); err != nil {
-			klog.V(1).InfoS("Digest not answered", "peer", peer.String(), "err", err)
+			klog.V(1).InfoS("Sending the answer to a digest failed", "peer", peer.String(), "err", err)
 		}
 		return true
 	case first.GetCatalogPull() != nil:
@@ -343,11 +344,11 @@
 	delta := s.Since(pull.GetHaveGeneration())
 	answer := &jayv1.ServerFrame{Frame: &jayv1.ServerFrame_CatalogDelta{CatalogDelta: delta}}
 	if err := stream.Send(answer); err != nil {
-		klog.V(1).InfoS("Pull not answered", "peer", peer.String(), "err", err)
+		klog.V(1).InfoS("Sending the answer to a pull failed", "peer", peer.String(), "err", err)
 		return
 	}
 	generation := s.options.Holder.Current().Generation()
-	s.then(func(now time.Time) []Action {
+	s.stepCore(func(now time.Time) []Action {
 		s.core.PullServed(now, Peer{ID: peer}, generation)
 		return nil
 	})
--- a/internal/spread/herd_test.go
+++ b/internal/spread/herd_test.go
@@ -10,11 +10,9 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// All entries of a data centre restart at once. Each knows the catalog before
-// the list of VMs, takes itself for the only entry and shakes hands with every
-// agent: 32 entries opened 5,000 connections in two seconds, and at the size
-// of two years each would open 7,000.
-func TestARestartedEntryDoesNotRushAtAllAgents(t *testing.T) {
+// A restarted entry has the catalog before the list of entries. It must not connect to
+// every agent of the data centre in the meantime.
+func TestRestartedEntryLimitsAgentDigests(t *testing.T) {
 	const agents = 7000
 	now := time.Unix(1000, 0)
 	self := Peer{ID: keys.Identity{Role: keys.RoleEntry, Name: "e1"}, Address: "10.0.0.1:1", DataCentre: "a"}
@@ -25,23 +23,23 @@
 		all = append(all, Peer{ID: id, Address: fmt.Sprint("10.1.0.1:", i+1), DataCentre: "a"})
 	}
 	core.SetAgents(all)
-	told := func(d time.Duration) int {
+	agentDigestsDuring := func(d time.Duration) int {
 		n := 0
-		for end := now.Add(d); now.Before(end); now = now.Add(tickEvery) {
+		for end := now.Add(d); now.Before(end); now = now.Add(tickInterval) {
 			for _, action := range core.Tick(now) {
-				if tell, ok := action.(SendDigest); ok && tell.To.ID.Role == keys.RoleAgent {
+				if digest, ok := action.(SendDigest); ok && digest.To.ID.Role == keys.RoleAgent {
 					n++
 				}
 			}
 		}
 		return n
 	}
-	assert.Zero(t, told(time.Second), "it does not know the others yet")
+	assert.Zero(t, agentDigestsDuring(time.Second), "the list of entries was not read yet")
 	var entries []Peer
 	for i := range 37 {
 		id := keys.Identity{Role: keys.RoleEntry, Name: fmt.Sprint("e", i+2)}
 		entries = append(entries, Peer{ID: id, Address: fmt.Sprint("10.0.0.2:", i+1), DataCentre: "a"})
 	}
 	core.SetEntries(entries)
-	assert.LessOrEqual(t, told(time.Second), 40, "a few a tick")
+	assert.LessOrEqual(t, agentDigestsDuring(time.Second), 40, "digests to agents are limited per tick")
 }
--- a/internal/spread/homes.go
+++ b/internal/spread/homes.go
@@ -7,119 +7,125 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// roomTenths is how many agents an entry takes at most, in tenths of the mean.
-const roomTenths = 11
+// capacityTenths is the maximum number of agents per entry, in tenths of the mean.
+const capacityTenths = 11
 
-// homes finds the agents that an entry looks after. An agent's home is the
-// first of its data centre's entries in rendezvous order that has room: taken
-// by the order alone, one of 37 entries would look after twice as many agents
-// as the mean and spend its whole budget for control on them. When a home can't be
-// reached, the entry in front of it on the ring stands in: that entry has it as
-// a neighbour and so notices within one timeout of the next change.
-type homes struct {
-	// near holds the listed entries by data centre, suspected ones too.
-	near map[string][]Peer
-	all  []Peer
-	// mine: this entry itself and those it stands in for, with their data centres.
-	mine    map[keys.Identity]bool
-	centres map[string]bool
-	count   int
+// agentAssignment computes the agents that this entry sends digests to. The
+// preferred entry of an agent is the first one in its data centre, in rendezvous
+// order, that is below capacity. Without the capacity limit some entries would be
+// assigned about twice the mean.
+//
+// While a preferred entry is unreachable, its predecessor on the ring replaces it.
+// The predecessor has it as a neighbour and detects the failure within one timeout
+// of the next change.
+type agentAssignment struct {
+	// byDataCentre holds the listed entries and this one, including suspected ones;
+	// ring holds them in ring order.
+	byDataCentre map[string][]Peer
+	ring         []Peer
+	// covered: this entry and those it replaces; coveredCentres: their data centres.
+	covered        map[keys.Identity]bool
+	coveredCentres map[string]bool
+	perAgent       int
 }
 
-// newHomes groups the entries once, so that the cost follows the agents of one
-// data centre and not the fleet. Entries that are not live are suspected.
-func newHomes(self Peer, listed, live []Peer, count int) homes {
-	h := homes{near: map[string][]Peer{}, count: count, mine: map[keys.Identity]bool{}, centres: map[string]bool{}}
-	h.all = append(slices.Clone(listed), self)
-	sort.Slice(h.all, func(i, j int) bool { return before(h.all[i], h.all[j]) })
-	for _, peer := range h.all {
-		h.near[peer.DataCentre] = append(h.near[peer.DataCentre], peer)
+// newAgentAssignment groups the entries once, so that the cost of assigned depends
+// on the agents of the covered data centres and not on the fleet. Listed entries
+// that are not live are suspected.
+func newAgentAssignment(self Peer, listed, live []Peer, perAgent int) agentAssignment {
+	a := agentAssignment{byDataCentre: map[string][]Peer{}, perAgent: perAgent, covered: map[keys.Identity]bool{}, coveredCentres: map[string]bool{}}
+	a.ring = append(slices.Clone(listed), self)
+	sort.Slice(a.ring, func(i, j int) bool { return ringLess(a.ring[i], a.ring[j]) })
+	for _, peer := range a.ring {
+		a.byDataCentre[peer.DataCentre] = append(a.byDataCentre[peer.DataCentre], peer)
 	}
-	own := slices.IndexFunc(h.all, func(p Peer) bool { return p.ID == self.ID })
-	for i := range h.all {
-		peer := h.all[(own+i)%len(h.all)]
+	selfIndex := slices.IndexFunc(a.ring, func(p Peer) bool { return p.ID == self.ID })
+	for i := range a.ring {
+		peer := a.ring[(selfIndex+i)%len(a.ring)]
 		if i > 0 && slices.ContainsFunc(live, func(p Peer) bool { return p.ID == peer.ID }) {
 			break
 		}
-		h.mine[peer.ID], h.centres[peer.DataCentre] = true, true
+		a.covered[peer.ID], a.coveredCentres[peer.DataCentre] = true, true
 	}
-	return h
+	return a
 }
 
-// share returns the agents that this entry looks after. Every process that
-// knows the same entries and agents computes the same shares; while their lists
-// differ an agent may have two homes or none, and then speaks first itself.
-func (h homes) share(agents []Peer) []Peer {
+// assigned returns the agents that this entry sends digests to, sorted by name.
+// Processes with the same lists of entries and agents compute the same result.
+// While the lists differ, an agent may be assigned to two entries or to none; in
+// the latter case it sends a digest to an entry itself.
+func (a agentAssignment) assigned(agents []Peer) []Peer {
 	byCentre := map[string][]Peer{}
 	for _, agent := range agents {
 		byCentre[agent.DataCentre] = append(byCentre[agent.DataCentre], agent)
 	}
-	var mine []Peer
-	for centre, here := range byCentre {
-		near := h.near[centre]
+	var result []Peer
+	for centre, local := range byCentre {
+		entries := a.byDataCentre[centre]
 		switch {
-		case len(near) < h.count:
-			mine = append(mine, h.withoutRoom(here)...)
-		case h.centres[centre]:
-			mine = append(mine, h.withRoom(near, here)...)
+		case len(entries) < a.perAgent:
+			result = append(result, a.assignAcrossCentres(local)...)
+		case a.coveredCentres[centre]:
+			result = append(result, a.assignWithinCapacity(entries, local)...)
 		}
 	}
-	sort.Slice(mine, func(i, j int) bool { return mine[i].ID.Name < mine[j].ID.Name })
-	return mine
+	sort.Slice(result, func(i, j int) bool { return result[i].ID.Name < result[j].ID.Name })
+	return result
 }
 
-// withRoom gives each agent of a data centre, in order of name, the first
-// entries of its rendezvous order that are not full.
-func (h homes) withRoom(near, agents []Peer) []Peer {
+// assignWithinCapacity assigns each agent of a data centre, in order of name, to the
+// first entries of its rendezvous order that are below capacity. The key prefix
+// "home/" gives agents an order of their own; all processes must use the same.
+func (a agentAssignment) assignWithinCapacity(entries, agents []Peer) []Peer {
 	sort.Slice(agents, func(i, j int) bool { return agents[i].ID.Name < agents[j].ID.Name })
-	// In whole numbers: all processes must come to the same.
-	tenths := 10 * len(near)
-	room := (roomTenths*len(agents)*h.count + tenths - 1) / tenths
-	taken := make(map[keys.Identity]int, len(near))
-	var mine []Peer
+	// Integer arithmetic, so that all processes compute the same value.
+	tenths := 10 * len(entries)
+	capacity := (capacityTenths*len(agents)*a.perAgent + tenths - 1) / tenths
+	load := make(map[keys.Identity]int, len(entries))
+	var result []Peer
 	for _, agent := range agents {
-		own := false
-		for _, home := range h.choose(rank("home/"+agent.ID.Name, near), taken, room) {
-			taken[home.ID]++
-			own = own || h.mine[home.ID]
+		covered := false
+		for _, entry := range a.chooseEntries(rank("home/"+agent.ID.Name, entries), load, capacity) {
+			load[entry.ID]++
+			covered = covered || a.covered[entry.ID]
 		}
-		if own {
-			mine = append(mine, agent)
+		if covered {
+			result = append(result, agent)
 		}
 	}
-	return mine
+	return result
 }
 
-// choose takes the first entries of an order that have room. With several homes
-// an agent the last agents may find too few such entries, since the homes of
-// one agent differ; they go over the room rather than without a home.
-func (h homes) choose(order []Peer, taken map[keys.Identity]int, room int) []Peer {
+// chooseEntries returns the first perAgent entries of an order that are below
+// capacity. With several entries per agent too few of them may be left for the
+// last agents; these then exceed the capacity.
+func (a agentAssignment) chooseEntries(order []Peer, load map[keys.Identity]int, capacity int) []Peer {
 	var chosen, full []Peer
-	for _, home := range order {
-		if len(chosen) == h.count {
+	for _, entry := range order {
+		if len(chosen) == a.perAgent {
 			return chosen
 		}
-		if taken[home.ID] < room {
-			chosen = append(chosen, home)
+		if load[entry.ID] < capacity {
+			chosen = append(chosen, entry)
 		} else {
-			full = append(full, home)
+			full = append(full, entry)
 		}
 	}
-	return append(chosen, full[:h.count-len(chosen)]...)
+	return append(chosen, full[:a.perAgent-len(chosen)]...)
 }
 
-// withoutRoom serves data centres that have too few entries: the nearest of
-// all others in rendezvous order take their agents.
-func (h homes) withoutRoom(agents []Peer) []Peer {
-	var mine []Peer
+// assignAcrossCentres handles data centres with fewer than perAgent entries: the
+// missing ones are taken from other data centres, in rendezvous order.
+func (a agentAssignment) assignAcrossCentres(agents []Peer) []Peer {
+	var result []Peer
 	for _, agent := range agents {
 		key := "home/" + agent.ID.Name
-		_, far := split(rank(key, h.all), agent.DataCentre)
-		ordered := append(rank(key, h.near[agent.DataCentre]), far...)
-		ordered = ordered[:min(len(ordered), h.count)]
-		if slices.ContainsFunc(ordered, func(home Peer) bool { return h.mine[home.ID] }) {
-			mine = append(mine, agent)
+		_, remote := splitByDataCentre(rank(key, a.ring), agent.DataCentre)
+		candidates := append(rank(key, a.byDataCentre[agent.DataCentre]), remote...)
+		candidates = candidates[:min(len(candidates), a.perAgent)]
+		if slices.ContainsFunc(candidates, func(entry Peer) bool { return a.covered[entry.ID] }) {
+			result = append(result, agent)
 		}
 	}
-	return mine
+	return result
 }
--- a/internal/spread/overlay.go
+++ b/internal/spread/overlay.go
@@ -8,7 +8,7 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// Peer is another process: an entry or an agent.
+// Peer is a process of the fleet: an entry or an agent.
 type Peer struct {
 	ID         keys.Identity
 	Address    string
@@ -16,11 +16,11 @@
 	Region     string
 }
 
-// score is the rendezvous weight of a pair: every process that knows the same
-// names computes the same order, without a word between them.
-func score(a, b string) uint64 { return xxh3.HashString(a + "\x00" + b) }
+// rendezvousWeight returns the weight of a pair of names. Processes with the same
+// names compute the same order without communication.
+func rendezvousWeight(a, b string) uint64 { return xxh3.HashString(a + "\x00" + b) }
 
-// rank orders peers by their rendezvous weight under the key, highest first.
+// rank sorts peers by their rendezvous weight under the key, highest first.
 func rank(key string, peers []Peer) []Peer {
 	type weighted struct {
 		peer   Peer
@@ -28,7 +28,7 @@
 	}
 	all := make([]weighted, len(peers))
 	for i, peer := range peers {
-		all[i] = weighted{peer: peer, weight: score(key, peer.ID.Name)}
+		all[i] = weighted{peer: peer, weight: rendezvousWeight(key, peer.ID.Name)}
 	}
 	sort.Slice(all, func(i, j int) bool {
 		if all[i].weight != all[j].weight {
@@ -43,42 +43,42 @@
 	return ranked
 }
 
-// neighbours picks the entries that self tells of new generations. The first
-// is the successor on a ring over all entries, so that the graph is connected
-// whatever the others are; half of the rest are of self's own data centre.
-// They stay the same while the members do, so that links stay open: a
-// handshake costs more bytes than a minute of digests.
+// neighbours returns the fanOut entries that self pushes new generations to. The
+// first is the successor on a ring of all entries, which keeps the graph
+// connected; half of the rest are in the data centre of self. The result changes
+// only if the entries do, so that connections stay open: a handshake costs more
+// bytes than a minute of digests.
 func neighbours(self Peer, entries []Peer, fanOut int) []Peer {
-	others := without(entries, self.ID)
+	others := excluding(entries, self.ID)
 	if len(others) <= fanOut {
 		return others
 	}
 	chosen := []Peer{successor(self, others)}
-	near, far := split(rank(self.ID.Name, others), self.DataCentre)
+	local, remote := splitByDataCentre(rank(self.ID.Name, others), self.DataCentre)
 	for len(chosen) < fanOut {
-		preferNear := len(chosen)%2 == 1
-		if (preferNear || len(far) == 0) && len(near) > 0 {
-			chosen, near = appendNew(chosen, near[0]), near[1:]
+		preferLocal := len(chosen)%2 == 1
+		if (preferLocal || len(remote) == 0) && len(local) > 0 {
+			chosen, local = appendUnique(chosen, local[0]), local[1:]
 			continue
 		}
-		chosen, far = appendNew(chosen, far[0]), far[1:]
+		chosen, remote = appendUnique(chosen, remote[0]), remote[1:]
 	}
 	return chosen
 }
 
-// successor is the next entry on a ring ordered by region, data centre, name.
+// successor returns the next entry on a ring sorted by region, data centre and name.
 func successor(self Peer, others []Peer) Peer {
 	ring := append([]Peer(nil), others...)
-	sort.Slice(ring, func(i, j int) bool { return before(ring[i], ring[j]) })
+	sort.Slice(ring, func(i, j int) bool { return ringLess(ring[i], ring[j]) })
 	for _, peer := range ring {
-		if before(self, peer) {
+		if ringLess(self, peer) {
 			return peer
 		}
 	}
 	return ring[0]
 }
 
-func before(a, b Peer) bool {
+func ringLess(a, b Peer) bool {
 	if a.Region != b.Region {
 		return a.Region < b.Region
 	}
@@ -88,7 +88,7 @@
 	return a.ID.Name < b.ID.Name
 }
 
-func appendNew(chosen []Peer, peer Peer) []Peer {
+func appendUnique(chosen []Peer, peer Peer) []Peer {
 	for _, c := range chosen {
 		if c.ID == peer.ID {
 			return chosen
@@ -97,7 +97,7 @@
 	return append(chosen, peer)
 }
 
-func without(peers []Peer, id keys.Identity) []Peer {
+func excluding(peers []Peer, id keys.Identity) []Peer {
 	var rest []Peer
 	for _, peer := range peers {
 		if peer.ID != id {
@@ -107,22 +107,23 @@
 	return rest
 }
 
-// split parts peers into those of the data centre and the others, order kept.
-func split(peers []Peer, dataCentre string) (near, far []Peer) {
+// splitByDataCentre separates the peers of a data centre from the others, keeping the order.
+func splitByDataCentre(peers []Peer, dataCentre string) (local, remote []Peer) {
 	for _, peer := range peers {
 		if peer.DataCentre == dataCentre {
-			near = append(near, peer)
+			local = append(local, peer)
 		} else {
-			far = append(far, peer)
+			remote = append(remote, peer)
 		}
 	}
-	return near, far
+	return local, remote
 }
 
-// pollsHead tells whether self is among the first pollers of its data centre.
-func pollsHead(self Peer, live []Peer, pollers int) bool {
-	near, _ := split(append(without(live, self.ID), self), self.DataCentre)
-	for i, peer := range rank("poll/"+self.DataCentre, near) {
+// isHeadPoller reports whether self is one of the entries of its data centre that
+// poll the head generation in the store.
+func isHeadPoller(self Peer, live []Peer, pollers int) bool {
+	local, _ := splitByDataCentre(append(excluding(live, self.ID), self), self.DataCentre)
+	for i, peer := range rank("poll/"+self.DataCentre, local) {
 		if i == pollers {
 			return false
 		}
--- a/internal/spread/service.go
+++ b/internal/spread/service.go
@@ -1,6 +1,6 @@
-// Package spread brings each accepted generation of the catalog to every
-// process. Core decides whom to tell and whom to ask; Service does the I/O.
-// It accepts nothing and never moves a process backwards.
+// Package spread distributes each accepted generation of the catalog to every
+// process. Core decides which peers to contact; Service does the I/O. The package
+// accepts no changes itself and never moves a process to an older generation.
 package spread
 
 import (
@@ -18,22 +18,22 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// Store is what the service reads of the platform; *catalogstore.Store has it.
+// Store reads the catalog from the platform; *catalogstore.Store implements it.
 type Store interface {
 	Head(ctx context.Context) (uint64, error)
 	After(ctx context.Context, generation uint64) (*jayv1.CatalogDelta, error)
 	LoadSnapshot(ctx context.Context) (*catalog.Table, error)
 }
 
-// Options of a service.
+// Options configures a Service.
 type Options struct {
-	// Self is the process's own identity; its role decides what the service does.
+	// Self is the identity of this process. Its role decides what the service does.
 	Self       keys.Identity
 	DataCentre string
 	Region     string
-	// Address of the process's own QUIC listener.
+	// Address of this process's QUIC listener, as peers reach it.
 	Address string
-	// Incarnation is the process's boot number.
+	// Incarnation number of this process, higher after each restart.
 	Incarnation uint64
 	Settings    Settings
 	Node        *transport.Node
@@ -42,57 +42,58 @@
 	Store Store
 	// VMs is nil at agents.
 	VMs platform.VMs
-	// Seeds are addresses of entries to ask while no other is known.
+	// Seeds are addresses of entries to contact while no other is known.
 	Seeds []string
-	// OnVMs gets each answer of the VM list that holds something.
+	// OnVMs receives each answer of the VM list that isn't empty.
 	OnVMs func(platform.VMList)
-	// OnUpdates gets the news of other processes' digests.
-	OnUpdates func(from keys.Identity, news []*jayv1.MemberNews)
-	// Updates is what the process's digests carry; keep it small.
+	// OnUpdates receives the member updates in the digests of other processes; may be nil.
+	OnUpdates func(from keys.Identity, updates []*jayv1.MemberNews)
+	// Updates returns the member updates for this process's digests; may be nil. They are
+	// sent with every digest, so they must be few.
 	Updates func() []*jayv1.MemberNews
-	// OnCrashes gets the requests under which engines crashed, of other processes'
-	// digests; Crashes are those that ours carry. all: those that a process which
-	// has just started must know too. Both may be nil.
-	OnCrashes func(news []*jayv1.CrashNews)
+	// OnCrashes receives the crash records in the digests of other processes; Crashes
+	// returns those for this process's digests. all: also the records that only a
+	// newly started process lacks. Both may be nil.
+	OnCrashes func(crashes []*jayv1.CrashNews)
 	Crashes   func(all bool) []*jayv1.CrashNews
-	// Draining tells whether the process is shutting down.
+	// Draining reports whether the process is shutting down; may be nil.
 	Draining func() bool
-	// FillStatus adds what else the process tells of itself in a status; may be nil.
+	// FillStatus adds fields to the status of this process; may be nil.
 	FillStatus func(*jayv1.ProcessStatus)
-	// Now is the clock; nil: time.Now.
+	// Now is the clock; nil means time.Now.
 	Now platform.Clock
 }
 
-// tickEvery is how often the shell asks the core what is due.
-const tickEvery = 50 * time.Millisecond
+// tickInterval is the time between two calls of Core.Tick at an entry.
+const tickInterval = 50 * time.Millisecond
 
-// agentTickEvery is the same at agents, which have little to do.
-const agentTickEvery = 500 * time.Millisecond
+// agentTickInterval is the time between two calls of Core.Tick at an agent.
+const agentTickInterval = 500 * time.Millisecond
 
-// Service is the shell around a Core. Safe for concurrent use.
+// Service runs a Core and carries out its actions. Safe for concurrent use.
 type Service struct {
-	options Options
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
-	loaded  chan struct{}
-	once    sync.Once
+	options    Options
+	ctx        context.Context
+	cancel     context.CancelFunc
+	wg         sync.WaitGroup
+	loaded     chan struct{}
+	loadedOnce sync.Once
 
-	mu     sync.Mutex
-	core   *Core
-	log    changeLog
-	vms    map[string]platform.VM
-	vmsRev uint64
-	seedAt time.Time
-	closed bool
+	mu              sync.Mutex
+	core            *Core
+	log             changeLog
+	vms             map[string]platform.VM
+	vmRevision      uint64
+	nextSeedContact time.Time
+	closed          bool
 
-	started time.Time
+	startedAt time.Time
 }
 
-// Start runs the service until Close or the end of the context.
+// Start runs the service until Close is called or the context ends.
 func Start(ctx context.Context, options Options) (*Service, error) {
 	if options.Node == nil || options.Holder == nil {
-		return nil, eris.New("spread needs a node and a holder")
+		return nil, eris.New("spread: options Node and Holder are required")
 	}
 	if options.Now == nil {
 		options.Now = time.Now
@@ -100,7 +101,7 @@
 	if options.Settings == (Settings{}) {
 		options.Settings = DefaultSettings()
 	}
-	s := &Service{options: options, started: options.Now(), loaded: make(chan struct{}), vms: map[string]platform.VM{}}
+	s := &Service{options: options, startedAt: options.Now(), loaded: make(chan struct{}), vms: map[string]platform.VM{}}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	self := Peer{ID: options.Self, Address: options.Address, DataCentre: options.DataCentre, Region: options.Region}
 	s.core = NewCore(options.Now(), self, options.Settings)
@@ -111,7 +112,7 @@
 	return s, nil
 }
 
-// Close stops the service and waits for its exchanges.
+// Close stops the service and waits for its goroutines.
 func (s *Service) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -120,8 +121,8 @@
 	s.wg.Wait()
 }
 
-// enter counts a goroutine in, unless the service is closed.
-func (s *Service) enter() bool {
+// addWorker adds a goroutine to the wait group. It returns false if the service is closed.
+func (s *Service) addWorker() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -131,19 +132,18 @@
 	return true
 }
 
-// Loaded is closed when a starting process has the newest generation that it
-// could find, or has waited StartWait for it.
+// Loaded returns a channel that is closed when a starting process has the newest
+// generation that it could find, or has waited StartWait for it.
 func (s *Service) Loaded() <-chan struct{} { return s.loaded }
 
-// Since returns what brings a peer or watcher from a generation to the table
-// in force here.
+// Since returns the delta from a generation to the one in force in this process.
 func (s *Service) Since(generation uint64) *jayv1.CatalogDelta {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log.since(generation, s.options.Holder.Current())
 }
 
-// ReceivedGeneration takes the generation that any message of a peer was stamped with.
+// ReceivedGeneration processes the generation attached to any message of a peer.
 func (s *Service) ReceivedGeneration(peer keys.Identity, generation uint64) {
 	s.mu.Lock()
 	actions := s.core.ReceivedGeneration(s.options.Now(), peer, generation)
@@ -151,10 +151,11 @@
 	s.run(actions)
 }
 
-// Accepted puts a change in force here that this process got accepted.
+// Accepted applies a change that this process got accepted in the store.
 func (s *Service) Accepted(change *jayv1.Change) {
 	if err := s.adopt(&jayv1.CatalogDelta{Changes: []*jayv1.Change{change}}); err != nil {
-		// Another entry's change came between; the store has both.
+		// The change doesn't follow the generation in force: another entry's change was
+		// accepted before it. Both are read from the store.
 		s.mu.Lock()
 		actions := s.core.HeadRead(s.options.Now(), change.GetGeneration())
 		s.mu.Unlock()
@@ -162,7 +163,7 @@
 	}
 }
 
-// adopt puts what a delta leads to in force, if it is newer.
+// adopt applies a delta if it leads to a newer generation.
 func (s *Service) adopt(delta *jayv1.CatalogDelta) error {
 	s.mu.Lock()
 	table, err := s.options.Holder.Current().Forward(delta)
@@ -174,7 +175,7 @@
 		s.mu.Unlock()
 		return nil
 	}
-	s.log.follow(delta, table)
+	s.log.record(delta, table)
 	s.core.SetAgents(agentsOf(table))
 	actions := s.core.Adopted(s.options.Now(), table.Generation())
 	s.mu.Unlock()
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// agentsOf lists the agents that a table declares, by their backend servers.
+// agentsOf returns the agents of the backend servers in a table.
 func agentsOf(table *catalog.Table) []Peer {
 	servers := table.BackendServers()
 	agents := make([]Peer, 0, len(servers))
@@ -196,14 +197,14 @@
 	return agents
 }
 
-// load takes the highest generation of table, peers and object store. Peers
-// answer through the ticks that run meanwhile.
+// load loads the catalog at start from the store, or else from peers, or else from
+// the snapshot in the object store. Peers are contacted by tick meanwhile.
 func (s *Service) load() {
 	defer s.wg.Done()
-	defer s.once.Do(func() { close(s.loaded) })
+	defer s.loadedOnce.Do(func() { close(s.loaded) })
 	ctx, cancel := context.WithTimeout(s.ctx, s.options.Settings.StartWait)
 	defer cancel()
-	if s.options.Store != nil && s.loadFromTable(ctx) {
+	if s.options.Store != nil && s.loadFromStore(ctx) {
 		return
 	}
 	if s.awaitPeer(ctx) || s.options.Store == nil {
@@ -212,23 +213,24 @@
 	s.loadSnapshot()
 }
 
-// loadFromTable tells whether the table answered.
-func (s *Service) loadFromTable(ctx context.Context) bool {
+// loadFromStore reports whether the catalog was read from the store.
+func (s *Service) loadFromStore(ctx context.Context) bool {
 	delta, err := s.options.Store.After(ctx, s.options.Holder.Current().Generation())
 	if err == nil {
 		err = s.adopt(delta)
 	}
 	if err != nil {
-		klog.ErrorS(err, "Table does not tell the catalog; asking peers, then the object store", "process", s.options.Self.String())
+		klog.ErrorS(err, "Reading the catalog from the store failed; waiting for peers, then loading the snapshot", "process", s.options.Self.String())
 	}
 	return err == nil
 }
 
-// awaitPeer waits until a peer's generation is in force here.
+// awaitPeer waits until the highest generation reported by peers is in force here.
+// It returns false if the context ends first.
 func (s *Service) awaitPeer(ctx context.Context) bool {
 	for {
 		next := s.options.Holder.Next()
-		if s.peerWasHeard() {
+		if s.caughtUpWithPeers() {
 			return true
 		}
 		select {
@@ -239,9 +241,9 @@
 	}
 }
 
-// loadSnapshot is the last resort. A snapshot is up to some hundred
-// generations old: taken before the peers were asked, it would bring back, at
-// this process and for as long as they need to answer, what was replaced since.
+// loadSnapshot loads the snapshot in the object store. A snapshot may be hundreds of
+// generations old, so it is loaded only if no peer answered: it would put rules
+// that were replaced since in force again.
 func (s *Service) loadSnapshot() {
 	ctx, cancel := context.WithTimeout(s.ctx, s.options.Settings.StartWait)
 	defer cancel()
@@ -250,33 +252,33 @@
 		err = s.adopt(&jayv1.CatalogDelta{Snapshot: table.Snapshot()})
 	}
 	if err != nil {
-		klog.ErrorS(err, "No snapshot of the catalog; waiting for table or peers", "process", s.options.Self.String())
+		klog.ErrorS(err, "Loading the catalog snapshot failed; waiting for the store or peers", "process", s.options.Self.String())
 	}
 }
 
-func (s *Service) peerWasHeard() bool {
+func (s *Service) caughtUpWithPeers() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.maxTold > 0 && s.core.maxTold <= s.core.generation
+	return s.core.maxReported > 0 && s.core.maxReported <= s.core.generation
 }
 
 func (s *Service) tick() {
 	defer s.wg.Done()
-	every := tickEvery
+	interval := tickInterval
 	if s.options.Self.Role == keys.RoleAgent {
-		every = agentTickEvery
+		interval = agentTickInterval
 	}
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		s.mu.Lock()
 		now := s.options.Now()
 		actions := s.core.Tick(now)
-		greet := s.greetDue(now)
+		seedsDue := s.seedsDue(now)
 		s.mu.Unlock()
 		s.run(actions)
-		if greet {
-			s.greetSeeds()
+		if seedsDue {
+			s.contactSeeds()
 		}
 		select {
 		case <-s.ctx.Done():
--- a/internal/spread/sim_test.go
+++ b/internal/spread/sim_test.go
@@ -12,34 +12,34 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// fakeNet runs cores in virtual time: a queue of events, fixed one-way delays,
-// seeded loss, processes that are down, and a table that may be.
+// fakeNet runs cores in virtual time, with an event queue, fixed one-way delays, seeded
+// loss, and failures of processes and of the store.
 type fakeNet struct {
-	now    time.Time
-	random *rand.Rand
-	queue  eventQueue
-	seq    int
-	nodes  map[keys.Identity]*fakeProcess
-	order  []*fakeProcess
-	listed []Peer
-	loss   float64
-	// head of the table; tableDown: reads fail.
+	now      time.Time
+	random   *rand.Rand
+	queue    eventQueue
+	seq      int
+	nodes    map[keys.Identity]*fakeProcess
+	order    []*fakeProcess
+	listed   []Peer
+	lossRate float64
+	// head is the head generation in the store; storeDown: reads of the store fail.
 	head      uint64
-	tableDown bool
+	storeDown bool
 	reads     int
 	messages  int
 	bytes     int
 }
 
 type fakeProcess struct {
-	net    *fakeNet
-	peer   Peer
-	core   *Core
-	boot   int
-	gen    uint64
-	down   bool
-	at     time.Time // when gen came into force
-	onlyTo keys.Role // when set, the process reaches only this role
+	net           *fakeNet
+	peer          Peer
+	core          *Core
+	incarnation   int
+	generation    uint64
+	down          bool
+	inForceAt     time.Time // when generation came into force
+	reachableRole keys.Role // when set, the process reaches only this role
 }
 
 type event struct {
@@ -66,7 +66,7 @@
 	return last
 }
 
-// newFakeNet makes entries and agents evenly over data centres and regions.
+// newFakeNet distributes entries and agents evenly over data centres and regions.
 func newFakeNet(seed uint64, centres, regions, entries, agents int) *fakeNet {
 	n := &fakeNet{
 		now: time.Unix(1_800_000_000, 0), random: rand.New(rand.NewPCG(seed, seed)),
@@ -102,7 +102,8 @@
 
 func (n *fakeNet) run(d time.Duration) { n.runUntil(d, func() bool { return false }) }
 
-// runUntil returns the virtual time that passed until done, or all of it.
+// runUntil runs until done returns true, for at most d, and returns the virtual time that
+// passed.
 func (n *fakeNet) runUntil(d time.Duration, done func() bool) time.Duration {
 	began := n.now
 	end := n.now.Add(d)
@@ -120,7 +121,7 @@
 
 func (n *fakeNet) inForce(generation uint64) bool {
 	for _, p := range n.order {
-		if !p.down && p.gen < generation {
+		if !p.down && p.generation < generation {
 			return false
 		}
 	}
@@ -129,37 +130,37 @@
 
 func (n *fakeNet) resetCounts() { n.messages, n.bytes, n.reads = 0, 0, 0 }
 
-// start boots the process with nothing in force.
+// start starts a new incarnation without a generation in force.
 func (p *fakeProcess) start(declared []Peer) {
-	p.boot++
-	p.gen = 0
+	p.incarnation++
+	p.generation = 0
 	p.core = NewCore(p.net.now, p.peer, DefaultSettings())
 	if p.peer.ID.Role == keys.RoleEntry {
 		p.core.SetAgents(declared)
 	}
-	p.tick(p.boot)
+	p.tick(p.incarnation)
 }
 
-func (p *fakeProcess) tick(boot int) {
-	if p.boot != boot {
+func (p *fakeProcess) tick(incarnation int) {
+	if p.incarnation != incarnation {
 		return
 	}
-	every := tickEvery
+	interval := tickInterval
 	if p.peer.ID.Role == keys.RoleAgent {
-		every = agentTickEvery
+		interval = agentTickInterval
 	}
 	if !p.down {
 		p.perform(p.core.Tick(p.net.now))
 	}
-	p.net.after(every, func() { p.tick(boot) })
+	p.net.after(interval, func() { p.tick(incarnation) })
 }
 
-// adopt is what the shell does with a newer table.
+// adopt puts a newer generation in force, as Service.adopt does.
 func (p *fakeProcess) adopt(generation uint64) {
-	if generation <= p.gen {
+	if generation <= p.generation {
 		return
 	}
-	p.gen, p.at = generation, p.net.now
+	p.generation, p.inForceAt = generation, p.net.now
 	p.perform(p.core.Adopted(p.net.now, generation))
 }
 
@@ -167,61 +168,61 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case SendDigest:
-			p.tell(a.To)
+			p.sendDigest(a.To)
 		case Pull:
 			p.pull(a)
 		case ReadHead:
-			p.store(func() { p.perform(p.core.HeadRead(p.net.now, p.net.head)) }, func() {})
+			p.readStore(func() { p.perform(p.core.HeadRead(p.net.now, p.net.head)) }, func() {})
 		case PullStore:
-			p.store(func() {
+			p.readStore(func() {
 				p.adopt(p.net.head)
 				p.perform(p.core.StorePullDone(p.net.now, true))
 			}, func() { p.perform(p.core.StorePullDone(p.net.now, false)) })
 		case ReadVMs:
-			p.store(func() { p.core.SetEntries(p.net.listed) }, func() {})
+			p.readStore(func() { p.core.SetEntries(p.net.listed) }, func() {})
 		}
 	}
 }
 
-func (p *fakeProcess) store(good, bad func()) {
+func (p *fakeProcess) readStore(onSuccess, onFailure func()) {
 	p.net.reads++
-	boot := p.boot
+	incarnation := p.incarnation
 	p.net.after(2*time.Millisecond, func() {
 		switch {
-		case p.boot != boot || p.down:
-		case p.net.tableDown:
-			bad()
+		case p.incarnation != incarnation || p.down:
+		case p.net.storeDown:
+			onFailure()
 		default:
-			good()
+			onSuccess()
 		}
 	})
 }
 
-// overhead of one exchange on the wire beside the messages: two datagrams and
-// their acknowledgements, each with IP, UDP and short QUIC headers and tag.
-const overhead = 4 * (28 + 25)
+// exchangeOverheadBytes of one exchange besides its messages: two datagrams and their
+// acknowledgements, each with IP, UDP and short QUIC headers and an AEAD tag.
+const exchangeOverheadBytes = 4 * (28 + 25)
 
 func digestSize(p *fakeProcess) int {
 	return proto.Size(&jayv1.GossipDigest{
-		Generation: p.gen, Incarnation: 1 << 60, DataCentre: p.peer.DataCentre,
+		Generation: p.generation, Incarnation: 1 << 60, DataCentre: p.peer.DataCentre,
 		Region: p.peer.Region, Address: p.peer.Address,
 	})
 }
 
-// exchange delivers a question and its answer, or reports failure at the timeout.
-func (p *fakeProcess) exchange(to keys.Identity, size int, serve func(*fakeProcess), done, failed func()) {
+// exchange delivers a request and its answer, or reports failure after the timeout.
+func (p *fakeProcess) exchange(to keys.Identity, size int, serve func(*fakeProcess), onAnswer, onFailure func()) {
 	p.net.messages++
-	p.net.bytes += size + overhead
-	boot := p.boot
+	p.net.bytes += size + exchangeOverheadBytes
+	incarnation := p.incarnation
 	target := p.net.nodes[to]
 	timeout := func() {
 		p.net.after(DefaultSettings().PullTimeout, func() {
-			if p.boot == boot && !p.down {
-				failed()
+			if p.incarnation == incarnation && !p.down {
+				onFailure()
 			}
 		})
 	}
-	if target == nil || p.net.random.Float64() < p.net.loss || p.onlyTo != "" && p.onlyTo != to.Role || target.onlyTo != "" && target.onlyTo != p.peer.ID.Role {
+	if target == nil || p.net.random.Float64() < p.net.lossRate || p.reachableRole != "" && p.reachableRole != to.Role || target.reachableRole != "" && target.reachableRole != p.peer.ID.Role {
 		timeout()
 		return
 	}
@@ -233,8 +234,8 @@
 		}
 		serve(target)
 		p.net.after(delay, func() {
-			if p.boot == boot && !p.down {
-				done()
+			if p.incarnation == incarnation && !p.down {
+				onAnswer()
 			}
 		})
 	})
@@ -250,12 +251,12 @@
 	return 75 * time.Millisecond
 }
 
-func (p *fakeProcess) tell(to Peer) {
+func (p *fakeProcess) sendDigest(to Peer) {
 	var answer uint64
-	from, told := p.peer, p.gen
+	from, generation := p.peer, p.generation
 	p.exchange(to.ID, 2*digestSize(p), func(target *fakeProcess) {
-		answer = target.gen
-		target.perform(target.core.ReceivedDigest(p.net.now, from, told))
+		answer = target.generation
+		target.perform(target.core.ReceivedDigest(p.net.now, from, generation))
 	}, func() {
 		p.perform(p.core.ReceivedDigest(p.net.now, to, answer))
 	}, func() { p.perform(p.core.DigestFailed(p.net.now, to.ID)) })
@@ -265,7 +266,7 @@
 	var answer uint64
 	const deltaBytes = 320
 	p.exchange(a.From.ID, deltaBytes, func(target *fakeProcess) {
-		answer = target.gen
+		answer = target.generation
 		target.core.PullServed(p.net.now, p.peer, answer)
 	}, func() {
 		p.adopt(answer)
--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -17,18 +17,18 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// oldSnapshot is a platform whose table is down and whose object store holds
-// an old generation.
-type oldSnapshot struct{ generation uint64 }
+// staleStore is a platform whose catalog store is unavailable and whose object store holds an
+// old generation.
+type staleStore struct{ generation uint64 }
 
-func (oldSnapshot) Head(context.Context) (uint64, error) { return 0, platform.ErrUnavailable }
+func (staleStore) Head(context.Context) (uint64, error) { return 0, platform.ErrUnavailable }
 
-func (oldSnapshot) After(context.Context, uint64) (*jayv1.CatalogDelta, error) {
+func (staleStore) After(context.Context, uint64) (*jayv1.CatalogDelta, error) {
 	return nil, platform.ErrUnavailable
 }
 
-func (o oldSnapshot) LoadSnapshot(context.Context) (*catalog.Table, error) {
-	return catalog.Build(&jayv1.Snapshot{Generation: o.generation}), nil
+func (s staleStore) LoadSnapshot(context.Context) (*catalog.Table, error) {
+	return catalog.Build(&jayv1.Snapshot{Generation: s.generation}), nil
 }
 
 func startEntry(t *testing.T, authority *keys.Authority, name string, holder *catalog.Holder, seeds ...string) (*Service, string) {
@@ -50,7 +50,7 @@
 	require.NoError(t, err)
 	s, err := Start(t.Context(), Options{
 		Self: id, DataCentre: "dc", Region: "r", Address: node.Address(), Node: node, Holder: holder,
-		Store: oldSnapshot{generation: 1}, Seeds: seeds,
+		Store: staleStore{generation: 1}, Seeds: seeds,
 	})
 	require.NoError(t, err)
 	service.Store(s)
@@ -61,9 +61,9 @@
 	return s, node.Address()
 }
 
-// A rule that was withdrawn is in force again at one entry: it restarted while
-// the table was down and served by an old snapshot before its peers answered.
-func TestOldSnapshotIsNotTakenBeforePeersAreAsked(t *testing.T) {
+// An entry that starts while the catalog store is unavailable must not put an old snapshot in
+// force before peers answered: withdrawn rules would apply again.
+func TestSnapshotIsNotLoadedBeforePeersAnswer(t *testing.T) {
 	authority, err := keys.NewAuthority(time.Hour)
 	require.NoError(t, err)
 	newest := catalog.NewHolder()
@@ -74,11 +74,11 @@
 	first := holder.Next()
 	restarted, _ := startEntry(t, authority, "entry-2", holder, address)
 	<-first
-	assert.Equal(t, uint64(5), holder.Current().Generation(), "the first generation in force")
+	assert.Equal(t, uint64(5), holder.Current().Generation(), "the first generation in force is that of the peer")
 	<-restarted.Loaded()
 
-	alone := catalog.NewHolder()
-	service, _ := startEntry(t, authority, "entry-3", alone)
+	isolated := catalog.NewHolder()
+	service, _ := startEntry(t, authority, "entry-3", isolated)
 	<-service.Loaded()
-	assert.Equal(t, uint64(1), alone.Current().Generation(), "without peers the snapshot is better than nothing")
+	assert.Equal(t, uint64(1), isolated.Current().Generation(), "without peers the snapshot is loaded")
 }
--- a/internal/spread/status.go
+++ b/internal/spread/status.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	// statusTimeout bounds the question to each entry.
+	// statusTimeout bounds one query to an entry.
 	statusTimeout = 2 * time.Second
-	// statusParallel bounds the entries asked at once.
-	statusParallel = 64
+	// maxStatusQueries bounds the entries queried in parallel.
+	maxStatusQueries = 64
 )
 
-// ErrUnknownPeer means that no entry with the name is known.
-var ErrUnknownPeer = errors.New("no entry with the name is known")
+// ErrUnknownPeer means that no entry of this name is known.
+var ErrUnknownPeer = errors.New("no entry of this name is known")
 
-// Noticed takes a generation that the table is known to hold.
+// Noticed processes a generation that the store is known to hold.
 func (s *Service) Noticed(generation uint64) {
-	s.then(func(now time.Time) []Action { return s.core.HeadRead(now, generation) })
+	s.stepCore(func(now time.Time) []Action { return s.core.HeadRead(now, generation) })
 }
 
-// Candidates returns the first live entries in rendezvous order under the key,
-// by name; this entry counts as live.
+// Candidates returns the names of the first count live entries, including this one, in
+// rendezvous order under the key.
 func (s *Service) Candidates(key string, count int) []string {
 	s.mu.Lock()
 	live := append(s.core.live(s.options.Now()), s.core.self)
@@ -48,8 +48,9 @@
 	return names
 }
 
-// QueryEntry sends one frame to another entry by its name and returns the answer.
-func (s *Service) QueryEntry(ctx context.Context, name string, question *jayv1.ClientFrame) (*jayv1.ServerFrame, error) {
+// QueryEntry sends one frame to another entry and returns the answer. It returns
+// ErrUnknownPeer if the entry isn't known.
+func (s *Service) QueryEntry(ctx context.Context, name string, request *jayv1.ClientFrame) (*jayv1.ServerFrame, error) {
 	id := keys.Identity{Role: keys.RoleEntry, Name: name}
 	s.mu.Lock()
 	state := s.core.entries[id]
@@ -59,27 +60,27 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	return s.ask(ctx, state.peer, question)
+	return s.query(ctx, state.peer, request)
 }
 
-// Status asks all entries for themselves and for the agents they look after.
+// Status collects the status of all entries and of the agents assigned to them.
 func (s *Service) Status(ctx context.Context) *jayv1.StatusResponse {
 	merged := newStatusMerge()
-	merged.add(s.local()...)
+	merged.add(s.localStatus()...)
 	s.mu.Lock()
 	var others []Peer
 	for _, state := range s.core.entries {
 		others = append(others, state.peer)
 	}
-	head := max(s.core.generation, s.core.storeHead, s.core.maxTold)
+	head := max(s.core.generation, s.core.storeHead, s.core.maxReported)
 	s.mu.Unlock()
 	var group errgroup.Group
-	group.SetLimit(statusParallel)
+	group.SetLimit(maxStatusQueries)
 	for _, peer := range others {
 		group.Go(func() error {
-			frames, err := s.askStatus(ctx, peer)
+			frames, err := s.queryStatus(ctx, peer)
 			if err != nil {
-				merged.missed(peer.ID)
+				merged.markUnreachable(peer.ID)
 			}
 			merged.add(frames...)
 			return nil
@@ -92,7 +93,7 @@
 	return merged.response(head)
 }
 
-func (s *Service) askStatus(ctx context.Context, peer Peer) ([]*jayv1.ProcessStatus, error) {
+func (s *Service) queryStatus(ctx context.Context, peer Peer) ([]*jayv1.ProcessStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	stream, err := s.open(ctx, peer)
@@ -100,12 +101,12 @@
 		return nil, err
 	}
 	defer stream.Abort()
-	question := &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Status{Status: &jayv1.StatusQuery{}}}
-	if err := stream.Send(question); err != nil {
+	request := &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Status{Status: &jayv1.StatusQuery{}}}
+	if err := stream.Send(request); err != nil {
 		return nil, err
 	}
 	if err := stream.CloseSend(); err != nil {
-		return nil, eris.Wrap(err, "end question")
+		return nil, eris.Wrap(err, "close send side of status query")
 	}
 	var all []*jayv1.ProcessStatus
 	for {
@@ -121,12 +122,12 @@
 	}
 }
 
-// local returns the status of this process and, at an entry, of the agents
-// that it looks after, as they last told.
-func (s *Service) local() []*jayv1.ProcessStatus {
+// localStatus returns the status of this process and, at an entry, of its assigned
+// agents as last reported by them.
+func (s *Service) localStatus() []*jayv1.ProcessStatus {
 	self := &jayv1.ProcessStatus{
 		Name: s.options.Self.Name, Role: string(s.options.Self.Role), DataCentre: s.options.DataCentre,
-		StartedUnixMs: s.started.UnixMilli(),
+		StartedUnixMs: s.startedAt.UnixMilli(),
 	}
 	if s.options.FillStatus != nil {
 		s.options.FillStatus(self)
@@ -139,8 +140,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.options.Now()
-	for _, agent := range s.core.homeAgents {
-		if agent.heardAt.IsZero() || agent.suspectedAt(now, s.options.Settings.SuspectFor) {
+	for _, agent := range s.core.assignedAgents {
+		if agent.lastReceivedAt.IsZero() || agent.suspectedAt(now, s.options.Settings.SuspectFor) {
 			continue
 		}
 		all = append(all, &jayv1.ProcessStatus{
@@ -152,15 +153,15 @@
 }
 
 func (s *Service) serveStatus(peer keys.Identity, stream *transport.Stream) {
-	for _, status := range s.local() {
+	for _, status := range s.localStatus() {
 		if err := stream.Send(&jayv1.ServerFrame{Frame: &jayv1.ServerFrame_Status{Status: status}}); err != nil {
-			klog.V(1).InfoS("Status not sent", "peer", peer.String(), "err", err)
+			klog.V(1).InfoS("Sending the status failed", "peer", peer.String(), "err", err)
 			return
 		}
 	}
 }
 
-// statusMerge gathers the answers of many entries. Safe for concurrent use.
+// statusMerge merges the answers of entries. Safe for concurrent use.
 type statusMerge struct {
 	mu          sync.Mutex
 	byID        map[keys.Identity]*jayv1.ProcessStatus
@@ -171,7 +172,7 @@
 	return &statusMerge{byID: map[keys.Identity]*jayv1.ProcessStatus{}, unreachable: map[keys.Identity]bool{}}
 }
 
-// add takes answers; of two about one agent the newer generation counts.
+// add merges answers; of two about one process the newer generation is kept.
 func (m *statusMerge) add(all ...*jayv1.ProcessStatus) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -183,13 +184,13 @@
 	}
 }
 
-func (m *statusMerge) missed(id keys.Identity) {
+func (m *statusMerge) markUnreachable(id keys.Identity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.unreachable[id] = true
 }
 
-// expect notes a process that someone should have told of.
+// expect marks a process as unreachable if no answer covers it.
 func (m *statusMerge) expect(id keys.Identity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
