--- a/internal/cacheindex/alias.go
+++ b/internal/cacheindex/alias.go
@@ -9,35 +9,35 @@
 	"github.com/jayproxy/jayproxy/internal/engine"
 )
 
-// DefaultAliases is enough for a prompt point a stride over four times the
-// text that an engine of 23,000 blocks caches.
+// DefaultAliases is enough for four times the text that an engine of 23,000 blocks caches, at
+// one prefix point per stride (the distance between points of a prefix chain).
 const DefaultAliases = 1 << 14
 
-// Aliases maps points of our prefix chains to the engine's blocks: the last
-// block that ends at or before the point. The engine's hashes need the prompt's
-// text, which an offer does not carry, so they are learned when prompts are
-// submitted. The least recently used go first. Not safe for concurrent use.
+// Aliases maps prefix points to engine blocks: each point to the last block that ends at
+// or before it. Block hashes can only be computed from the prompt's text, which an offer
+// doesn't carry, so the mapping is recorded when prompts are submitted. The least recently
+// used points are evicted first. Not safe for concurrent use.
 type Aliases struct {
 	entries *simplelru.LRU[uint64, alias]
 }
 
 type alias struct {
 	block engine.BlockHash
-	// bytes of the prompt up to the block's end.
+	// bytes is the length of the prompt up to the end of the block.
 	bytes uint32
 }
 
-// NewAliases makes a table of at most size points.
+// NewAliases returns a mapping of at most size points. It panics if size is below 1.
 func NewAliases(size int) *Aliases {
 	entries, err := simplelru.NewLRU[uint64, alias](size, nil)
 	if err != nil {
-		panic(err) // Only a size below 1 is refused.
+		panic(err) // size is below 1
 	}
 	return &Aliases{entries: entries}
 }
 
-// Record takes the engine's blocks of a prompt, and the prompt bytes at which
-// each ends, for the points of the prompt's chain.
+// Record maps the points of a prompt's chain to the prompt's engine blocks. ends holds the
+// prompt bytes at which each block ends.
 func (a *Aliases) Record(chain []*jayv1.PrefixPoint, blocks []engine.BlockHash, ends []int) {
 	last := -1
 	for _, point := range chain {
@@ -50,8 +50,8 @@
 	}
 }
 
-// KnownBytes is how much of a prompt's start was submitted here before, as far
-// back as the table reaches.
+// KnownBytes returns the length in bytes of the prompt's start that was submitted before,
+// as far as the mapping still holds it.
 func (a *Aliases) KnownBytes(chain []*jayv1.PrefixPoint) int {
 	known := 0
 	for _, point := range chain {
@@ -62,12 +62,12 @@
 	return known
 }
 
-// Len is the number of points known.
+// Len returns the number of points in the mapping.
 func (a *Aliases) Len() int { return a.entries.Len() }
 
-// CachedBytes is how much of a prompt's start is cached: up to the deepest
-// point whose block is there, and none of the points before it is known to be
-// missing. Engines reuse a prefix only as a whole.
+// CachedBytes returns the length in bytes of the prompt's start that is cached. It ends at
+// the first point whose block is missing, as engines reuse only an uninterrupted prefix.
+// Points without a known block are skipped.
 func (x *Index) CachedBytes(now time.Time, aliases *Aliases, chain []*jayv1.PrefixPoint) int {
 	cached := 0
 	for _, point := range chain {
--- a/internal/cacheindex/events.go
+++ b/internal/cacheindex/events.go
@@ -7,139 +7,135 @@
 	"github.com/jayproxy/jayproxy/internal/engine"
 )
 
-// Apply takes events in the order of their arrival.
+// Apply processes events in the order of their arrival.
 func (x *Index) Apply(now time.Time, events []engine.CacheEvent) {
 	for _, event := range events {
 		x.stats.Events++
-		x.take(now, event)
+		x.process(now, event)
 	}
 	x.Tick(now)
 }
 
-// dated is an event with the time at which it happened, as far as its age tells.
-type dated struct {
+// timedEvent is an event and the time at which it happened: its arrival minus its age.
+type timedEvent struct {
 	engine.CacheEvent
 	at time.Time
 }
 
-// take judges one event.
-//
-// Events of an earlier boot describe blocks that are gone; taken for news,
-// they would send requests to a cold engine. Events that came before would put
-// back what has been removed since. Both are ignored. An event from further on
-// waits for the ones between.
-func (x *Index) take(now time.Time, event engine.CacheEvent) {
+// process applies, buffers or ignores one event. Events of an earlier incarnation describe
+// blocks that are gone, and events below the expected sequence number were applied already:
+// both are ignored. An event above the expected number waits for the missing ones.
+func (x *Index) process(now time.Time, event engine.CacheEvent) {
 	if event.Incarnation < x.incarnation {
 		x.stats.Ignored++
 		return
 	}
 	x.ObserveIncarnation(event.Incarnation)
-	x.blind = false
+	x.streamLost = false
 	if x.next == 0 {
-		x.begin(now, event)
+		x.start(now, event)
 	}
-	happened := dated{CacheEvent: event, at: now.Add(-event.Age)}
+	timed := timedEvent{CacheEvent: event, at: now.Add(-event.Age)}
 	switch {
 	case event.Seq < x.next:
 		x.stats.Ignored++
 	case event.Seq > x.next:
-		x.hold(now, happened)
+		x.buffer(now, timed)
 	default:
-		x.apply(happened)
+		x.apply(timed)
 		x.next++
-		x.drain(now)
+		x.applyPending(now)
 	}
 }
 
-// begin starts at the first event of a boot. Numbers start at 1, so a later
-// one means that some came before and are not known.
-func (x *Index) begin(now time.Time, event engine.CacheEvent) {
+// start sets the expected sequence number at the first event of an incarnation. Numbers
+// start at 1, so a higher one means that earlier events were missed.
+func (x *Index) start(now time.Time, event engine.CacheEvent) {
 	x.next = event.Seq
 	if event.Seq > 1 {
-		x.doubt(now)
+		x.markIncomplete(now)
 	}
 }
 
-// hold keeps an event that came too early. What it removes is gone in any
-// case, so this much is applied at once.
-func (x *Index) hold(now time.Time, event dated) {
-	if len(x.held) == 0 {
-		x.heldSince = now
+// buffer keeps an event whose predecessors are missing. Its removals are applied at once,
+// as the blocks are gone in any case.
+func (x *Index) buffer(now time.Time, event timedEvent) {
+	if len(x.pending) == 0 {
+		x.gapSince = now
 	}
-	x.held[event.Seq] = event
+	x.pending[event.Seq] = event
 	if event.Kind == engine.BlocksRemoved {
 		for _, block := range event.Blocks {
 			x.remove(event.at, block, event.Age)
 		}
 	}
-	if len(x.held) > x.options.MaxPending {
-		x.skipMissing(now)
+	if len(x.pending) > x.options.MaxPending {
+		x.skipGap(now)
 	}
 }
 
-// drain applies the held events that are due.
-func (x *Index) drain(now time.Time) {
+// applyPending applies the pending events that follow without a gap.
+func (x *Index) applyPending(now time.Time) {
 	for {
-		event, ok := x.held[x.next]
+		event, ok := x.pending[x.next]
 		if !ok {
 			break
 		}
-		delete(x.held, x.next)
+		delete(x.pending, x.next)
 		x.apply(event)
 		x.next++
-		x.heldSince = now
+		x.gapSince = now
 	}
-	if len(x.held) == 0 {
-		x.heldSince = time.Time{}
+	if len(x.pending) == 0 {
+		x.gapSince = time.Time{}
 	}
 }
 
-// skipMissing gives the missing events up as lost.
-func (x *Index) skipMissing(now time.Time) {
-	oldest := uint64(0)
-	for seq := range x.held {
-		if oldest == 0 || seq < oldest {
-			oldest = seq
+// skipGap counts the missing events as lost and continues with the pending ones.
+func (x *Index) skipGap(now time.Time) {
+	lowest := uint64(0)
+	for seq := range x.pending {
+		if lowest == 0 || seq < lowest {
+			lowest = seq
 		}
 	}
-	x.stats.Lost += oldest - x.next
-	x.next = oldest
-	x.doubt(now)
-	x.drain(now)
+	x.stats.Lost += lowest - x.next
+	x.next = lowest
+	x.markIncomplete(now)
+	x.applyPending(now)
 }
 
-// StreamLost tells that the stream of events can't be continued where it was.
-// Nothing is claimed until one arrives again: without removals, all that was
-// ever stored would seem to be there still.
+// StreamLost records that the event stream can't be resumed where it ended. No block is
+// reported as cached until the next event arrives, since removals would go unnoticed.
 func (x *Index) StreamLost(now time.Time) {
-	x.blind = true
-	x.doubt(now)
+	x.streamLost = true
+	x.markIncomplete(now)
 	x.next = 0
-	x.held = map[uint64]dated{}
-	x.heldSince = time.Time{}
+	x.pending = map[uint64]timedEvent{}
+	x.gapSince = time.Time{}
 }
 
-// doubt notes that the picture may be wrong from now on.
-func (x *Index) doubt(now time.Time) {
-	if x.doubtAt == 0 {
-		x.doubtSince = now
+// markIncomplete records that events were lost at now and, in Resync mode, requests a snapshot.
+func (x *Index) markIncomplete(now time.Time) {
+	if x.incompleteAt == 0 {
+		x.incompleteSince = now
 	}
-	x.doubtAt = x.stampOf(now)
-	if x.options.Repair == Resync && !x.wantSnapshot {
-		x.wantSnapshot = true
+	x.incompleteAt = x.stampOf(now)
+	if x.options.Repair == Resync && !x.snapshotNeeded {
+		x.snapshotNeeded = true
 		x.journal = nil
 	}
 }
 
-func (x *Index) apply(event dated) {
-	x.change(event)
-	if x.wantSnapshot && len(x.journal) < x.options.MaxPending {
+func (x *Index) apply(event timedEvent) {
+	x.update(event)
+	if x.snapshotNeeded && len(x.journal) < x.options.MaxPending {
 		x.journal = append(x.journal, event)
 	}
 }
 
-// change makes the event's change to the picture.
-func (x *Index) change(event dated) {
+// update applies an event to the set of blocks.
+func (x *Index) update(event timedEvent) {
 	switch event.Kind {
 	case engine.BlocksStored:
 		at := x.stampOf(event.at)
@@ -155,10 +151,9 @@
 	}
 }
 
-// remove takes a block out, unless it was used after it was removed: the event
-// is late, and the engine has computed the block again since. Its own event of
-// that may be lost. Taken at face value, such removals would also say that
-// blocks live for no time at all.
+// remove deletes a block, unless it was used after the time of the removal: the event is
+// then late, and the engine has computed the block again since. Counting such a removal
+// would also make the retention too short.
 func (x *Index) remove(at time.Time, block engine.BlockHash, age time.Duration) {
 	used, ok := x.blocks[block]
 	if !ok {
@@ -169,19 +164,20 @@
 	}
 	delete(x.blocks, block)
 	if used != unknownUse {
-		x.survival.add(at.Sub(x.base), x.since(at, used))
+		x.retention.add(at.Sub(x.base), x.since(at, used))
 	}
 }
 
-// Snapshot replaces the picture by the engine's own. False: it is of an
-// earlier boot, or older than what has been applied and can be applied again.
-// Events at or before its number are ignored from now on.
+// Snapshot replaces the set of blocks by the engine's own and applies later events from the
+// journal again. It returns false if the snapshot is of an earlier incarnation, or so old
+// that the journal doesn't hold all events after it. Events up to the snapshot's sequence
+// number are ignored from now on.
 func (x *Index) Snapshot(now time.Time, snapshot engine.CacheSnapshot) bool {
 	if snapshot.Incarnation < x.incarnation {
 		return false
 	}
 	x.ObserveIncarnation(snapshot.Incarnation)
-	if !x.reaches(snapshot.Seq) {
+	if !x.journalCovers(snapshot.Seq) {
 		return false
 	}
 	blocks := make(map[engine.BlockHash]stamp, len(snapshot.Blocks))
@@ -190,27 +186,26 @@
 	}
 	x.blocks = blocks
 	x.stats.Snapshots++
-	x.doubtAt = 0
-	x.blind = false
+	x.incompleteAt = 0
+	x.streamLost = false
 	for _, event := range x.journal {
 		if event.Seq > snapshot.Seq {
-			x.change(event)
+			x.update(event)
 		}
 	}
-	x.wantSnapshot, x.journal = false, nil
+	x.snapshotNeeded, x.journal = false, nil
 	x.next = max(x.next, snapshot.Seq+1)
-	for seq := range x.held {
+	for seq := range x.pending {
 		if seq < x.next {
-			delete(x.held, seq)
+			delete(x.pending, seq)
 		}
 	}
-	x.drain(now)
+	x.applyPending(now)
 	return true
 }
 
-// reaches tells whether the journal can lead from the snapshot's number to
-// what has been applied, without a hole.
-func (x *Index) reaches(seq uint64) bool {
+// journalCovers reports whether the journal holds all applied events after seq.
+func (x *Index) journalCovers(seq uint64) bool {
 	if x.next == 0 || seq+1 >= x.next {
 		return true
 	}
--- a/internal/cacheindex/index.go
+++ b/internal/cacheindex/index.go
@@ -1,7 +1,7 @@
-// Package cacheindex knows which blocks one engine has cached, from a stream
-// of events that come late, twice, out of order or never. It has no I/O,
-// goroutine or clock; callers lock. A wrong claim costs time and nothing else:
-// the engine computes what is not there, and hashes cover the workspace.
+// Package cacheindex tracks which blocks one engine has cached, from a stream of events that
+// may be late, duplicated, reordered or lost. It has no I/O, goroutine or clock; callers
+// lock. A wrong result costs only time: the engine computes blocks that are missing, and
+// block hashes include the workspace, so that no block of another workspace matches.
 package cacheindex
 
 import (
@@ -11,47 +11,47 @@
 	"github.com/jayproxy/jayproxy/internal/engine"
 )
 
-// Repair says what the index does about lost events.
+// Repair selects how the index recovers from lost events.
 type Repair int
 
-// The ways of repair.
+// Repair modes.
 const (
-	// Resync asks for a snapshot of the engine's cache.
+	// Resync requests a snapshot of the engine's cache.
 	Resync Repair = iota + 1
-	// Expire is for engines without snapshots: it stops claiming blocks that
-	// nothing has confirmed lately.
+	// Expire is for engines without snapshots: blocks that weren't used recently are no
+	// longer reported as cached.
 	Expire
 )
 
-// Options of an index. Zero values take the defaults.
+// Options configures an Index. Zero values select the defaults.
 type Options struct {
 	Repair Repair
-	// ReorderWait is how long a missing event may be late before it counts as lost.
+	// ReorderWait is how long a missing event is waited for before it counts as lost.
 	ReorderWait time.Duration
-	// MaxPending bounds the events that wait for a missing one.
+	// MaxPending bounds the events that wait for a missing one, and the journal.
 	MaxPending int
 }
 
 const (
 	defaultReorderWait = 200 * time.Millisecond
-	defaultMaxHeld     = 4096
-	// confirmShare of the survival time: a block that was used within it is
-	// claimed although events were lost since.
-	confirmShare = 0.9
-	// stampUnit is the resolution of a block's last use. 10 ms in 32 bits reach
-	// for 497 days after the index was made.
+	defaultMaxPending  = 4096
+	// confirmedFactor of the retention: a block used within it is reported as cached
+	// although events were lost since.
+	confirmedFactor = 0.9
+	// stampUnit is the resolution of the time of last use. 10 ms in 32 bits cover 497 days
+	// from the creation of the index.
 	stampUnit = 10 * time.Millisecond
-	// unknownUse marks a block whose last use is not known.
+	// unknownUse marks a block whose last use is unknown.
 	unknownUse = stamp(0)
-	// resyncPatience is how long a snapshot may be outstanding before the index
-	// stops claiming blocks that nothing has confirmed lately.
-	resyncPatience = 5 * time.Second
-	// staleShare of the survival time after its last use, a block is taken to be
-	// gone without a trace: its removal was lost. Until then it is held,
-	// unclaimed, because the age at which it is removed tells the survival time.
-	staleShare = 2.0
-	// sweepEvery is how often such blocks are looked for.
-	sweepEvery = time.Second
+	// snapshotTimeout is how long blocks are reported as usual while a snapshot is
+	// outstanding. After it, blocks that weren't used recently are not reported.
+	snapshotTimeout = 5 * time.Second
+	// staleFactor of the retention after its last use a block counts as removed by a lost
+	// event. It is kept until then, because its age at removal contributes to the
+	// retention.
+	staleFactor = 2.0
+	// sweepInterval is the time between two searches for such blocks.
+	sweepInterval = time.Second
 )
 
 func (o Options) withDefaults() Options {
@@ -62,150 +62,150 @@
 		o.ReorderWait = defaultReorderWait
 	}
 	if o.MaxPending == 0 {
-		o.MaxPending = defaultMaxHeld
+		o.MaxPending = defaultMaxPending
 	}
 	return o
 }
 
-// stamp is a time in units since the index was made, from 1.
+// stamp is a time since the creation of the index, in stampUnit, starting at 1.
 type stamp uint32
 
-// Stats count what came in.
+// Stats counts the events and snapshots received.
 type Stats struct {
 	Events, Ignored, Lost, Snapshots uint64
 }
 
-// Index is the picture of one engine's cache. Not safe for concurrent use.
+// Index is a view of one engine's cache. Not safe for concurrent use.
 type Index struct {
 	options     Options
 	base        time.Time
 	incarnation uint64
-	// next is the sequence number that is due; 0 before the first event.
-	next   uint64
-	blocks map[engine.BlockHash]stamp
-	held   map[uint64]dated
-	// heldSince is when the oldest wait for a missing event began.
-	heldSince time.Time
-	// doubtAt is when events were last found to be lost; zero: the picture is whole.
-	doubtAt stamp
-	// doubtSince is when the picture was last whole.
-	doubtSince time.Time
-	// journal holds what was applied since a snapshot was asked for, so that a
-	// snapshot that is a little older does not undo it.
-	journal      []dated
-	wantSnapshot bool
-	// blind: no event has come since the stream of events was lost.
-	blind    bool
-	sweptAt  time.Time
-	survival survivalMeter
-	stats    Stats
-}
-
-// New makes an index of an engine of which nothing is known.
+	// next is the expected sequence number; 0 before the first event.
+	next    uint64
+	blocks  map[engine.BlockHash]stamp
+	pending map[uint64]timedEvent
+	// gapSince is when the wait for the current missing event began; zero if there is none.
+	gapSince time.Time
+	// incompleteAt is when events were last lost; 0 if the view is complete.
+	incompleteAt stamp
+	// incompleteSince is when the view became incomplete.
+	incompleteSince time.Time
+	// journal holds the events applied since a snapshot was requested, so that they can be
+	// applied again to a snapshot that is slightly older.
+	journal        []timedEvent
+	snapshotNeeded bool
+	// streamLost: no event has arrived since the stream of events was lost.
+	streamLost bool
+	sweptAt    time.Time
+	retention  retentionEstimator
+	stats      Stats
+}
+
+// New returns an index of an engine whose cache content is unknown.
 func New(now time.Time, options Options) *Index {
 	x := &Index{options: options.withDefaults(), base: now}
 	x.reset(0)
 	return x
 }
 
-// reset forgets everything: the engine has come back cold.
+// reset clears the index: the engine has restarted with an empty cache.
 func (x *Index) reset(incarnation uint64) {
 	x.incarnation = incarnation
 	x.next = 0
 	x.blocks = map[engine.BlockHash]stamp{}
-	x.held = map[uint64]dated{}
-	x.heldSince = time.Time{}
-	x.doubtAt = 0
-	x.blind = false
+	x.pending = map[uint64]timedEvent{}
+	x.gapSince = time.Time{}
+	x.incompleteAt = 0
+	x.streamLost = false
 	x.journal = nil
-	x.wantSnapshot = x.options.Repair == Resync
-	x.survival = survivalMeter{}
+	x.snapshotNeeded = x.options.Repair == Resync
+	x.retention = retentionEstimator{}
 }
 
-// Incarnation that the picture is of.
+// Incarnation returns the engine incarnation that the index describes.
 func (x *Index) Incarnation() uint64 { return x.incarnation }
 
-// ObserveIncarnation tells the boot number that an answer or report of the engine
-// carried. A newer one means that all that was cached is gone, whatever its
-// events say, which may come much later.
+// ObserveIncarnation processes the incarnation in an answer or report of the engine. A
+// higher one clears the index: the engine's cache is empty since its restart, and the
+// events of the new incarnation may arrive much later.
 func (x *Index) ObserveIncarnation(incarnation uint64) {
 	if incarnation > x.incarnation {
 		x.reset(incarnation)
 	}
 }
 
-// NeedsSnapshot tells whether a snapshot would repair the picture.
-func (x *Index) NeedsSnapshot() bool { return x.wantSnapshot }
+// NeedsSnapshot reports whether a snapshot is requested.
+func (x *Index) NeedsSnapshot() bool { return x.snapshotNeeded }
 
-// Next is the sequence number of the event that is due; 0 while none has come.
+// Next returns the sequence number of the next event; 0 before the first one.
 func (x *Index) Next() uint64 { return x.next }
 
-// Len is the number of blocks held, claimed or not.
+// Len returns the number of blocks held, including those not reported as cached.
 func (x *Index) Len() int { return len(x.blocks) }
 
-// Stats of the index so far.
+// Stats returns the counts since the index was created.
 func (x *Index) Stats() Stats { return x.stats }
 
-// Has tells whether the block is cached as far as is known. While events are
-// known to be lost, only blocks that were used lately are claimed: an engine
-// evicts what was used longest ago, so these have outlived any removal whose
-// event is missing.
+// Has reports whether the block is cached as far as is known. While events are lost, only
+// recently used blocks are reported: engines evict the least recently used blocks, so these
+// are still cached whatever removals were missed.
 func (x *Index) Has(now time.Time, block engine.BlockHash) bool {
-	if x.blind {
+	if x.streamLost {
 		return false
 	}
 	used, ok := x.blocks[block]
-	return ok && (x.doubtAt == 0 || x.confirmed(now, used))
+	return ok && (x.incompleteAt == 0 || x.confirmed(now, used))
 }
 
-// confirmed tells whether a block used at the stamp may be claimed in doubt.
+// confirmed reports whether a block used at the stamp is reported as cached while the view
+// is incomplete.
 func (x *Index) confirmed(now time.Time, used stamp) bool {
-	if x.options.Repair == Resync && now.Sub(x.doubtSince) < resyncPatience {
-		return true // The snapshot is on its way.
+	if x.options.Repair == Resync && now.Sub(x.incompleteSince) < snapshotTimeout {
+		return true // A snapshot is expected soon.
 	}
-	return used > x.doubtAt || x.usedWithin(now, used, confirmShare)
+	return used > x.incompleteAt || x.usedWithin(now, used, confirmedFactor)
 }
 
-// usedWithin tells whether a stamp is no older than a share of the survival time.
-func (x *Index) usedWithin(now time.Time, used stamp, share float64) bool {
-	return float64(x.since(now, used)) <= share*float64(x.Retention(now))
+// usedWithin reports whether a stamp is at most factor times the retention old.
+func (x *Index) usedWithin(now time.Time, used stamp, factor float64) bool {
+	return float64(x.since(now, used)) <= factor*float64(x.Retention(now))
 }
 
-// MarkUsed tells that the engine has just computed or reused these blocks of a
-// prompt. In doubt this is evidence that they are cached.
+// MarkUsed records that the engine has just computed or reused these blocks. While the view
+// is incomplete it adds blocks that are not held.
 func (x *Index) MarkUsed(now time.Time, blocks []engine.BlockHash) {
 	at := x.stampOf(now)
 	for _, block := range blocks {
-		if _, ok := x.blocks[block]; ok || x.doubtAt != 0 {
+		if _, ok := x.blocks[block]; ok || x.incompleteAt != 0 {
 			x.blocks[block] = at
 		}
 	}
 }
 
-// Retention is how long a block that is not used stays cached now. 0: unknown.
+// Retention returns how long an unused block currently stays cached. Before the first
+// removal it is the age of the index.
 func (x *Index) Retention(now time.Time) time.Duration {
-	return x.survival.value(now.Sub(x.base))
+	return x.retention.value(now.Sub(x.base))
 }
 
-// HasEvicted tells whether blocks have left this engine's cache since its start.
-func (x *Index) HasEvicted() bool { return x.survival.count > 0 }
+// HasEvicted reports whether blocks were removed from the engine's cache in this incarnation.
+func (x *Index) HasEvicted() bool { return x.retention.count > 0 }
 
-// Tick gives up waiting for events that are overdue and drops blocks that must
-// be gone.
+// Tick stops waiting for overdue events and deletes blocks that must be gone.
 func (x *Index) Tick(now time.Time) {
-	if !x.heldSince.IsZero() && now.Sub(x.heldSince) >= x.options.ReorderWait {
-		x.skipMissing(now)
+	if !x.gapSince.IsZero() && now.Sub(x.gapSince) >= x.options.ReorderWait {
+		x.skipGap(now)
 	}
-	if x.doubtAt != 0 && now.Sub(x.sweptAt) >= sweepEvery {
+	if x.incompleteAt != 0 && now.Sub(x.sweptAt) >= sweepInterval {
 		x.sweep(now)
 	}
 }
 
-// sweep drops blocks whose removal was lost, so that they do not stay for ever.
+// sweep deletes blocks whose removal was lost.
 func (x *Index) sweep(now time.Time) {
 	x.sweptAt = now
 	for block, used := range x.blocks {
-		if !x.confirmed(now, used) && !x.usedWithin(now, used, staleShare) {
+		if !x.confirmed(now, used) && !x.usedWithin(now, used, staleFactor) {
 			delete(x.blocks, block)
 		}
 	}
@@ -224,13 +224,13 @@
 	return time.Duration(at-used) * stampUnit
 }
 
-// CachedBlocks lists the blocks that Has answers for with true, in no order.
+// CachedBlocks returns the blocks for which Has returns true, in no order.
 func (x *Index) CachedBlocks(now time.Time) []engine.BlockHash {
-	claimed := make([]engine.BlockHash, 0, len(x.blocks))
+	cached := make([]engine.BlockHash, 0, len(x.blocks))
 	for block := range x.blocks {
 		if x.Has(now, block) {
-			claimed = append(claimed, block)
+			cached = append(cached, block)
 		}
 	}
-	return claimed
+	return cached
 }
--- a/internal/cacheindex/index_test.go
+++ b/internal/cacheindex/index_test.go
@@ -30,9 +30,8 @@
 	return cacheindex.New(epoch, cacheindex.Options{Repair: repair})
 }
 
-// An engine crashes and comes back cold. Its last events from before arrive
-// afterwards; requests would be sent there for a prefix that nobody holds.
-func TestEventsOfAnOldBootAreIgnored(t *testing.T) {
+// Late events of an earlier incarnation must not report blocks of a restarted engine as cached.
+func TestEventsOfEarlierIncarnationAreIgnored(t *testing.T) {
 	x := newIndex(cacheindex.Expire)
 	apply(x, stored(1, 1, 10), stored(1, 2, 11))
 	require.True(t, x.Has(epoch, 10))
@@ -43,8 +42,8 @@
 	assert.True(t, x.Has(epoch, 20))
 }
 
-// The engine's answer shows the new boot before any event of it has come.
-func TestIncarnationInAnAnswerClearsAll(t *testing.T) {
+// An answer may carry a new incarnation before any of its events arrive. It clears the index.
+func TestNewIncarnationClearsIndex(t *testing.T) {
 	x := newIndex(cacheindex.Expire)
 	apply(x, stored(1, 1, 10))
 	x.ObserveIncarnation(2)
@@ -54,14 +53,14 @@
 	assert.False(t, x.Snapshot(epoch, engine.CacheSnapshot{Incarnation: 1, Seq: 9, Blocks: []engine.BlockHash{10}}))
 }
 
-// A block is evicted, and the event that stored it comes a second time.
-func TestDoubledEventsPutNothingBack(t *testing.T) {
+// A duplicate of the event that stored a block must not restore it after its removal.
+func TestDuplicateEventsRestoreNothing(t *testing.T) {
 	x := newIndex(cacheindex.Expire)
 	apply(x, stored(1, 1, 10), removed(1, 2, 10), stored(1, 1, 10))
 	assert.False(t, x.Has(epoch, 10))
 }
 
-// Removal and storing of a block arrive in the wrong order.
+// Events that arrive out of order are applied by sequence number.
 func TestReorderedEventsAreAppliedInOrder(t *testing.T) {
 	x := newIndex(cacheindex.Expire)
 	apply(x, stored(1, 1, 10), stored(1, 3, 10), removed(1, 2, 10), removed(1, 5, 11), stored(1, 4, 11))
@@ -69,13 +68,13 @@
 	assert.False(t, x.Has(epoch, 11))
 }
 
-func TestRemovalsOfHeldEventsCountAtOnce(t *testing.T) {
+func TestPendingRemovalsApplyImmediately(t *testing.T) {
 	x := newIndex(cacheindex.Expire)
 	apply(x, stored(1, 1, 10), removed(1, 3, 10))
 	assert.False(t, x.Has(epoch, 10))
 }
 
-// A removal is lost. Without repair the index would claim the block for ever.
+// A snapshot repairs the index after a removal event was lost.
 func TestGapIsRepairedBySnapshot(t *testing.T) {
 	x := newIndex(cacheindex.Resync)
 	require.True(t, x.NeedsSnapshot())
@@ -92,27 +91,26 @@
 	assert.False(t, x.Has(later, 11), "it was removed after the snapshot")
 	assert.True(t, x.Has(later, 13))
 	x.Apply(later, []engine.CacheEvent{stored(1, 2, 10)})
-	assert.False(t, x.Has(later, 10), "an event from before the snapshot says nothing new")
+	assert.False(t, x.Has(later, 10), "an event from before the snapshot is ignored")
 }
 
-func TestSnapshotThatIsTooOldIsNotTaken(t *testing.T) {
+func TestOutdatedSnapshotIsRejected(t *testing.T) {
 	x := newIndex(cacheindex.Resync)
 	require.True(t, x.Snapshot(epoch, engine.CacheSnapshot{Incarnation: 1, Seq: 5, Blocks: []engine.BlockHash{10}}))
 	assert.False(t, x.Snapshot(epoch, engine.CacheSnapshot{Incarnation: 1, Seq: 3}))
 	assert.True(t, x.Has(epoch, 10))
 }
 
-// A removal is lost on an engine without snapshots. The block is claimed only
-// as long as its last use makes it likely.
-func TestGapWithoutSnapshotsForgetsWhatNothingConfirms(t *testing.T) {
+// After lost events on an engine without snapshots, only recently used blocks are reported.
+func TestGapWithoutSnapshotsExpiresUnconfirmedBlocks(t *testing.T) {
 	x := newIndex(cacheindex.Expire)
 	at := func(s int) time.Time { return epoch.Add(time.Duration(s) * time.Second) }
 	x.Apply(at(0), []engine.CacheEvent{stored(1, 1, 10, 11, 12)})
-	x.Apply(at(20), []engine.CacheEvent{removed(1, 2, 12)}) // blocks survive for 20 s
+	x.Apply(at(20), []engine.CacheEvent{removed(1, 2, 12)}) // blocks are retained for 20 s
 	x.MarkUsed(at(20), []engine.BlockHash{11})
 	x.Apply(at(21), []engine.CacheEvent{stored(1, 4, 13)})
 	x.Tick(at(22))
-	assert.False(t, x.Has(at(22), 10), "not used for longer than half of the survival time")
+	assert.False(t, x.Has(at(22), 10), "last used longer ago than 0.9 of the retention")
 	assert.True(t, x.Has(at(22), 11))
 	assert.True(t, x.Has(at(22), 13))
 	assert.False(t, x.Has(at(39), 11))
@@ -120,8 +118,8 @@
 	assert.True(t, x.Has(at(40), 10), "the engine has just computed it")
 }
 
-// The stream of events ends and can't be continued; blocks are evicted unseen.
-func TestNothingIsClaimedWithoutEvents(t *testing.T) {
+// After the event stream was lost, no block is reported until the next event arrives.
+func TestNoBlockIsReportedWithoutEvents(t *testing.T) {
 	x := newIndex(cacheindex.Expire)
 	apply(x, stored(1, 1, 10))
 	x.StreamLost(epoch)
@@ -131,9 +129,8 @@
 	assert.True(t, x.Has(epoch, 11))
 }
 
-// The removal of a block arrives after the engine has computed it again, and
-// the event of that is lost: a hot prefix would count as missing.
-func TestRemovalBeforeTheLastUseIsOldNews(t *testing.T) {
+// A late removal of a block that the engine has computed again must not delete it.
+func TestRemovalBeforeLastUseIsIgnored(t *testing.T) {
 	x := newIndex(cacheindex.Expire)
 	at := func(s int) time.Time { return epoch.Add(time.Duration(s) * time.Second) }
 	x.Apply(at(0), []engine.CacheEvent{stored(1, 1, 10)})
@@ -144,7 +141,7 @@
 	assert.True(t, x.Has(at(6), 10))
 }
 
-func TestSurvivalFollowsTheRemovals(t *testing.T) {
+func TestRetentionFollowsRemovals(t *testing.T) {
 	x := newIndex(cacheindex.Expire)
 	seq := uint64(0)
 	for i := range 2000 {
@@ -174,9 +171,8 @@
 	assert.Zero(t, x.CachedBytes(epoch, aliases, []*jayv1.PrefixPoint{{Hash: 99, Bytes: 64}}))
 }
 
-// TestPictureIsExactOnceAllEventsHaveCome shuffles and doubles the events of a
-// cache within the reorder window; nothing is lost.
-func TestPictureIsExactOnceAllEventsHaveCome(t *testing.T) {
+// With events reordered and duplicated but none lost, the index equals the cache.
+func TestIndexIsExactOnceAllEventsArrived(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := map[engine.BlockHash]bool{}
 		var events []engine.CacheEvent
@@ -207,8 +203,7 @@
 	})
 }
 
-// FuzzEvents feeds events that no engine would send: no panic, and the memory
-// stays within what was sent and the bound on held events.
+// FuzzEvents feeds arbitrary events: the index must not panic and its size stays bounded.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte{1, 1, 0, 5, 1, 3, 1, 5, 2, 1, 0, 7})
 	f.Fuzz(func(t *testing.T, script []byte) {
@@ -217,14 +212,14 @@
 			highest := uint64(0)
 			for i := 0; i+3 < len(script); i += 4 {
 				now := epoch.Add(time.Duration(i) * 50 * time.Millisecond)
-				boot, seq, block := uint64(script[i]), uint64(script[i+1]), engine.BlockHash(script[i+3])
-				highest = max(highest, boot)
+				incarnation, seq, block := uint64(script[i]), uint64(script[i+1]), engine.BlockHash(script[i+3])
+				highest = max(highest, incarnation)
 				if script[i+2] == 9 {
-					x.Snapshot(now, engine.CacheSnapshot{Incarnation: boot, Seq: seq, Blocks: []engine.BlockHash{block}})
+					x.Snapshot(now, engine.CacheSnapshot{Incarnation: incarnation, Seq: seq, Blocks: []engine.BlockHash{block}})
 					continue
 				}
 				kind := engine.CacheEventKind(script[i+2] % 4)
-				x.Apply(now, []engine.CacheEvent{{Incarnation: boot, Seq: seq, Kind: kind, Blocks: []engine.BlockHash{block}}})
+				x.Apply(now, []engine.CacheEvent{{Incarnation: incarnation, Seq: seq, Kind: kind, Blocks: []engine.BlockHash{block}}})
 			}
 			require.Equal(t, highest, x.Incarnation())
 			require.LessOrEqual(t, x.Len(), 256)
--- a/internal/cacheindex/loss_test.go
+++ b/internal/cacheindex/loss_test.go
@@ -15,65 +15,65 @@
 	"github.com/jayproxy/jayproxy/internal/engine"
 )
 
-// capacity is the number of blocks that an engine caches.
-const capacity = 23_000
+// capacityBlocks is the number of blocks that the engine caches.
+const capacityBlocks = 23_000
 
-// lruCache is the engine's true cache; it writes down what happens to it.
+// lruCache is the engine's actual cache; it records its events.
 type lruCache struct {
-	order  *list.List
-	at     map[engine.BlockHash]*list.Element
-	seq    uint64
-	events []engine.CacheEvent
+	order    *list.List
+	elements map[engine.BlockHash]*list.Element
+	seq      uint64
+	events   []engine.CacheEvent
 }
 
 func newLRUCache() *lruCache {
-	return &lruCache{order: list.New(), at: map[engine.BlockHash]*list.Element{}}
+	return &lruCache{order: list.New(), elements: map[engine.BlockHash]*list.Element{}}
 }
 
-func (c *lruCache) note(kind engine.CacheEventKind, block engine.BlockHash) {
+func (c *lruCache) record(kind engine.CacheEventKind, block engine.BlockHash) {
 	c.seq++
 	c.events = append(c.events, engine.CacheEvent{Incarnation: 1, Seq: c.seq, Kind: kind, Blocks: []engine.BlockHash{block}})
 }
 
-// use touches a prompt's blocks, the first one last, so that a prefix never
-// leaves before what stands on it.
+// use marks a prompt's blocks as used, from last to first, so that no block is evicted before
+// its successors in the prompt.
 func (c *lruCache) use(blocks []engine.BlockHash) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		block := blocks[i]
-		if e, ok := c.at[block]; ok {
+		if e, ok := c.elements[block]; ok {
 			c.order.MoveToFront(e)
 			continue
 		}
-		if len(c.at) >= capacity {
+		if len(c.elements) >= capacityBlocks {
 			last := c.order.Back()
 			victim := c.order.Remove(last).(engine.BlockHash)
-			delete(c.at, victim)
-			c.note(engine.BlocksRemoved, victim)
+			delete(c.elements, victim)
+			c.record(engine.BlocksRemoved, victim)
 		}
-		c.at[block] = c.order.PushFront(block)
-		c.note(engine.BlocksStored, block)
+		c.elements[block] = c.order.PushFront(block)
+		c.record(engine.BlocksStored, block)
 	}
 }
 
 func (c *lruCache) snapshot() engine.CacheSnapshot {
-	blocks := make([]engine.BlockHash, 0, len(c.at))
-	for block := range c.at {
+	blocks := make([]engine.BlockHash, 0, len(c.elements))
+	for block := range c.elements {
 		blocks = append(blocks, block)
 	}
 	return engine.CacheSnapshot{Incarnation: 1, Seq: c.seq, Blocks: blocks}
 }
 
-// arrival is an event on its way.
-type arrival struct {
+// delivery is an event and the time of its arrival.
+type delivery struct {
 	at    time.Time
 	event engine.CacheEvent
 }
 
-// network delays events by 100 to 150 ms, loses some, doubles and reorders others.
+// network delays events by 100 to 150 ms, and loses, duplicates and reorders some.
 type network struct {
 	random  *rand.Rand
 	loss    float64
-	pending []arrival
+	pending []delivery
 }
 
 func (n *network) send(now time.Time, events []engine.CacheEvent) {
@@ -90,12 +90,12 @@
 			if n.random.Float64() < 0.02 {
 				delay += time.Duration(n.random.IntN(50)) * time.Millisecond
 			}
-			n.pending = append(n.pending, arrival{now.Add(delay), event})
+			n.pending = append(n.pending, delivery{now.Add(delay), event})
 		}
 	}
 }
 
-func (n *network) arrived(now time.Time) []engine.CacheEvent {
+func (n *network) deliver(now time.Time) []engine.CacheEvent {
 	sort.SliceStable(n.pending, func(i, j int) bool { return n.pending[i].at.Before(n.pending[j].at) })
 	due := sort.Search(len(n.pending), func(i int) bool { return n.pending[i].at.After(now) })
 	var events []engine.CacheEvent
@@ -107,7 +107,7 @@
 	return events
 }
 
-// prompts makes nested prompts: a rulebook of 60 blocks and a document of 30.
+// prompts generates prompts of a shared prefix of 60 blocks (rulebook) and a document of 30.
 type prompts struct {
 	rulebook, document *rand.Zipf
 }
@@ -128,40 +128,40 @@
 	return blocks
 }
 
-// picture is how well an index matches the truth, averaged over the run.
-type picture struct {
+// accuracy compares an index with the actual cache, averaged over the run.
+type accuracy struct {
 	eventsPerSecond float64
-	// precise is the share of claimed blocks that are cached, complete the
-	// share of cached blocks that are claimed.
-	precise, complete float64
-	survival          time.Duration
+	// precision is the share of reported blocks that are cached, recall the share of cached
+	// blocks that are reported.
+	precision, recall float64
+	retention         time.Duration
 	snapshots         uint64
 }
 
-// watch runs an engine for 90 virtual seconds and compares once a second after
-// the first 50. At most one snapshot a second is read, 20 ms old. After 70
-// seconds the load grows by a factor.
-func watch(repair cacheindex.Repair, loss, surge float64) picture {
+// simulate runs an engine for 90 virtual seconds and compares index and cache once a second
+// after the first 50. At most one snapshot a second is read, 20 ms old. After 70 seconds the
+// load is multiplied by loadFactor.
+func simulate(repair cacheindex.Repair, loss, loadFactor float64) accuracy {
 	const (
-		step             = 10 * time.Millisecond
-		requestsPerStep  = 0.19
-		seconds, warm    = 90, 50
-		snapshotEvery    = 100
-		stepsPerSecond   = int(time.Second / step)
-		snapshotLagSteps = 2
+		step                   = 10 * time.Millisecond
+		requestsPerStep        = 0.19
+		seconds, warmUpSeconds = 90, 50
+		snapshotIntervalSteps  = 100
+		stepsPerSecond         = int(time.Second / step)
+		snapshotLagSteps       = 2
 	)
 	random := rand.New(rand.NewPCG(7, 11))
 	cache, net, prompts := newLRUCache(), &network{random: random, loss: loss}, newPrompts(random)
 	x := cacheindex.New(epoch, cacheindex.Options{Repair: repair})
-	var sum picture
+	var sum accuracy
 	var snapshot engine.CacheSnapshot
 	var backlog float64
 	snapshotAt, count := -1, 0
 	for i := range seconds * stepsPerSecond {
 		now := epoch.Add(time.Duration(i) * step)
 		rate := requestsPerStep
-		if i >= (seconds+warm)/2*stepsPerSecond {
-			rate *= surge
+		if i >= (seconds+warmUpSeconds)/2*stepsPerSecond {
+			rate *= loadFactor
 		}
 		for backlog += rate; backlog >= 1; backlog-- {
 			blocks := prompts.next()
@@ -169,53 +169,52 @@
 			x.MarkUsed(now, blocks)
 		}
 		net.send(now, cache.events)
-		if i >= warm*stepsPerSecond {
+		if i >= warmUpSeconds*stepsPerSecond {
 			count += len(cache.events)
 		}
 		cache.events = nil
-		x.Apply(now, net.arrived(now))
+		x.Apply(now, net.deliver(now))
 		if i == snapshotAt {
 			x.Snapshot(now, snapshot)
 		}
-		if x.NeedsSnapshot() && i >= snapshotAt+snapshotEvery {
+		if x.NeedsSnapshot() && i >= snapshotAt+snapshotIntervalSteps {
 			snapshot, snapshotAt = cache.snapshot(), i+snapshotLagSteps
 		}
-		if i >= warm*stepsPerSecond && i%stepsPerSecond == 0 {
-			precise, complete := compare(now, x, cache)
-			sum.precise += precise
-			sum.complete += complete
+		if i >= warmUpSeconds*stepsPerSecond && i%stepsPerSecond == 0 {
+			precision, recall := measureAccuracy(now, x, cache)
+			sum.precision += precision
+			sum.recall += recall
 		}
 	}
-	measured := float64(seconds - warm)
-	return picture{
-		eventsPerSecond: float64(count) / measured, precise: sum.precise / measured, complete: sum.complete / measured,
-		survival: x.Retention(epoch.Add(seconds * time.Second)), snapshots: x.Stats().Snapshots,
+	measuredSeconds := float64(seconds - warmUpSeconds)
+	return accuracy{
+		eventsPerSecond: float64(count) / measuredSeconds, precision: sum.precision / measuredSeconds, recall: sum.recall / measuredSeconds,
+		retention: x.Retention(epoch.Add(seconds * time.Second)), snapshots: x.Stats().Snapshots,
 	}
 }
 
-func compare(now time.Time, x *cacheindex.Index, cache *lruCache) (precise, complete float64) {
-	claimed, right := 0, 0
+func measureAccuracy(now time.Time, x *cacheindex.Index, cache *lruCache) (precision, recall float64) {
+	reported, correct := 0, 0
 	for _, block := range x.CachedBlocks(now) {
-		claimed++
-		if _, ok := cache.at[block]; ok {
-			right++
+		reported++
+		if _, ok := cache.elements[block]; ok {
+			correct++
 		}
 	}
-	return float64(right) / float64(claimed), float64(right) / float64(len(cache.at))
+	return float64(correct) / float64(reported), float64(correct) / float64(len(cache.elements))
 }
 
-// An entry is told that a prompt is cached where it is not: events are lost,
-// and the picture drifts from the truth.
-func TestClaimedBlocksAreCachedUnderLoss(t *testing.T) {
+// With lost events, most reported blocks must be cached and most cached blocks reported.
+func TestReportedBlocksAreCachedUnderLoss(t *testing.T) {
 	for _, repair := range []cacheindex.Repair{cacheindex.Resync, cacheindex.Expire} {
-		name := map[cacheindex.Repair]string{cacheindex.Resync: "resync", cacheindex.Expire: "forget"}[repair]
-		for _, run := range []struct{ loss, surge float64 }{{0, 1}, {0.01, 1}, {0.5, 1}, {0.5, 3}} {
-			p := watch(repair, run.loss, run.surge)
-			t.Logf("%s, %2.0f%% lost, load %.0f, %.0f events/s: claimed and cached %.4f, cached and claimed %.4f, survival %.1f s, %d snapshots",
-				name, run.loss*100, run.surge, p.eventsPerSecond, p.precise, p.complete, p.survival.Seconds(), p.snapshots)
-			assert.InDelta(t, 1200*(1+run.surge)/2, p.eventsPerSecond, 300)
-			assert.Greater(t, p.precise, 0.97)
-			assert.Greater(t, p.complete, 0.85)
+		name := map[cacheindex.Repair]string{cacheindex.Resync: "resync", cacheindex.Expire: "expire"}[repair]
+		for _, run := range []struct{ loss, loadFactor float64 }{{0, 1}, {0.01, 1}, {0.5, 1}, {0.5, 3}} {
+			p := simulate(repair, run.loss, run.loadFactor)
+			t.Logf("%s, %2.0f%% lost, load %.0f, %.0f events/s: precision %.4f, recall %.4f, retention %.1f s, %d snapshots",
+				name, run.loss*100, run.loadFactor, p.eventsPerSecond, p.precision, p.recall, p.retention.Seconds(), p.snapshots)
+			assert.InDelta(t, 1200*(1+run.loadFactor)/2, p.eventsPerSecond, 300)
+			assert.Greater(t, p.precision, 0.97)
+			assert.Greater(t, p.recall, 0.85)
 		}
 	}
 }
@@ -226,13 +225,13 @@
 			x := fill(blocks)
 			seq := uint64(blocks)
 			events := make([]engine.CacheEvent, 2)
-			one := make([]engine.BlockHash, 2)
+			eventBlocks := make([]engine.BlockHash, 2)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := 0; i < b.N; i += 2 {
-				one[0], one[1] = engine.BlockHash(seq), engine.BlockHash(seq-uint64(blocks))
-				events[0] = engine.CacheEvent{Incarnation: 1, Seq: seq + 1, Kind: engine.BlocksStored, Blocks: one[:1]}
-				events[1] = engine.CacheEvent{Incarnation: 1, Seq: seq + 2, Kind: engine.BlocksRemoved, Blocks: one[1:]}
+				eventBlocks[0], eventBlocks[1] = engine.BlockHash(seq), engine.BlockHash(seq-uint64(blocks))
+				events[0] = engine.CacheEvent{Incarnation: 1, Seq: seq + 1, Kind: engine.BlocksStored, Blocks: eventBlocks[:1]}
+				events[1] = engine.CacheEvent{Incarnation: 1, Seq: seq + 2, Kind: engine.BlocksRemoved, Blocks: eventBlocks[1:]}
 				x.Apply(epoch, events)
 				seq += 2
 			}
--- a/internal/cacheindex/survival.go
+++ b/internal/cacheindex/survival.go
@@ -2,31 +2,30 @@
 
 import "time"
 
-// survivalWeight of one removal in the running mean.
-const survivalWeight = 1.0 / 256
+// retentionWeight of one removal in the moving average.
+const retentionWeight = 1.0 / 256
 
-// survivalMeter estimates how long a block stays cached after its last use,
-// from the ages at which blocks were removed. An engine that evicts what was
-// used longest ago removes blocks at nearly the same age, so a running mean of
-// them follows the load.
-type survivalMeter struct {
+// retentionEstimator estimates how long a block stays cached after its last use. An engine
+// that evicts the least recently used blocks removes them at nearly the same age, so a moving
+// average of these ages follows the load.
+type retentionEstimator struct {
 	mean   float64
 	count  int
 	lastAt time.Duration
 }
 
-// add counts a block that was removed at a time, of an age since its last use.
-func (s *survivalMeter) add(at, age time.Duration) {
+// add adds a removal at the given time, of a block of the given age since its last use.
+func (s *retentionEstimator) add(at, age time.Duration) {
 	s.count++
 	s.lastAt = at
-	// The first values count more, so that the mean starts at once.
-	weight := max(survivalWeight, 1/float64(s.count))
+	// The first removals weigh more, so that the average is usable at once.
+	weight := max(retentionWeight, 1/float64(s.count))
 	s.mean += weight * (float64(age) - s.mean)
 }
 
-// value of the estimate. Without removals for longer than it says, blocks
-// stay at least as long as there were none.
-func (s *survivalMeter) value(at time.Duration) time.Duration {
+// value returns the estimate. If nothing was removed for longer than the average, blocks stay
+// at least for that time.
+func (s *retentionEstimator) value(at time.Duration) time.Duration {
 	if s.count == 0 {
 		return at
 	}
