--- a/internal/spread/core.go
+++ b/internal/spread/core.go
@@ -299,8 +299,8 @@
 	return nil
 }
 
-// PullDone records that a pull from the peer ended. If the pull brought a newer
-// generation, Adopted must be called first.
+// PullDone records that a pull from the peer ended; ok is false if it failed. If the
+// pull brought a newer generation, Adopted must be called first.
 func (c *Core) PullDone(now time.Time, from keys.Identity, ok bool) []Action {
 	c.pulling = false
 	state := c.entries[from]
