--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -27,12 +27,9 @@
 	return node
 }
 
-// Story: callers share a handshake with an agent, and the entry is closed just
-// as it ends. The connection came in after Close had looked which are open:
-// nobody closed it, and the handlers of its streams were counted in while, or
-// after, Close waited for them, so that they outlived the process's end. The
-// race detector saw the count change beside the wait in 3 of 104 runs.
-func TestAConnectionThatIsReadyAfterTheCloseIsNotTakenIn(t *testing.T) {
+// A handshake that completes after Close must not add a connection: nothing would close it or
+// wait for its handlers.
+func TestConnectionCompletedAfterCloseIsRejected(t *testing.T) {
 	authority, err := keys.NewAuthority(time.Hour)
 	require.NoError(t, err)
 	agent := testNode(t, authority, keys.RoleAgent, "b1")
@@ -42,15 +39,14 @@
 
 	closed := testNode(t, authority, keys.RoleEntry, "e2")
 	require.NoError(t, closed.Close())
-	_, err = closed.adopt(ready.conn)
+	_, err = closed.addConnection(ready.conn)
 	require.ErrorIs(t, err, ErrClosed)
 	assert.Error(t, ready.conn.Context().Err(), "the connection is closed")
 	assert.Empty(t, closed.Peers())
 }
 
-// The same from outside: handshakes with several agents are under way at every
-// moment of the close. Each dial ends, and after the close no link is left.
-func TestDialsThatCrossTheCloseLeaveNoConnection(t *testing.T) {
+// Handshakes that run concurrently with Close end and leave no open connection.
+func TestConcurrentDialsLeaveNoConnectionAfterClose(t *testing.T) {
 	const rounds, agents = 40, 4
 	authority, err := keys.NewAuthority(time.Hour)
 	require.NoError(t, err)
@@ -64,7 +60,7 @@
 		for _, address := range addresses {
 			dials.Go(func() {
 				_, err := node.dial(t.Context(), address, []keys.Role{keys.RoleAgent})
-				assert.False(t, errors.Is(err, context.DeadlineExceeded), "a dial hung: %v", err)
+				assert.False(t, errors.Is(err, context.DeadlineExceeded), "a dial exceeded its deadline: %v", err)
 			})
 		}
 		time.Sleep(time.Duration(round) * 200 * time.Microsecond)
--- a/internal/transport/credentials.go
+++ b/internal/transport/credentials.go
@@ -15,41 +15,41 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// nextProto names the protocol between the system's own processes.
-const nextProto = "jay/1"
+// alpnProtocol names the protocol between processes of the system in the TLS handshake.
+const alpnProtocol = "jay/1"
 
-// Credentials are a process's certificate, key and trusted authority, read
-// from a folder and replaced there without a restart.
+// Credentials holds a process's certificate, private key and trusted authority, read from a
+// directory that may be updated while the process runs. Safe for concurrent use.
 type Credentials struct {
 	dir     string
-	current atomic.Pointer[material]
+	current atomic.Pointer[keyMaterial]
 }
 
-type material struct {
+type keyMaterial struct {
 	cert  tls.Certificate
 	roots *x509.CertPool
 	self  keys.Identity
 }
 
-// LoadCredentials reads ca.pem, cert.pem and key.pem from a folder.
+// LoadCredentials reads ca.pem, cert.pem and key.pem from a directory.
 func LoadCredentials(dir string) (*Credentials, error) {
 	c := &Credentials{dir: dir}
 	return c, c.Reload()
 }
 
-// Reload reads the folder again. On an error the old credentials stay.
+// Reload reads the directory again. On an error the previous credentials remain in use.
 func (c *Credentials) Reload() error {
 	pair, err := tls.LoadX509KeyPair(filepath.Join(c.dir, keys.CertFile), filepath.Join(c.dir, keys.KeyFile))
 	if err != nil {
-		return eris.Wrap(err, "load certificate and key")
+		return eris.Wrap(err, "load certificate and private key")
 	}
 	authority, err := os.ReadFile(filepath.Join(c.dir, keys.AuthorityFile))
 	if err != nil {
-		return eris.Wrap(err, "read authority")
+		return eris.Wrap(err, "read authority certificate")
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(authority) {
-		return eris.Errorf("no certificate in %s", keys.AuthorityFile)
+		return eris.Errorf("no PEM certificate in authority file %s", keys.AuthorityFile)
 	}
 	leaf, err := x509.ParseCertificate(pair.Certificate[0])
 	if err != nil {
@@ -59,12 +59,12 @@
 	if err != nil {
 		return err
 	}
-	c.current.Store(&material{cert: pair, roots: roots, self: self})
+	c.current.Store(&keyMaterial{cert: pair, roots: roots, self: self})
 	return nil
 }
 
-// Watch reloads every interval until the context ends. A folder that does not
-// read well, e.g. while it is being written, is logged and tried again.
+// Watch reloads the credentials every interval until the context ends. Errors, such as a
+// directory that is just being written, are logged and the next interval tries again.
 func (c *Credentials) Watch(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -74,22 +74,23 @@
 			return
 		case <-ticker.C:
 			if err := c.Reload(); err != nil {
-				klog.ErrorS(err, "keep the old credentials", "folder", c.dir)
+				klog.ErrorS(err, "Reloading credentials failed, keeping the previous ones", "folder", c.dir)
 			}
 		}
 	}
 }
 
-// Self is the identity in the process's own certificate.
+// Self returns the identity in the process's certificate.
 func (c *Credentials) Self() keys.Identity { return c.current.Load().self }
 
-// ServerTLS asks for a client certificate of the authority with one of the roles.
+// ServerTLS returns a configuration that requires a client certificate which is issued by
+// the authority and carries one of the roles.
 func (c *Credentials) ServerTLS(protos []string, roles ...keys.Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protos,
-		// Tickets would let a session outlive a key change, and 0-RTT data can
-		// be replayed: a hand-over of work that may run at most once must not.
+		// A resumed session could outlive a key change, and 0-RTT data can be replayed, which
+		// would break the at-most-once handoff of requests.
 		SessionTicketsDisabled: true,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			m := c.current.Load()
@@ -106,14 +107,14 @@
 	}
 }
 
-// ClientTLS trusts a server of the authority that has one of the roles,
-// whatever its address.
+// ClientTLS returns a configuration that accepts servers whose certificate is issued by the
+// authority and carries one of the roles, whatever their address.
 func (c *Credentials) ClientTLS(protos []string, roles ...keys.Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protos,
-		// The check by host name is replaced, not left out: VerifyConnection
-		// verifies the chain against our authority and the role in the URI.
+		// VerifyConnection replaces the host name check: it verifies the chain against the
+		// authority, and the role in the certificate's URI.
 		InsecureSkipVerify: true, //nolint:gosec // verified in VerifyConnection
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &c.current.Load().cert, nil
@@ -142,6 +143,6 @@
 				return nil
 			}
 		}
-		return eris.Errorf("%s has the wrong role, want one of %v", id, roles)
+		return eris.Errorf("peer %s has a role that is not allowed, want one of %v", id, roles)
 	}
 }
--- a/internal/transport/node.go
+++ b/internal/transport/node.go
@@ -1,6 +1,6 @@
-// Package transport carries typed messages between the system's own processes
-// over QUIC with mutual TLS. It opens connections on use, closes idle ones and
-// knows who the peer is; it never retries and decides nothing.
+// Package transport carries typed messages between processes of the system, over QUIC with
+// mutual TLS. It opens connections on demand, closes idle ones and authenticates peers; it
+// never retries. A link is a QUIC connection to an authenticated peer.
 package transport
 
 import (
@@ -17,40 +17,40 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// ErrNoConnection means that no connection to the named peer is open.
+// ErrNoConnection means that no connection to the peer is open.
 var ErrNoConnection = errors.New("no connection to the peer")
 
 // ErrClosed means that the node was closed.
 var ErrClosed = errors.New("node is closed")
 
-// Options of a node. Zero values take the defaults.
+// Options configures a Node. Zero values select the defaults.
 type Options struct {
-	// Address to listen on, IP:port; one UDP socket serves both directions.
+	// Address to listen on, IP:port. The UDP socket also serves outgoing connections.
 	Address string
-	// DialTimeout bounds the handshake with a peer that may be gone.
+	// DialTimeout bounds the handshake with a peer.
 	DialTimeout time.Duration
-	// LinkTimeout without a frame or heartbeat on an open stream means that the
-	// link is lost.
+	// LinkTimeout: a link counts as lost if neither a frame nor a heartbeat arrives on an open
+	// stream for this long.
 	LinkTimeout time.Duration
-	// IdleTimeout: a connection without any packet for this long is dropped by
-	// both ends, which costs no packet.
+	// IdleTimeout: both ends drop a connection that carried no packet for this long. That sends
+	// no packet.
 	IdleTimeout time.Duration
-	// MaxStreams that a peer may have open at once on a connection.
+	// MaxStreams is the number of streams that a peer may have open on a connection.
 	MaxStreams int64
 }
 
 const (
 	defaultDialTimeout = 2 * time.Second
 	defaultLinkTimeout = 6 * time.Second
-	defaultIdleClose   = 30 * time.Second
+	defaultIdleTimeout = 30 * time.Second
 	defaultMaxStreams  = 10000
-	// streamWindow bounds what a peer may send ahead on one stream, linkWindow
-	// on all streams of a connection. A caller that does not read fills its
-	// stream's window; were the link's not far larger, a few such callers would
-	// stop every other answer from the same backend server. The memory is only
-	// taken by what is really held up.
-	streamWindow = 256 << 10
-	linkWindow   = 256 << 20
+	// Receive windows in bytes: streamWindowBytes per stream, linkWindowBytes for all streams
+	// of a connection. A caller that doesn't read fills the window of its stream. The window
+	// of the connection is far larger, so that a few such callers don't block the other
+	// answers from the same backend server. Memory is used only for data that was received
+	// and not read.
+	streamWindowBytes = 256 << 10
+	linkWindowBytes   = 256 << 20
 )
 
 func (o Options) withDefaults() Options {
@@ -61,7 +61,7 @@
 		o.LinkTimeout = defaultLinkTimeout
 	}
 	if o.IdleTimeout == 0 {
-		o.IdleTimeout = defaultIdleClose
+		o.IdleTimeout = defaultIdleTimeout
 	}
 	if o.MaxStreams == 0 {
 		o.MaxStreams = defaultMaxStreams
@@ -69,13 +69,12 @@
 	return o
 }
 
-// Handler serves one incoming stream. The stream is ended when it returns, and
-// nothing may use it afterwards.
+// Handler serves one incoming stream. The stream is closed when the handler returns and must
+// not be used afterwards.
 type Handler func(ctx context.Context, peer keys.Identity, stream *Stream)
 
-// Node is a process's end of all its links: one UDP socket, a listener and the
-// connections it dialled. Streams that peers open arrive at the handler,
-// whoever dialled the connection.
+// Node holds all links of a process: one UDP socket, a listener and outgoing connections. The
+// handler receives the streams that peers open, whichever side dialled the connection.
 type Node struct {
 	options Options
 	creds   *Credentials
@@ -86,20 +85,20 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	dialing singleflight.Group
-	// Stats of all streams of the node.
+	// Stats counts the frames of all streams of the node.
 	Stats Stats
 
-	mu     sync.Mutex
-	dialed map[string]*link        // by address
-	peers  map[keys.Identity]*link // latest connection of each peer
-	links  map[*link]struct{}      // every open connection
-	past   Traffic                 // of connections that are over
-	// closed: no connection is taken in any more.
+	mu            sync.Mutex
+	dialed        map[string]*link        // by address
+	peers         map[keys.Identity]*link // latest connection of each peer
+	links         map[*link]struct{}      // every open connection
+	closedTraffic Traffic                 // of closed connections
+	// closed: new connections are rejected.
 	closed bool
 	wg     sync.WaitGroup
 }
 
-// Traffic is what a node's connections carried, QUIC's own packets included.
+// Traffic counts what a node's connections carried, including QUIC's own packets.
 type Traffic struct {
 	BytesSent, PacketsSent         uint64
 	BytesReceived, PacketsReceived uint64
@@ -112,18 +111,19 @@
 	t.PacketsReceived += s.PacketsReceived
 }
 
+// link is a connection and the authenticated identity of its peer.
 type link struct {
 	conn *quic.Conn
 	peer keys.Identity
 }
 
-// Listen opens the node's socket and starts to accept. Peers need a
-// certificate of the authority with role entry or agent.
+// Listen opens the node's socket and starts to accept connections from peers whose certificate
+// is issued by the authority for the role entry or agent.
 func Listen(options Options, creds *Credentials, handler Handler) (*Node, error) {
 	options = options.withDefaults()
 	address, err := net.ResolveUDPAddr("udp", options.Address)
 	if err != nil {
-		return nil, eris.Wrapf(err, "listen address %q", options.Address)
+		return nil, eris.Wrapf(err, "resolve listen address %q", options.Address)
 	}
 	reset, err := creds.resetKey()
 	if err != nil {
@@ -140,7 +140,7 @@
 		links: map[*link]struct{}{},
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	serverTLS := creds.ServerTLS([]string{nextProto}, keys.RoleEntry, keys.RoleAgent)
+	serverTLS := creds.ServerTLS([]string{alpnProtocol}, keys.RoleEntry, keys.RoleAgent)
 	n.listen, err = n.quic.Listen(serverTLS, n.quicConfig())
 	if err != nil {
 		return nil, eris.Wrap(err, "start QUIC listener")
@@ -155,23 +155,24 @@
 		HandshakeIdleTimeout: n.options.DialTimeout,
 		MaxIdleTimeout:       n.options.IdleTimeout,
 		MaxIncomingStreams:   n.options.MaxStreams,
-		// A search for the largest packet sends some ten packets of up to 1.4 KB
-		// on each new connection, more than a node may spend on control in seconds.
+		// Path MTU discovery sends about ten packets of up to 1.4 KB on each new connection, more
+		// than the bandwidth that a node may use for control in several seconds.
 		DisablePathMTUDiscovery:        true,
-		InitialStreamReceiveWindow:     streamWindow,
-		MaxStreamReceiveWindow:         streamWindow,
-		InitialConnectionReceiveWindow: linkWindow,
-		MaxConnectionReceiveWindow:     linkWindow,
+		InitialStreamReceiveWindow:     streamWindowBytes,
+		MaxStreamReceiveWindow:         streamWindowBytes,
+		InitialConnectionReceiveWindow: linkWindowBytes,
+		MaxConnectionReceiveWindow:     linkWindowBytes,
 
 		// 0-RTT data can be replayed by the network.
 		Allow0RTT: false,
 	}
 }
 
-// Address is the socket's own address.
+// Address returns the local address of the socket.
 func (n *Node) Address() string { return n.socket.LocalAddr().String() }
 
-// Open opens a stream to the process at the address, which must show one of the roles.
+// Open opens a stream to the process at the address, which must have one of the roles. It
+// dials if there is no connection yet.
 func (n *Node) Open(ctx context.Context, address string, roles ...keys.Role) (*Stream, error) {
 	l, err := n.dial(ctx, address, roles)
 	if err != nil {
@@ -180,7 +181,8 @@
 	return n.openOn(ctx, l)
 }
 
-// OpenPeer opens a stream on the open connection of a peer, whoever dialled it.
+// OpenPeer opens a stream on the open connection of a peer, whichever side dialled it. It
+// returns ErrNoConnection if there is none.
 func (n *Node) OpenPeer(ctx context.Context, peer keys.Identity) (*Stream, error) {
 	n.mu.Lock()
 	l := n.peers[peer]
@@ -191,7 +193,7 @@
 	return n.openOn(ctx, l)
 }
 
-// Peers lists the identities with an open connection.
+// Peers returns the identities of peers with an open connection.
 func (n *Node) Peers() []keys.Identity {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -202,22 +204,22 @@
 	return peers
 }
 
-// Traffic returns what all connections of the node carried so far. UDP and IP
-// headers are not in it: 28 bytes a packet over IPv4.
+// Traffic returns what all connections of the node carried so far, without UDP and IP headers
+// (28 bytes per packet over IPv4).
 func (n *Node) Traffic() Traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	total := n.past
+	total := n.closedTraffic
 	for l := range n.links {
 		total.add(l.conn.ConnectionStats())
 	}
 	return total
 }
 
-// Close cuts all connections and waits for the handlers.
+// Close closes all connections and waits for the handlers.
 func (n *Node) Close() error {
 	n.cancel()
-	for _, l := range n.shut() {
+	for _, l := range n.markClosed() {
 		_ = l.conn.CloseWithError(0, "closing")
 	}
 	_ = n.listen.Close()
@@ -227,8 +229,8 @@
 	return err
 }
 
-// shut takes no connection in from now on and returns those that are open.
-func (n *Node) shut() []*link {
+// markClosed makes the node reject new connections and returns the open ones.
+func (n *Node) markClosed() []*link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closed = true
@@ -254,8 +256,8 @@
 	if l != nil && l.conn.Context().Err() == nil {
 		return l, checkRole(l, roles)
 	}
-	// Callers that come together share one handshake, bounded by its own
-	// timeout: the first caller giving up must not fail the others.
+	// Concurrent callers share one handshake with a timeout of its own, so that a caller whose
+	// context ends doesn't fail the others.
 	done := n.dialing.DoChan(address, func() (any, error) { return n.handshake(address, roles) })
 	select {
 	case <-ctx.Done():
@@ -272,15 +274,15 @@
 func (n *Node) handshake(address string, roles []keys.Role) (*link, error) {
 	remote, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return nil, eris.Wrapf(err, "address %q", address)
+		return nil, eris.Wrapf(err, "resolve address %q", address)
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, n.options.DialTimeout)
 	defer cancel()
-	conn, err := n.quic.Dial(ctx, remote, n.creds.ClientTLS([]string{nextProto}, roles...), n.quicConfig())
+	conn, err := n.quic.Dial(ctx, remote, n.creds.ClientTLS([]string{alpnProtocol}, roles...), n.quicConfig())
 	if err != nil {
 		return nil, eris.Wrapf(err, "dial %s", address)
 	}
-	l, err := n.adopt(conn)
+	l, err := n.addConnection(conn)
 	if err != nil {
 		return nil, err
 	}
@@ -297,8 +299,8 @@
 	return l, nil
 }
 
-// forget keeps new streams off a link; those that are open on it stay.
-func (n *Node) forget(l *link) {
+// retire excludes a link from new streams; open streams on it continue.
+func (n *Node) retire(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for address, known := range n.dialed {
@@ -317,7 +319,7 @@
 			return nil
 		}
 	}
-	return eris.Errorf("%s has the wrong role, want one of %v", l.peer, roles)
+	return eris.Errorf("peer %s has a role that is not allowed, want one of %v", l.peer, roles)
 }
 
 func (n *Node) acceptLoop() {
@@ -327,20 +329,20 @@
 		if err != nil {
 			return
 		}
-		if _, err := n.adopt(conn); err != nil {
+		if _, err := n.addConnection(conn); err != nil {
 			_ = conn.CloseWithError(1, "no identity")
 		}
 	}
 }
 
-// adopt registers a connection and serves the streams that its peer opens.
-func (n *Node) adopt(conn *quic.Conn) (*link, error) {
+// addConnection registers a connection and serves the streams that its peer opens.
+func (n *Node) addConnection(conn *quic.Conn) (*link, error) {
 	peer, err := keys.IdentityOf(conn.ConnectionState().TLS.PeerCertificates[0])
 	if err != nil {
 		return nil, err
 	}
 	l := &link{conn: conn, peer: peer}
-	if !n.enter(l) {
+	if !n.register(l) {
 		_ = conn.CloseWithError(0, "closing")
 		return nil, ErrClosed
 	}
@@ -348,7 +350,7 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		delete(n.links, l)
-		n.past.add(conn.ConnectionStats())
+		n.closedTraffic.add(conn.ConnectionStats())
 		if n.peers[peer] == l {
 			delete(n.peers, peer)
 		}
@@ -357,14 +359,13 @@
 	return l, nil
 }
 
-// enter registers a connection and counts its server in, unless the node is
-// closed.
+// register registers a connection and adds its serving goroutine to the wait group. It returns
+// false if the node is closed.
 //
-// A handshake that callers share goes on after they have gone, and may end
-// just as the node is closed. Counted in after Close had begun to wait, its
-// streams' handlers would outlive the process's end, and nobody would close the
-// connection. Close shuts the node under the same lock before it waits.
-func (n *Node) enter(l *link) bool {
+// A shared handshake may outlive its callers and end while the node is being closed. Close
+// calls markClosed under the same lock before it waits, so that no goroutine is added during
+// the wait and no connection is left open.
+func (n *Node) register(l *link) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
--- a/internal/transport/relay_test.go
+++ b/internal/transport/relay_test.go
@@ -9,18 +9,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cuttableRelay forwards datagrams between one client and a server until it
-// is cut; then it swallows them, as a dead switch does.
-type cuttableRelay struct {
-	front *net.UDPConn
-	back  *net.UDPConn
-	dead  atomic.Bool
+// udpProxy forwards datagrams between one client and a server. After dropAll it discards them.
+type udpProxy struct {
+	front    *net.UDPConn
+	back     *net.UDPConn
+	dropping atomic.Bool
 
 	mu     sync.Mutex
 	client *net.UDPAddr
 }
 
-func newCuttableRelay(t *testing.T, server string) *cuttableRelay {
+func newUDPProxy(t *testing.T, server string) *udpProxy {
 	t.Helper()
 	front, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
@@ -28,7 +27,7 @@
 	require.NoError(t, err)
 	back, err := net.DialUDP("udp", nil, target)
 	require.NoError(t, err)
-	r := &cuttableRelay{front: front, back: back}
+	r := &udpProxy{front: front, back: back}
 	go r.toServer()
 	go r.toClient()
 	t.Cleanup(func() {
@@ -38,11 +37,11 @@
 	return r
 }
 
-func (r *cuttableRelay) address() string { return r.front.LocalAddr().String() }
+func (r *udpProxy) address() string { return r.front.LocalAddr().String() }
 
-func (r *cuttableRelay) cut() { r.dead.Store(true) }
+func (r *udpProxy) dropAll() { r.dropping.Store(true) }
 
-func (r *cuttableRelay) toServer() {
+func (r *udpProxy) toServer() {
 	buffer := make([]byte, 65536)
 	for {
 		n, from, err := r.front.ReadFromUDP(buffer)
@@ -52,13 +51,13 @@
 		r.mu.Lock()
 		r.client = from
 		r.mu.Unlock()
-		if !r.dead.Load() {
+		if !r.dropping.Load() {
 			_, _ = r.back.Write(buffer[:n])
 		}
 	}
 }
 
-func (r *cuttableRelay) toClient() {
+func (r *udpProxy) toClient() {
 	buffer := make([]byte, 65536)
 	for {
 		n, err := r.back.Read(buffer)
@@ -68,7 +67,7 @@
 		r.mu.Lock()
 		client := r.client
 		r.mu.Unlock()
-		if client != nil && !r.dead.Load() {
+		if client != nil && !r.dropping.Load() {
 			_, _ = r.front.WriteToUDP(buffer[:n], client)
 		}
 	}
--- a/internal/transport/reset.go
+++ b/internal/transport/reset.go
@@ -8,16 +8,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// resetLabel keeps the reset key apart from other uses of the private key.
+// resetLabel separates the reset key from other uses of the private key.
 const resetLabel = "jay stateless reset 1"
 
-// resetKey derives the key of stateless resets from the process's private key.
-//
-// A process that was killed and started again at its address knows nothing of
-// its old connections. Its peers would go on sending into them until they idle
-// out, and every offer would wait for its timeout meanwhile. With the same key
-// as before the restart the process answers the first such packet with a reset
-// that the peer can verify, and the peer dials anew.
+// resetKey derives the key for QUIC stateless resets from the process's private key, so that it
+// is the same after a restart. A restarted process answers packets of its earlier connections
+// with resets that peers can verify, and the peers dial again. Without it, peers would keep
+// using an old connection, and offers on it time out, until IdleTimeout has passed.
 func (c *Credentials) resetKey() (*quic.StatelessResetKey, error) {
 	encoded, err := x509.MarshalPKCS8PrivateKey(c.current.Load().cert.PrivateKey)
 	if err != nil {
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -17,98 +17,96 @@
 	"github.com/jayproxy/jayproxy/internal/keys"
 )
 
-// MaxFrameBytes bounds one message in bytes; a peer that announces more is cut off.
+// MaxFrameBytes bounds the size of one message.
 const MaxFrameBytes = 16 << 20
 
-// ErrFrameTooLong means that a peer announced a frame above MaxFrame.
+// ErrFrameTooLong means that a peer announced a frame above MaxFrameBytes.
 var ErrFrameTooLong = errors.New("frame too long")
 
-// ErrLinkLost means that nothing came from the peer for the link timeout, not
-// even a heartbeat: it is dead, frozen or cut off.
+// ErrLinkLost means that neither a frame nor a heartbeat arrived from the peer for LinkTimeout.
 var ErrLinkLost = errors.New("link lost")
 
-// heartbeat is a frame of no bytes. Each side sends one when it has sent
-// nothing else for a third of the link timeout, so that two lost ones do not
-// look like a lost link. Only open streams have them: an idle connection costs
-// nothing, which a packet every two seconds to each of some hundred agents would.
+// A heartbeat is a frame of length 0. Each side sends one when it has sent nothing else for
+// LinkTimeout divided by heartbeatsPerTimeout, so that two lost ones don't look like a lost
+// link. Heartbeats are sent only on open streams: idle connections cause no traffic.
 const (
-	heartbeat      = 0
-	heartbeatShare = 3
+	heartbeat            = 0
+	heartbeatsPerTimeout = 3
 )
 
-// abortCode tells the peer that a stream was given up, not ended.
+// abortCode is the error code of a stream that was aborted.
 const abortCode quic.StreamErrorCode = 1
 
-// Stats count what a node sent and received in frames of streams.
+// Stats counts the frames that a node sent and received on streams, without heartbeats.
 type Stats struct {
 	FramesSent, FramesReceived atomic.Uint64
 	BytesSent, BytesReceived   atomic.Uint64
 }
 
-// Stream carries typed messages both ways, each with its length in front.
-// One goroutine may send while another receives.
+// Stream carries typed, length-prefixed messages in both directions. One goroutine may send
+// while another receives.
 type Stream struct {
-	node    *Node
-	link    *link
-	quic    *quic.Stream
-	reader  *bufio.Reader
-	stats   *Stats
-	timeout time.Duration
-
-	sendMu   sync.Mutex
-	buffer   []byte
-	sendDone bool
-	beat     *time.Timer
+	node        *Node
+	link        *link
+	quic        *quic.Stream
+	reader      *bufio.Reader
+	stats       *Stats
+	linkTimeout time.Duration
+
+	sendMu         sync.Mutex
+	sendBuffer     []byte
+	sendDone       bool
+	heartbeatTimer *time.Timer
 
 	deadlineMu   sync.Mutex
 	readDeadline time.Time
-	// ended: the peer's side was read to its end.
-	ended atomic.Bool
+	// readEnded: the peer's side was read to io.EOF.
+	readEnded atomic.Bool
 }
 
 func newStream(n *Node, l *link, s *quic.Stream) *Stream {
 	linkTimeout := n.options.LinkTimeout
-	stream := &Stream{node: n, link: l, quic: s, reader: bufio.NewReader(s), stats: &n.Stats, timeout: linkTimeout}
+	stream := &Stream{node: n, link: l, quic: s, reader: bufio.NewReader(s), stats: &n.Stats, linkTimeout: linkTimeout}
 	stream.sendMu.Lock()
 	defer stream.sendMu.Unlock()
-	stream.beat = time.AfterFunc(linkTimeout/heartbeatShare, stream.sendHeartbeat)
+	stream.heartbeatTimer = time.AfterFunc(linkTimeout/heartbeatsPerTimeout, stream.sendHeartbeat)
 	return stream
 }
 
-// Peer is who stands at the other end, as its certificate says.
+// Peer returns the identity in the peer's certificate.
 func (s *Stream) Peer() keys.Identity { return s.link.peer }
 
-// RetireLink makes the next Open to the peer dial anew: this stream's link has
-// been silent for longer than its user waits. A process that was replaced at
-// its address answers nothing on the old connection, which would otherwise be
-// used until it idles out. Streams that are open on it stay.
-func (s *Stream) RetireLink() { s.node.forget(s.link) }
+// RetireLink excludes the stream's link from new streams, so that the next Open dials again.
+// Callers use it when the peer didn't answer in time: a process that was replaced at its
+// address doesn't answer on the old connection. Open streams on the link continue.
+func (s *Stream) RetireLink() { s.node.retire(s.link) }
 
-// Send writes one message.
+// Send writes one message. It returns an error for an empty message, which has the encoding of
+// a heartbeat.
 func (s *Stream) Send(message proto.Message) error {
 	s.sendMu.Lock()
 	defer s.sendMu.Unlock()
 	size := proto.Size(message)
 	if size == heartbeat {
-		return eris.New("an empty message would read as a heartbeat")
+		return eris.New("message is empty: its encoding is that of a heartbeat")
 	}
-	s.buffer = binary.AppendUvarint(s.buffer[:0], uint64(size))
+	s.sendBuffer = binary.AppendUvarint(s.sendBuffer[:0], uint64(size))
 	var err error
-	s.buffer, err = proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(s.buffer, message)
+	s.sendBuffer, err = proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(s.sendBuffer, message)
 	if err != nil {
 		return eris.Wrap(err, "encode frame")
 	}
-	if _, err := s.quic.Write(s.buffer); err != nil {
+	if _, err := s.quic.Write(s.sendBuffer); err != nil {
 		return eris.Wrap(err, "send frame")
 	}
 	s.stats.FramesSent.Add(1)
-	s.stats.BytesSent.Add(uint64(len(s.buffer)))
-	s.beat.Reset(s.timeout / heartbeatShare)
+	s.stats.BytesSent.Add(uint64(len(s.sendBuffer)))
+	s.heartbeatTimer.Reset(s.linkTimeout / heartbeatsPerTimeout)
 	return nil
 }
 
-// sendHeartbeat runs on the timer. A stream whose peer no longer reads stops
-// beating at the first failed write.
+// sendHeartbeat is called by the heartbeat timer. After a failed write it sends no more: the
+// peer no longer reads the stream.
 func (s *Stream) sendHeartbeat() {
 	s.sendMu.Lock()
 	defer s.sendMu.Unlock()
@@ -118,20 +116,21 @@
 	if _, err := s.quic.Write([]byte{heartbeat}); err != nil {
 		return
 	}
-	s.beat.Reset(s.timeout / heartbeatShare)
+	s.heartbeatTimer.Reset(s.linkTimeout / heartbeatsPerTimeout)
 }
 
-// Receive reads one message into the given one. io.EOF: the peer ended its
-// side. ErrLinkLost: nothing came for the link timeout.
+// Receive reads one message. It returns io.EOF after the peer closed its side, ErrLinkLost
+// after LinkTimeout without a frame or heartbeat, and ErrFrameTooLong for a frame above
+// MaxFrameBytes.
 func (s *Stream) Receive(message proto.Message) error {
 	size := uint64(heartbeat)
 	for size == heartbeat {
-		if err := s.awaitFrame(); err != nil {
+		if err := s.setFrameDeadline(); err != nil {
 			return err
 		}
 		var err error
 		if size, err = binary.ReadUvarint(s.reader); err != nil {
-			return s.readFault(err)
+			return s.receiveError(err)
 		}
 	}
 	if size > MaxFrameBytes {
@@ -139,7 +138,7 @@
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(s.reader, body); err != nil {
-		return s.readFault(err)
+		return s.receiveError(err)
 	}
 	s.stats.FramesReceived.Add(1)
 	s.stats.BytesReceived.Add(size)
@@ -149,22 +148,22 @@
 	return nil
 }
 
-// awaitFrame bounds the wait for the next frame by the link timeout and by the
-// caller's own deadline, whichever comes first.
-func (s *Stream) awaitFrame() error {
+// setFrameDeadline bounds the wait for the next frame by LinkTimeout and the caller's deadline.
+func (s *Stream) setFrameDeadline() error {
 	s.deadlineMu.Lock()
 	defer s.deadlineMu.Unlock()
-	limit := time.Now().Add(s.timeout)
-	if own := s.readDeadline; !own.IsZero() && own.Before(limit) {
-		limit = own
+	limit := time.Now().Add(s.linkTimeout)
+	if callerDeadline := s.readDeadline; !callerDeadline.IsZero() && callerDeadline.Before(limit) {
+		limit = callerDeadline
 	}
 	return eris.Wrap(s.quic.SetReadDeadline(limit), "set read deadline")
 }
 
-// readFault tells a lost link from the caller's own deadline and other faults.
-func (s *Stream) readFault(err error) error {
+// receiveError maps a read error to io.EOF, ErrLinkLost or a wrapped error. It retires a lost
+// link.
+func (s *Stream) receiveError(err error) error {
 	if errors.Is(err, io.EOF) {
-		s.ended.Store(true)
+		s.readEnded.Store(true)
 		return io.EOF
 	}
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -172,14 +171,14 @@
 	}
 	s.deadlineMu.Lock()
 	defer s.deadlineMu.Unlock()
-	if own := s.readDeadline; !own.IsZero() && !time.Now().Before(own) {
+	if callerDeadline := s.readDeadline; !callerDeadline.IsZero() && !time.Now().Before(callerDeadline) {
 		return eris.Wrap(err, "receive frame")
 	}
 	s.RetireLink()
 	return ErrLinkLost
 }
 
-// CloseSend ends the sending side; the peer reads io.EOF.
+// CloseSend closes the sending side; the peer reads io.EOF.
 func (s *Stream) CloseSend() error {
 	if s.stopHeartbeat() {
 		return nil
@@ -187,10 +186,10 @@
 	return s.quic.Close()
 }
 
-// Abort gives the stream up in both directions; the peer's calls fail. A side
-// that has ended already stays as it is, which costs no packet.
+// Abort aborts the stream in both directions; the peer's calls fail. A side that is closed
+// already is left as it is, which sends no packet.
 func (s *Stream) Abort() {
-	if !s.ended.Load() {
+	if !s.readEnded.Load() {
 		s.quic.CancelRead(abortCode)
 	}
 	if !s.stopHeartbeat() {
@@ -198,29 +197,28 @@
 	}
 }
 
-// finish ends both sides after a handler. What the peer still sends, such as
-// an acknowledgement that crossed the last frame, is read and dropped until it
-// ends its side: refusing it at once would fail the peer's sends while it still
-// reads the answer. A peer that does not end its side within the link timeout
-// is refused, so that half-open streams do not add up to the connection's limit.
+// finish closes both sides after the handler returned. What the peer still sends, such as an
+// acknowledgement that crossed the last frame, is read and discarded until the peer closes
+// its side: aborting at once would fail its sends while it still reads the answer. After
+// LinkTimeout the read side is aborted, so that half-open streams don't reach MaxStreams.
 func (s *Stream) finish() {
 	_ = s.CloseSend()
-	_ = s.quic.SetReadDeadline(time.Now().Add(s.timeout))
+	_ = s.quic.SetReadDeadline(time.Now().Add(s.linkTimeout))
 	_, _ = io.Copy(io.Discard, s.quic)
 	s.quic.CancelRead(abortCode)
 }
 
-// stopHeartbeat tells whether the sending side had ended before.
+// stopHeartbeat marks the sending side as closed and reports whether it was closed before.
 func (s *Stream) stopHeartbeat() (ended bool) {
 	s.sendMu.Lock()
 	defer s.sendMu.Unlock()
 	ended = s.sendDone
 	s.sendDone = true
-	s.beat.Stop()
+	s.heartbeatTimer.Stop()
 	return ended
 }
 
-// SetDeadline bounds all pending and later calls; zero removes the bound.
+// SetDeadline sets the deadline of pending and later calls; zero removes it.
 func (s *Stream) SetDeadline(t time.Time) error {
 	if err := s.quic.SetWriteDeadline(t); err != nil {
 		return eris.Wrap(err, "set write deadline")
@@ -228,8 +226,8 @@
 	return s.SetReadDeadline(t)
 }
 
-// SetReadDeadline bounds pending and later Receive calls; zero leaves only the
-// link timeout.
+// SetReadDeadline sets the deadline of pending and later Receive calls; with zero only
+// LinkTimeout applies.
 func (s *Stream) SetReadDeadline(t time.Time) error {
 	s.deadlineMu.Lock()
 	defer s.deadlineMu.Unlock()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -80,10 +80,10 @@
 	assert.NotZero(t, live.PacketsReceived)
 	require.NoError(t, server.Close())
 	require.Eventually(t, func() bool { return len(client.Peers()) == 0 }, 5*time.Second, time.Millisecond)
-	assert.GreaterOrEqual(t, client.Traffic().BytesSent, live.BytesSent, "what closed connections carried still counts")
+	assert.GreaterOrEqual(t, client.Traffic().BytesSent, live.BytesSent, "traffic of closed connections is included")
 }
 
-func TestWrongRoleOrAuthorityGetsInNowhere(t *testing.T) {
+func TestWrongRoleOrAuthorityIsRejected(t *testing.T) {
 	a := authority(t)
 	server := listen(t, credentials(t, a, keys.RoleAgent, "b1"), echo)
 	tests := map[string]*transport.Credentials{
@@ -95,7 +95,7 @@
 		t.Run(name, func(t *testing.T) {
 			client := listen(t, creds, echo)
 			s, err := client.Open(t.Context(), server.Address(), keys.RoleAgent)
-			if err == nil { // The client's handshake ends before the server has judged it.
+			if err == nil { // The client's handshake completes before the server rejects the certificate.
 				_ = s.Send(body("x"))
 				var out jayv1.ServerFrame
 				err = s.Receive(&out)
@@ -106,10 +106,10 @@
 	}
 	client := listen(t, credentials(t, a, keys.RoleEntry, "e1"), echo)
 	_, err := client.Open(t.Context(), server.Address(), keys.RoleEntry)
-	require.Error(t, err, "an agent must not pass for an entry")
+	require.Error(t, err, "an agent must not be accepted as an entry")
 }
 
-func TestReloadTakesANewKeyWithoutARestart(t *testing.T) {
+func TestReloadReplacesCredentials(t *testing.T) {
 	a := authority(t)
 	dir := t.TempDir()
 	save := func(name string) {
@@ -125,46 +125,45 @@
 	assert.Equal(t, "new", creds.Self().Name)
 }
 
-// A caller's answer stands still for ever. The agent's VM is gone without a
-// word in mid-stream; the entry waits for a chunk and has nothing to send that
-// would go unacknowledged. Without heartbeats on open streams no one notices.
-func TestSilentPeerIsALostLinkAndABusyOneIsNot(t *testing.T) {
+// A receiver that waits for a silent peer detects a lost link by missing heartbeats, while a
+// peer that is only slow keeps its stream.
+func TestSilentPeerIsALostLinkAndSlowPeerIsNot(t *testing.T) {
 	a := authority(t)
 	const linkTimeout = 900 * time.Millisecond
 	options := transport.Options{Address: "127.0.0.1:0", LinkTimeout: linkTimeout}
 	release := make(chan struct{})
-	quiet := func(_ context.Context, _ keys.Identity, s *transport.Stream) {
-		<-release // Says nothing itself; its heartbeats go on.
+	slow := func(_ context.Context, _ keys.Identity, s *transport.Stream) {
+		<-release // Sends no frame; heartbeats continue.
 		_ = s.Send(&jayv1.ServerFrame{Frame: &jayv1.ServerFrame_End{End: &jayv1.End{Count: 7}}})
 	}
-	server, err := transport.Listen(options, credentials(t, a, keys.RoleAgent, "b1"), quiet)
+	server, err := transport.Listen(options, credentials(t, a, keys.RoleAgent, "b1"), slow)
 	require.NoError(t, err)
 	defer server.Close()
-	relay := newCuttableRelay(t, server.Address())
+	proxy := newUDPProxy(t, server.Address())
 	client, err := transport.Listen(options, credentials(t, a, keys.RoleEntry, "e1"), echo)
 	require.NoError(t, err)
 	defer client.Close()
 
-	s, err := client.Open(t.Context(), relay.address(), keys.RoleAgent)
+	s, err := client.Open(t.Context(), proxy.address(), keys.RoleAgent)
 	require.NoError(t, err)
 	require.NoError(t, s.Send(body("x")))
 	time.AfterFunc(3*linkTimeout, func() { close(release) })
 	var out jayv1.ServerFrame
-	require.NoError(t, s.Receive(&out), "a peer that is only slow keeps its stream")
+	require.NoError(t, s.Receive(&out), "a slow peer that sends heartbeats keeps its stream")
 	assert.Equal(t, uint64(7), out.GetEnd().GetCount())
 
-	s, err = client.Open(t.Context(), relay.address(), keys.RoleAgent)
+	s, err = client.Open(t.Context(), proxy.address(), keys.RoleAgent)
 	require.NoError(t, err)
 	require.NoError(t, s.Send(body("x")))
 	require.NoError(t, s.Receive(&out))
-	relay.cut()
-	s, err = client.Open(t.Context(), relay.address(), keys.RoleAgent)
+	proxy.dropAll()
+	s, err = client.Open(t.Context(), proxy.address(), keys.RoleAgent)
 	require.NoError(t, err)
 	require.NoError(t, s.Send(body("x")))
 	require.ErrorIs(t, s.Receive(&out), transport.ErrLinkLost)
 }
 
-func TestReceiveEndsAtTheCallersOwnDeadline(t *testing.T) {
+func TestReceiveEndsAtReadDeadline(t *testing.T) {
 	a := authority(t)
 	server := listen(t, credentials(t, a, keys.RoleAgent, "b1"), func(ctx context.Context, _ keys.Identity, _ *transport.Stream) { <-ctx.Done() })
 	client := listen(t, credentials(t, a, keys.RoleEntry, "e1"), echo)
