--- a/internal/relay/buffer.go
+++ b/internal/relay/buffer.go
@@ -1,46 +1,45 @@
-// Package relay keeps an answer's stream whole and in order while links break:
-// the sender's replay buffer, the receiver's sequence checks and the check of
-// what an engine delivers. It has no I/O, goroutine or clock; callers lock.
+// Package relay keeps the stream of an answer complete and in order across reconnects: the
+// sender's replay buffer, the receiver's sequence checks and the validation of engine events.
+// It has no I/O, goroutine or clock; callers lock.
 package relay
 
 import "errors"
 
-// Errors of the sending side, to be tested with errors.Is.
+// Errors of the sender.
 var (
-	// ErrFull means that the chunk does not fit until the receiver reads on.
+	// ErrFull means that the buffer has no space until the receiver acknowledges more chunks.
 	ErrFull = errors.New("replay buffer full")
-	// ErrEvicted means that the chunk asked for is no longer kept.
+	// ErrEvicted means that the requested chunk is no longer kept.
 	ErrEvicted = errors.New("chunk no longer kept for resume")
-	// ErrAhead means that a chunk was asked for that was never sent.
-	ErrAhead = errors.New("resume beyond what was sent")
+	// ErrAhead means that the requested chunk was never appended.
+	ErrAhead = errors.New("resume point is beyond the chunks that were appended")
 )
 
-// chunkOverhead is the memory of a kept chunk besides its data, in bytes:
-// slice header and allocation.
+// chunkOverhead is the memory of a chunk besides its data, in bytes: slice header and
+// allocation.
 const chunkOverhead = 48
 
-// Buffer keeps the chunks of one answer until the receiver has them, within a
-// bound of bytes. Chunks are numbered from 0.
+// Buffer keeps the chunks of one answer for replay, within a bound of bytes. Chunks are numbered
+// from 0.
 type Buffer struct {
 	maxBytes int
 	bytes    int
-	// first is the number of the oldest chunk kept, chunks[0].
+	// first is the number of the oldest chunk, chunks[0].
 	first  uint64
 	chunks [][]byte
-	// cursor is the number of the next chunk to send on the present link.
+	// cursor is the number of the next chunk to send on the current link.
 	cursor uint64
-	// acked: the receiver has passed on all chunks below it.
+	// acked: all chunks below it were acknowledged.
 	acked uint64
 }
 
-// NewBuffer makes a buffer that holds at most maxBytes.
+// NewBuffer returns a buffer of at most maxBytes, including the overhead per chunk.
 func NewBuffer(maxBytes int) *Buffer { return &Buffer{maxBytes: maxBytes} }
 
-// Append adds the next chunk. To make room it lets go of the oldest chunks
-// that were acknowledged, and of no others: a chunk that was only sent may have
-// been lost with its link, and an answer without it could never be made whole.
-// ErrFull: the receiver is so far behind that there are none; the caller waits
-// for Ack. A chunk larger than the bound is taken when the buffer is empty.
+// Append adds the next chunk. To make space it evicts the oldest acknowledged chunks. Chunks
+// that were only sent may have been lost with their link and are not evicted. If there is
+// nothing to evict, Append returns ErrFull, and the caller waits for Ack. A chunk larger than
+// the bound is accepted when the buffer is empty.
 func (b *Buffer) Append(data []byte) error {
 	size := len(data) + chunkOverhead
 	for b.bytes+size > b.maxBytes && len(b.chunks) > 0 {
@@ -54,7 +53,7 @@
 	return nil
 }
 
-// Next returns the next chunk to send and moves on. False: nothing is waiting.
+// Next returns the next chunk to send and advances the cursor. It returns false if there is none.
 func (b *Buffer) Next() (seq uint64, data []byte, ok bool) {
 	if b.cursor >= b.Count() {
 		return 0, nil, false
@@ -64,17 +63,16 @@
 	return seq, b.chunks[seq-b.first], true
 }
 
-// Ack tells that the receiver has passed on all chunks below next. They stay
-// for a caller that comes back later until their room is needed. Numbers
-// beyond what was sent are ignored.
+// Ack records that the receiver has forwarded all chunks below next. They are kept for a later
+// resume until their space is needed. Numbers beyond the chunks sent are ignored.
 func (b *Buffer) Ack(next uint64) {
 	if next <= b.cursor {
 		b.acked = max(b.acked, next)
 	}
 }
 
-// Resume moves the cursor to the first chunk that the receiver lacks, which
-// acknowledges all before it.
+// Resume moves the cursor to next, the first chunk that the receiver lacks, and acknowledges all
+// chunks before it. It returns ErrEvicted or ErrAhead if the buffer can't continue there.
 func (b *Buffer) Resume(next uint64) error {
 	if next < b.first {
 		return ErrEvicted
@@ -87,10 +85,10 @@
 	return nil
 }
 
-// Count is the number of chunks appended so far.
+// Count returns the number of chunks appended so far.
 func (b *Buffer) Count() uint64 { return b.first + uint64(len(b.chunks)) }
 
-// Bytes is the memory that the kept chunks take.
+// Bytes returns the memory used by the chunks, including the overhead per chunk.
 func (b *Buffer) Bytes() int { return b.bytes }
 
 func (b *Buffer) dropFirst() {
--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -8,30 +8,30 @@
 	"github.com/jayproxy/jayproxy/internal/engine"
 )
 
-// Errors of what an engine delivers, to be tested with errors.Is.
+// Errors in the events of an engine.
 var (
-	// ErrEngineGap means that the engine left out an event.
-	ErrEngineGap = errors.New("engine left out an event of the stream")
-	// ErrMixedOrigin means that one stream carries events of two engine boots or of
-	// other weights than asked for.
-	ErrMixedOrigin = errors.New("stream mixes incarnations or versions")
+	// ErrEngineGap means that an event of the engine's stream is missing.
+	ErrEngineGap = errors.New("event missing in the engine's stream")
+	// ErrMixedOrigin means that a stream carries events of two engine incarnations, or of a model
+	// version other than the expected one.
+	ErrMixedOrigin = errors.New("stream mixes engine incarnations or model versions")
 )
 
-// Verdict is what to do with an engine's event.
+// Verdict is how to handle an event of an engine.
 type Verdict int
 
-// The verdicts.
+// Verdicts of Origin.Check.
 const (
-	// Deliver the event: it is the next one of this request.
+	// Deliver: the event is the next one of this request.
 	Deliver Verdict = iota + 1
 	// DropOtherRequest: the event belongs to another request.
 	DropOtherRequest
-	// DropDuplicate: the event came before.
+	// DropDuplicate: the event was received before.
 	DropDuplicate
 )
 
-// Origin checks that each event of an engine's stream belongs to the one
-// request, boot and version that the stream was opened for.
+// Origin checks that each event of an engine's stream belongs to the expected request, engine
+// incarnation and model version.
 type Origin struct {
 	requestID     string
 	versionDigest string
@@ -39,25 +39,22 @@
 	next          uint64
 }
 
-// NewOrigin expects events of the request. An empty digest accepts the version
-// of the first event and no other.
+// NewOrigin returns an Origin for the request. With an empty digest the version of the first
+// event becomes the expected one.
 func NewOrigin(requestID, versionDigest string) *Origin {
 	return &Origin{requestID: requestID, versionDigest: versionDigest}
 }
 
-// Incarnation that makes the stream; 0 before the first event.
+// Incarnation returns the engine incarnation of the stream; 0 before the first event.
 func (o *Origin) Incarnation() uint64 { return o.incarnation }
 
-// VersionDigest that makes the stream.
+// VersionDigest returns the model version of the stream; empty while none is known.
 func (o *Origin) VersionDigest() string { return o.versionDigest }
 
-// Check judges an event. An error ends the stream: what follows can't make
-// it whole.
-//
-// An engine may deliver events late, twice or on another request's stream. A
-// caller would see someone else's answer or a sentence twice. Events of other
-// requests and events seen before are dropped. A missing one ends the stream,
-// since a later event would be glued to an earlier one without a trace.
+// Check validates an event. Engines may deliver events late, twice or on the stream of another
+// request: events of other requests and duplicates are to be dropped. A missing event
+// (ErrEngineGap) and a change of incarnation or version (ErrMixedOrigin) end the stream:
+// forwarding later events would corrupt the answer unnoticed.
 func (o *Origin) Check(event engine.Event) (Verdict, error) {
 	if event.RequestID != o.requestID {
 		return DropOtherRequest, nil
@@ -66,19 +63,19 @@
 		return DropDuplicate, nil
 	}
 	if event.Index > o.next {
-		return 0, eris.Wrapf(ErrEngineGap, "event %d came, %d was due", event.Index, o.next)
+		return 0, eris.Wrapf(ErrEngineGap, "received event %d, expected %d", event.Index, o.next)
 	}
-	if err := o.checkMaker(event); err != nil {
+	if err := o.checkSource(event); err != nil {
 		return 0, err
 	}
 	o.next++
 	return Deliver, nil
 }
 
-// checkMaker holds a stream to one boot and one version: an engine that
-// crashed and came back, or that changed its weights, would go on with text
-// that does not follow from what was sent.
-func (o *Origin) checkMaker(event engine.Event) error {
+// checkSource returns ErrMixedOrigin if the event's incarnation or version differs from that of
+// the stream. A restarted engine, or one with other weights, would continue with text that
+// doesn't follow from what was sent.
+func (o *Origin) checkSource(event engine.Event) error {
 	if o.next == 0 {
 		o.incarnation = event.Incarnation
 		if o.versionDigest == "" {
@@ -86,10 +83,10 @@
 		}
 	}
 	if event.Incarnation != o.incarnation {
-		return eris.Wrapf(ErrMixedOrigin, "incarnation %d after %d", event.Incarnation, o.incarnation)
+		return eris.Wrapf(ErrMixedOrigin, "received incarnation %d, expected %d", event.Incarnation, o.incarnation)
 	}
 	if event.VersionDigest != o.versionDigest {
-		return eris.Wrapf(ErrMixedOrigin, "version %s in a stream of %s", event.VersionDigest, o.versionDigest)
+		return eris.Wrapf(ErrMixedOrigin, "received version %s, expected %s", event.VersionDigest, o.versionDigest)
 	}
 	return nil
 }
--- a/internal/relay/receiver.go
+++ b/internal/relay/receiver.go
@@ -5,11 +5,11 @@
 	"errors"
 )
 
-// Errors of the receiving side, to be tested with errors.Is.
+// Errors of the receiver.
 var (
-	// ErrGap means that a chunk is missing: the stream cannot be made whole on this link.
+	// ErrGap means that a chunk is missing: the stream can only continue after a resume.
 	ErrGap = errors.New("chunk missing in the stream")
-	// ErrCount means that the stream ended with fewer or more chunks than were sent.
+	// ErrCount means that the number of chunks received differs from the number sent.
 	ErrCount = errors.New("stream ended with the wrong number of chunks")
 )
 
@@ -18,12 +18,12 @@
 	next uint64
 }
 
-// ReceiverAt expects the chunk with the number first: an answer that another
-// receiver began.
+// ReceiverAt returns a Receiver that expects chunk next, for an answer that another receiver
+// started to read.
 func ReceiverAt(next uint64) Receiver { return Receiver{next: next} }
 
-// Accept judges the chunk with the number. True: it is the next one, pass it
-// on. False without an error: it came before and is dropped. ErrGap: one is
+// Accept reports whether the chunk with number seq is the next one and must be forwarded. False
+// without an error means a duplicate, to be dropped. ErrGap means that an earlier chunk is
 // missing; a new link may resume at Next.
 func (r *Receiver) Accept(seq uint64) (bool, error) {
 	switch {
@@ -36,11 +36,11 @@
 	return true, nil
 }
 
-// Next is the number of the first chunk that is still wanted.
+// Next returns the number of the next expected chunk.
 func (r *Receiver) Next() uint64 { return r.next }
 
-// End checks that a stream of count chunks is complete. It guards against a
-// tail that was lost: without the count a shortened answer looks whole.
+// End returns ErrCount unless exactly count chunks were accepted. It detects a lost tail, without
+// which a truncated answer would look complete.
 func (r *Receiver) End(count uint64) error {
 	if r.next != count {
 		return ErrCount
@@ -48,15 +48,15 @@
 	return nil
 }
 
-// Claim is what whoever resumes a stream must show.
+// Claim authorizes the resume of a stream: it must match the claim of the original request.
 type Claim struct {
 	Workspace string
 	Nonce     []byte
 }
 
-// Matches tells whether the other claim is the same. The nonce is compared in
-// constant time, and an empty one matches nothing: a guess or a stream of
-// another workspace must not open an answer.
+// Matches reports whether both claims are equal. The nonce is compared in constant time, and an
+// empty nonce never matches: neither a guess nor a claim of another workspace gives access to
+// the stream.
 func (c Claim) Matches(other Claim) bool {
 	sameNonce := subtle.ConstantTimeCompare(c.Nonce, other.Nonce) == 1
 	return len(c.Nonce) > 0 && sameNonce && c.Workspace == other.Workspace
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -13,28 +13,28 @@
 	_ "github.com/jayproxy/jayproxy/internal/testseed" // fixed seed
 )
 
-const bound = 600
+const maxBufferBytes = 600
 
 // stream is a sender, a receiver and the link between them.
 type stream struct {
 	buffer   *relay.Buffer
 	receiver relay.Receiver
-	// made by the sender, and got at the receiver, in order.
-	made, got []string
-	// onWire are chunks that were sent and have not arrived.
-	onWire []uint64
+	// produced is what the sender appended, received what the receiver accepted, in order.
+	produced, received []string
+	// inFlight holds chunks that were sent and have not arrived.
+	inFlight []uint64
 }
 
-// TestStreamIsWholeOverAnyLink sends an answer over a link that is cut at any
-// time, loses what was under way, and doubles chunks.
-func TestStreamIsWholeOverAnyLink(t *testing.T) {
+// The received answer is complete over a link that is cut at any time, loses chunks in flight
+// and duplicates chunks.
+func TestStreamIsCompleteOverUnreliableLink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &stream{buffer: relay.NewBuffer(bound), made: []string{}, got: []string{}}
+		s := &stream{buffer: relay.NewBuffer(maxBufferBytes), produced: []string{}, received: []string{}}
 		steps := s.steps()
 		t.Repeat(steps)
-		for s.buffer.Count() > s.receiver.Next() { // a last link that holds
+		for s.buffer.Count() > s.receiver.Next() { // a final link without faults
 			require.NoError(t, s.buffer.Resume(s.receiver.Next()))
-			s.onWire = nil
+			s.inFlight = nil
 			for {
 				seq, data, ok := s.buffer.Next()
 				if !ok {
@@ -44,7 +44,7 @@
 			}
 		}
 		require.NoError(t, s.receiver.End(s.buffer.Count()))
-		require.Equal(t, s.made, s.got)
+		require.Equal(t, s.produced, s.received)
 	})
 }
 
@@ -52,49 +52,49 @@
 	fresh, err := s.receiver.Accept(seq)
 	require.NoError(t, err)
 	if fresh {
-		s.got = append(s.got, string(data))
+		s.received = append(s.received, string(data))
 	}
 }
 
 func (s *stream) steps() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"append": func(t *rapid.T) {
-			text := fmt.Sprintf("%d:%s", len(s.made), rapid.StringN(0, 100, 100).Draw(t, "text"))
+			text := fmt.Sprintf("%d:%s", len(s.produced), rapid.StringN(0, 100, 100).Draw(t, "text"))
 			if err := s.buffer.Append([]byte(text)); err != nil {
 				require.ErrorIs(t, err, relay.ErrFull)
 				return
 			}
-			s.made = append(s.made, text)
+			s.produced = append(s.produced, text)
 		},
 		"send": func(t *rapid.T) {
 			if seq, _, ok := s.buffer.Next(); ok {
-				s.onWire = append(s.onWire, seq)
+				s.inFlight = append(s.inFlight, seq)
 			}
 		},
 		"arrive": func(t *rapid.T) {
-			if len(s.onWire) == 0 {
-				t.Skip("nothing is under way")
+			if len(s.inFlight) == 0 {
+				t.Skip("no chunk in flight")
 			}
-			seq := s.onWire[0]
-			s.onWire = s.onWire[1:]
-			s.arrive(t, seq, []byte(s.made[seq]))
-			if rapid.Bool().Draw(t, "doubled") {
-				s.arrive(t, seq, []byte(s.made[seq]))
+			seq := s.inFlight[0]
+			s.inFlight = s.inFlight[1:]
+			s.arrive(t, seq, []byte(s.produced[seq]))
+			if rapid.Bool().Draw(t, "duplicated") {
+				s.arrive(t, seq, []byte(s.produced[seq]))
 			}
 		},
 		"ack": func(*rapid.T) { s.buffer.Ack(s.receiver.Next()) },
 		"cut": func(t *rapid.T) {
-			s.onWire = nil
+			s.inFlight = nil
 			require.NoError(t, s.buffer.Resume(s.receiver.Next()))
 		},
 		"": func(t *rapid.T) {
-			require.LessOrEqual(t, s.buffer.Bytes(), bound)
-			require.Equal(t, s.made[:len(s.got)], s.got)
+			require.LessOrEqual(t, s.buffer.Bytes(), maxBufferBytes)
+			require.Equal(t, s.produced[:len(s.received)], s.received)
 		},
 	}
 }
 
-func TestResumeTellsWhatIsNoLongerThere(t *testing.T) {
+func TestResumeRejectsUnavailableChunks(t *testing.T) {
 	b := relay.NewBuffer(200)
 	for range 3 {
 		require.NoError(t, b.Append(make([]byte, 10)))
@@ -102,7 +102,7 @@
 	}
 	require.ErrorIs(t, b.Append(make([]byte, 10)), relay.ErrFull)
 	b.Ack(99)
-	require.ErrorIs(t, b.Append(make([]byte, 10)), relay.ErrFull, "an acknowledgement of what was never sent counts for nothing")
+	require.ErrorIs(t, b.Append(make([]byte, 10)), relay.ErrFull, "an acknowledgement of chunks that were never sent is ignored")
 	b.Ack(2)
 	require.NoError(t, b.Append(make([]byte, 10)))
 	require.ErrorIs(t, b.Resume(0), relay.ErrEvicted)
@@ -110,9 +110,9 @@
 	require.NoError(t, b.Resume(2))
 }
 
-// A caller takes a shortened answer for a whole one: the last chunks were lost
-// and the end still came.
-func TestReceiverNoticesWhatIsMissing(t *testing.T) {
+// A truncated answer must not be taken for a complete one when the last chunks are lost and the
+// end still arrives.
+func TestReceiverDetectsMissingChunks(t *testing.T) {
 	var r relay.Receiver
 	fresh, err := r.Accept(0)
 	require.NoError(t, err)
@@ -135,15 +135,15 @@
 	assert.False(t, empty.Matches(empty))
 }
 
-// FuzzOrigin lets an engine deliver anything: only the events of the request,
-// each once and in order, of one boot and version, get through.
+// FuzzOrigin feeds arbitrary events: only those of the request, in order and once each, of one
+// incarnation and version, are delivered.
 func FuzzOrigin(f *testing.F) {
-	f.Add([]byte{0, 0, 1, 0, 2, 0})    // well
-	f.Add([]byte{0, 0, 1, 1, 1, 0})    // crossed
-	f.Add([]byte{0, 0, 0, 0, 1, 0})    // doubled
-	f.Add([]byte{0, 0, 2, 0, 1, 0})    // missing
-	f.Add([]byte{0, 0, 1, 0x40, 1, 0}) // another boot
-	f.Add([]byte{0, 0, 1, 2, 1, 0})    // another version
+	f.Add([]byte{0, 0, 1, 0, 2, 0})    // valid
+	f.Add([]byte{0, 0, 1, 1, 1, 0})    // other request
+	f.Add([]byte{0, 0, 0, 0, 1, 0})    // duplicate
+	f.Add([]byte{0, 0, 2, 0, 1, 0})    // missing event
+	f.Add([]byte{0, 0, 1, 0x40, 1, 0}) // other incarnation
+	f.Add([]byte{0, 0, 1, 2, 1, 0})    // other version
 	f.Fuzz(func(t *testing.T, script []byte) {
 		o := relay.NewOrigin("r", "")
 		want := uint64(0)
