--- a/internal/spread/core.go
+++ b/internal/spread/core.go
@@ -52,7 +52,8 @@
 	// entryListRead: the list of entries was read at least once, even if it was empty.
 	entryListRead bool
 
-	// overlayDirty: peers changed since neighbours and assignedAgents were computed.
+	// overlayDirty: peers changed since neighbours and assignedAgents were computed. The
+	// overlay is the graph of entries and the neighbours they send digests to.
 	overlayDirty     bool
 	nextOverlayCheck time.Time
 	overlayLive      []Peer
