--- a/internal/agent/enginecache.go
+++ b/internal/agent/enginecache.go
@@ -70,14 +70,14 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.aliases.Learn(chain, blocks, ends)
-	c.index.Used(time.Now(), blocks)
+	c.aliases.Record(chain, blocks, ends)
+	c.index.MarkUsed(time.Now(), blocks)
 }
 
 func (c *engineCache) observeIncarnation(incarnation uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.index.SawIncarnation(incarnation)
+	c.index.ObserveIncarnation(incarnation)
 }
 
 func (c *engineCache) incarnation() uint64 {
@@ -89,14 +89,14 @@
 func (c *engineCache) retention(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.index.Survival(now)
+	return c.index.Retention(now)
 }
 
 // evicting reports whether the engine has removed blocks to free space.
 func (c *engineCache) evicting() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.index.Evicting()
+	return c.index.HasEvicted()
 }
 
 // repair reads snapshots when the index needs one, and has the index treat
@@ -136,9 +136,9 @@
 	case errors.Is(err, engine.ErrUnsupported):
 		c.snapshots = false
 		incarnation := c.index.Incarnation()
-		c.index = cacheindex.New(now, cacheindex.Options{Repair: cacheindex.Forget})
-		c.index.SawIncarnation(incarnation)
-		c.index.Lost(now)
+		c.index = cacheindex.New(now, cacheindex.Options{Repair: cacheindex.Expire})
+		c.index.ObserveIncarnation(incarnation)
+		c.index.StreamLost(now)
 	case err != nil:
 		klog.V(1).InfoS("cache snapshot could not be read", "error", err.Error())
 	default:
@@ -189,7 +189,7 @@
 		return nil
 	}
 	c.mu.Lock()
-	c.index.Lost(time.Now())
+	c.index.StreamLost(time.Now())
 	snapshots := c.snapshots
 	c.mu.Unlock()
 	if snapshots {
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -221,7 +221,7 @@
 	var frame jayv1.ServerFrame
 	if err := stream.Receive(&frame); err != nil {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			stream.DoubtLink()
+			stream.RetireLink()
 		}
 		return err
 	}
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -30,11 +30,11 @@
 		Incarnation: uint64(e.started.UnixNano()), //nolint:gosec // after 1970
 		Settings:    e.settings.Spread, Node: e.node, Holder: e.holder, Seeds: e.settings.Seeds,
 		Store: store, VMs: e.platform, OnVMs: e.receiveVMs,
-		OnNews:    func(_ keys.Identity, updates []*jayv1.MemberNews) { e.picker.receive(time.Now(), updates) },
-		News:      func() []*jayv1.MemberNews { return e.picker.digest(time.Now()) },
+		OnUpdates: func(_ keys.Identity, updates []*jayv1.MemberNews) { e.picker.receive(time.Now(), updates) },
+		Updates:   func() []*jayv1.MemberNews { return e.picker.digest(time.Now()) },
 		OnCrashes: func(updates []*jayv1.CrashNews) { e.crashes.receive(time.Now(), updates) },
 		Crashes:   func(all bool) []*jayv1.CrashNews { return e.crashes.digest(time.Now(), all) },
-		Leaving:   e.stopping.Load, Process: e.addLeases,
+		Draining:  e.stopping.Load, FillStatus: e.addLeases,
 	})
 	if err != nil {
 		return err
@@ -125,7 +125,7 @@
 		return nil, operator.ErrNoExplanation
 	}
 	query := &jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Explain{Explain: &jayv1.ExplainQuery{RequestId: requestID}}}
-	reply, err := e.spread.AskEntry(ctx, name, query)
+	reply, err := e.spread.QueryEntry(ctx, name, query)
 	if errors.Is(err, spread.ErrUnknownPeer) {
 		return nil, operator.ErrNoExplanation
 	}
