--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# `make test` runs every test; `make help` lists the rest.
+# `make test` runs all tests; `make help` lists the other targets.
 GO ?= go
 LINT = $(GO) run github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
 GOPLS = $(GO) run golang.org/x/tools/gopls@v0.23.0
@@ -19,17 +19,17 @@
 test: ## run all tests with the race detector; only tests in KNOWN-RED.txt may fail
 	$(GO) test -race -json -timeout 10m ./... | $(GO) run ./tools/knownred -list KNOWN-RED.txt
 
-generate: ## regenerate api/gen from the schema files
+generate: ## regenerate api/gen from the .proto files
 	$(BUF) generate
 
-soak: ## run the whole system for ten minutes under seeded random faults and check what must hold
+soak: ## run the whole system for ten minutes under seeded random faults and check its invariants
 	$(GO) run -race ./tools/soak -for 10m -seed 1
 
-slopes: ## measure the slopes of docs/CAPACITY.md (about six minutes) and compute the page
+slopes: ## measure how costs grow with load (about six minutes) and regenerate docs/CAPACITY.md
 	$(GO) run ./tools/slopes -out docs/slopes.json
 	$(GO) run ./tools/capacity
 
-docs: ## regenerate the pages that are computed from the code
+docs: ## regenerate the pages in docs that are generated from code and measurements
 	$(GO) run ./tools/settingsdoc
 	$(GO) run ./tools/capacity
 
@@ -46,5 +46,5 @@
 rename: ## rename an identifier and all its uses: make rename AT=FILE:LINE:COLUMN TO=NAME
 	$(GOPLS) rename -w $(AT) $(TO)
 
-self-check: ## serve one request from end to end through each entry of a small cluster
+self-check: ## send one request through each entry of a small cluster on loopback
 	$(GO) run ./cmd/jay-dev --self-check
--- a/api/gen/jay/v1/jayv1connect/operator.connect.go
+++ b/api/gen/jay/v1/jayv1connect/operator.connect.go
@@ -3,7 +3,7 @@
 // Source: jay/v1/operator.proto
 
 // The operators' remote procedure calls, served by every entry. Read calls
-// need the role viewer, the others operator.
+// require the role viewer, all others the role operator.
 package jayv1connect
 
 import (
@@ -57,19 +57,21 @@
 
 // OperatorServiceClient is a client for the jay.v1.OperatorService service.
 type OperatorServiceClient interface {
-	// Apply accepts a set of changes as one change, or none of it.
+	// Apply accepts a declaration set as one atomic change.
 	Apply(context.Context, *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error)
 	// Put creates or changes one resource.
 	Put(context.Context, *connect.Request[v1.PutRequest]) (*connect.Response[v1.ApplyResponse], error)
 	Delete(context.Context, *connect.Request[v1.DeleteRequest]) (*connect.Response[v1.ApplyResponse], error)
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
 	List(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListResponse], error)
-	// Watch sends each accepted change after a generation, for as long as the caller stays.
+	// Watch streams each change accepted after a generation until the caller ends
+	// the call.
 	Watch(context.Context, *connect.Request[v1.WatchRequest]) (*connect.ServerStreamForClient[v1.Change], error)
-	// Status tells the generation in force per process.
+	// Status returns the status of each process, with its catalog generation.
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
-	// Drain stops, or resumes, new work for a backend server.
+	// Drain stops or resumes sending new requests to a backend server.
 	Drain(context.Context, *connect.Request[v1.DrainRequest]) (*connect.Response[v1.ApplyResponse], error)
+	// Explain returns how a request was routed.
 	Explain(context.Context, *connect.Request[v1.ExplainRequest]) (*connect.Response[v1.Explanation], error)
 }
 
@@ -201,19 +203,21 @@
 
 // OperatorServiceHandler is an implementation of the jay.v1.OperatorService service.
 type OperatorServiceHandler interface {
-	// Apply accepts a set of changes as one change, or none of it.
+	// Apply accepts a declaration set as one atomic change.
 	Apply(context.Context, *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error)
 	// Put creates or changes one resource.
 	Put(context.Context, *connect.Request[v1.PutRequest]) (*connect.Response[v1.ApplyResponse], error)
 	Delete(context.Context, *connect.Request[v1.DeleteRequest]) (*connect.Response[v1.ApplyResponse], error)
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
 	List(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListResponse], error)
-	// Watch sends each accepted change after a generation, for as long as the caller stays.
+	// Watch streams each change accepted after a generation until the caller ends
+	// the call.
 	Watch(context.Context, *connect.Request[v1.WatchRequest], *connect.ServerStream[v1.Change]) error
-	// Status tells the generation in force per process.
+	// Status returns the status of each process, with its catalog generation.
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
-	// Drain stops, or resumes, new work for a backend server.
+	// Drain stops or resumes sending new requests to a backend server.
 	Drain(context.Context, *connect.Request[v1.DrainRequest]) (*connect.Response[v1.ApplyResponse], error)
+	// Explain returns how a request was routed.
 	Explain(context.Context, *connect.Request[v1.ExplainRequest]) (*connect.Response[v1.Explanation], error)
 }
 
