--- a/internal/agent/fake_test.go
+++ b/internal/agent/fake_test.go
@@ -26,7 +26,7 @@
 	down      bool
 	submitErr error
 	submitted []engine.Request
-	cancelled []string
+	canceled  []string
 	// script returns the events of a request. One is sent for each value
 	// received from gate; all are sent at once when gate is closed or nil.
 	script func(req engine.Request) []engine.Event
@@ -94,13 +94,13 @@
 func (f *fakeEngine) cancels() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]string(nil), f.cancelled...)
+	return append([]string(nil), f.canceled...)
 }
 
 func (f *fakeEngine) Cancel(_ context.Context, id string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cancelled = append(f.cancelled, id)
+	f.canceled = append(f.canceled, id)
 	return nil
 }
 
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -113,8 +113,8 @@
 // Report is the state that a backend server reports of itself, a few hundred
 // milliseconds old.
 type Report struct {
-	// StartedAt is when the server started, in Unix ms; 0: not given.
-	StartedAt int64
+	// StartedMS is when the server started, in Unix ms; 0: not given.
+	StartedMS int64
 	// Versions of the loaded weights, by model.
 	Versions map[string]uint64
 	// Busy: it is loading weights.
--- a/internal/entry/attempt_test.go
+++ b/internal/entry/attempt_test.go
@@ -17,13 +17,13 @@
 
 // cancelWatch is an agent that reports for each stream whether it was cancelled.
 type cancelWatch struct {
-	node      *transport.Node
-	cancelled chan bool
+	node     *transport.Node
+	canceled chan bool
 }
 
 func newCancelWatch(t *testing.T, authority *keys.Authority) *cancelWatch {
 	t.Helper()
-	w := &cancelWatch{cancelled: make(chan bool, 1)}
+	w := &cancelWatch{canceled: make(chan bool, 1)}
 	w.node = nodeOf(t, authority, keys.RoleAgent, "b1", w.serve)
 	return w
 }
@@ -32,11 +32,11 @@
 	for {
 		frame := &jayv1.ClientFrame{}
 		if s.Receive(frame) != nil {
-			w.cancelled <- false
+			w.canceled <- false
 			return
 		}
 		if frame.GetCancel() != nil {
-			w.cancelled <- true
+			w.canceled <- true
 			return
 		}
 	}
@@ -90,7 +90,7 @@
 			a.interrupted(ctx, tt.err)
 			assert.True(t, a.ended())
 			assert.True(t, a.endedByCaller(), "the end is attributed to the caller, not to the server")
-			assert.Equal(t, tt.cancel, <-agent.cancelled)
+			assert.Equal(t, tt.cancel, <-agent.canceled)
 		})
 	}
 }
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -52,14 +52,14 @@
 	// is hashed.
 	suspects atomic.Int64
 
-	mu   sync.Mutex
-	book *quarantine.Registry
+	mu       sync.Mutex
+	registry *quarantine.Registry
 	// records maps each record to the time of its crash or complete run.
 	records map[crashRecord]time.Time
 }
 
 func newCrashes() *crashes {
-	return &crashes{book: quarantine.NewRegistry(crashSettings()), records: map[crashRecord]time.Time{}}
+	return &crashes{registry: quarantine.NewRegistry(crashSettings()), records: map[crashRecord]time.Time{}}
 }
 
 // add adds a record from any source. A crash from before the request's last
@@ -82,11 +82,11 @@
 	} else {
 		c.addCrashLocked(now, record.crash)
 	}
-	c.suspects.Store(int64(c.book.Len()))
+	c.suspects.Store(int64(c.registry.Len()))
 }
 
 func (c *crashes) addCrashLocked(now time.Time, crash quarantine.Crash) {
-	quarantined := c.book.Add(now, []quarantine.Crash{crash})
+	quarantined := c.registry.Add(now, []quarantine.Crash{crash})
 	klog.InfoS("engine crashed under request", "fingerprint", crash.Request.String(), "engine", crash.Server)
 	for _, f := range quarantined {
 		klog.InfoS("request quarantined", "fingerprint", f.String())
@@ -99,7 +99,7 @@
 			delete(c.records, record)
 		}
 	}
-	if request, ok := c.book.Clear(now, f); ok {
+	if request, ok := c.registry.Clear(now, f); ok {
 		klog.InfoS("request cleared: it ran to completion", "fingerprint", f.String(), "engines", request.Servers)
 	}
 }
@@ -135,7 +135,7 @@
 		}
 		f := record.crash.Request
 		update := &jayv1.CrashNews{Request: f[:], Server: record.crash.Server, Cleared: record.cleared, AgeMs: uint32(max(0, age.Milliseconds()))} //nolint:gosec // minutes
-		if record.cleared || c.book.Verdict(now, f).Quarantined {
+		if record.cleared || c.registry.Verdict(now, f).Quarantined {
 			first = append(first, update)
 			continue
 		}
@@ -149,8 +149,8 @@
 func (c *crashes) expire(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.Tick(now)
-	c.suspects.Store(int64(c.book.Len()))
+	c.registry.Tick(now)
+	c.suspects.Store(int64(c.registry.Len()))
 	retention := crashSettings().SuspectTTL
 	for record, at := range c.records {
 		if now.Sub(at) >= retention {
@@ -168,7 +168,7 @@
 	head := hashes.Head()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.book.MayContain(head)
+	return c.registry.MayContain(head)
 }
 
 // verdict returns the quarantine's verdict on a request. A trial that is due
@@ -176,9 +176,9 @@
 func (c *crashes) verdict(now time.Time, f quarantine.Fingerprint) quarantine.Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	verdict := c.book.Verdict(now, f)
+	verdict := c.registry.Verdict(now, f)
 	if verdict.Trial > 0 {
-		c.book.TrialClaimed(now, f, verdict.Trial)
+		c.registry.TrialClaimed(now, f, verdict.Trial)
 	}
 	return verdict
 }
@@ -186,7 +186,7 @@
 func (c *crashes) mayRepeat(f quarantine.Fingerprint, crashed []string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.book.MayRepeat(f, crashed)
+	return c.registry.MayRepeat(f, crashed)
 }
 
 // checkQuarantine refuses a quarantined request. It returns nil when the request
--- a/internal/entry/crashes_test.go
+++ b/internal/entry/crashes_test.go
@@ -22,7 +22,7 @@
 func (c *crashes) isQuarantined(now time.Time, n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.book.Verdict(now, requestNumber(n)).Quarantined
+	return c.registry.Verdict(now, requestNumber(n)).Quarantined
 }
 
 // Guards against entries that count only their own crashes: records also arrive
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -197,23 +197,23 @@
 // after its context has ended.
 type blockedPlatform struct {
 	platform.Platform
-	asked     chan struct{}
-	cancelled chan struct{}
-	released  chan struct{}
+	asked    chan struct{}
+	canceled chan struct{}
+	released chan struct{}
 }
 
 func newBlockedPlatform() *blockedPlatform {
 	const reads = 100 // more than any test makes
 	return &blockedPlatform{
 		Platform: platformtest.New(), released: make(chan struct{}),
-		asked: make(chan struct{}, reads), cancelled: make(chan struct{}, reads),
+		asked: make(chan struct{}, reads), canceled: make(chan struct{}, reads),
 	}
 }
 
 func (s *blockedPlatform) List(ctx context.Context, _ uint64) (platform.VMList, error) {
 	s.asked <- struct{}{}
 	<-ctx.Done()
-	s.cancelled <- struct{}{}
+	s.canceled <- struct{}{}
 	<-s.released
 	return platform.VMList{}, ctx.Err()
 }
@@ -234,7 +234,7 @@
 		defer close(closed)
 		closing.Close()
 	}()
-	<-store.cancelled
+	<-store.canceled
 	s.entry("e2", socket)
 	for n := range callers {
 		r := call(t, "POST", closing.CallersURL()+chatPath, keyQuarry, chatPlain)
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -21,12 +21,12 @@
 	}
 	e.quotaMu.Lock()
 	defer e.quotaMu.Unlock()
-	verdict := e.quota.Admit(time.Now(), workspace.GetName(), limits, tokens)
-	switch verdict.Reason {
+	decision := e.quota.Admit(time.Now(), workspace.GetName(), limits, tokens)
+	switch decision.Reason {
 	case quota.Requests:
-		return refuseTemporarily(http.StatusTooManyRequests, CodeRateLimited, "the workspace has reached its limit of requests per second", verdict.RetryAfter)
+		return refuseTemporarily(http.StatusTooManyRequests, CodeRateLimited, "the workspace has reached its limit of requests per second", decision.RetryAfter)
 	case quota.Tokens:
-		return refuseTemporarily(http.StatusTooManyRequests, CodeRateLimited, "the workspace has reached its limit of tokens per second", verdict.RetryAfter)
+		return refuseTemporarily(http.StatusTooManyRequests, CodeRateLimited, "the workspace has reached its limit of tokens per second", decision.RetryAfter)
 	case quota.Streams:
 		return refuseTemporarily(http.StatusTooManyRequests, CodeTooManyStreams, "the workspace has reached its limit of concurrent streams", 0)
 	default:
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -264,23 +264,23 @@
 // as indeterminate, and its server as failed.
 func serverTimeout(left time.Duration) time.Duration { return max(left-serverResponseMargin, left/2) }
 
-// directions returns the instructions sent to the chosen server with the
+// forwardOptions returns the instructions sent to the chosen server with the
 // request.
-func (j *job) directions(choice *routing.DirectChoice) call.ForwardOptions {
-	d := call.ForwardOptions{
+func (j *job) forwardOptions(choice *routing.DirectChoice) call.ForwardOptions {
+	options := call.ForwardOptions{
 		Instance: choice.Server.Instance, Timeout: serverTimeout(time.Until(j.deadline)), Priority: -1,
 		LastEventID: j.stream.lastID,
 	}
 	if j.workspace != nil {
-		d.Workspace = j.workspace.Name
+		options.Workspace = j.workspace.Name
 	}
 	if choice.Server.Version == 0 {
-		return d
+		return options
 	}
-	d.Salt, d.Version = choice.Salt, choice.Server.Version
-	d.FetchFrom, d.SaveTo = choice.FetchFrom, choice.SaveTo
-	d.Priority = j.table.PriorityLevel(j.route, j.workspace)
-	return d
+	options.Salt, options.Version = choice.Salt, choice.Server.Version
+	options.FetchFrom, options.SaveTo = choice.FetchFrom, choice.SaveTo
+	options.Priority = j.table.PriorityLevel(j.route, j.workspace)
+	return options
 }
 
 // send makes one attempt at one server.
@@ -289,13 +289,13 @@
 	server := choice.Server
 	j.sends++
 	j.tried = append(j.tried, server.ID)
-	directions := j.directions(choice)
-	j.outbound.Header = g.ports.Dialect.RequestHeader(j.inbound.Header, directions)
+	options := j.forwardOptions(choice)
+	j.outbound.Header = g.ports.Dialect.RequestHeader(j.inbound.Header, options)
 	j.sentAt, j.firstEventAt = time.Now(), time.Time{}
 	klog.InfoS("Placed", "request", j.head.ID, "server", server.ID, "send", j.sends, "owner", j.ownerName(), "expectedMS", int(choice.ExpectedMS),
 		"queueMS", int(choice.Terms.QueueMS), "readMS", int(choice.Terms.PrefillMS), "rereadMS", int(choice.Terms.RecomputeMS), "memoryMS", int(choice.Terms.MemoryMS),
-		"version", server.Version, "versionAgeMS", server.VersionAge.Milliseconds(), "prefix", strconv.FormatUint(uint64(choice.Prefix), 36), "source", choice.Source.String(), "fetch", choice.FetchFrom, "save", choice.SaveTo, "priority", directions.Priority, "tokens", j.head.InputTokens, "output", j.head.OutputTokens, "candidates", choice.Candidates)
-	response, err := g.pool.Send(j.ctx, server.Address, &j.outbound, j.freshness(), j.matchesRequest)
+		"version", server.Version, "versionAgeMS", server.VersionAge.Milliseconds(), "prefix", strconv.FormatUint(uint64(choice.Prefix), 36), "source", choice.Source.String(), "fetch", choice.FetchFrom, "save", choice.SaveTo, "priority", options.Priority, "tokens", j.head.InputTokens, "output", j.head.OutputTokens, "candidates", choice.Candidates)
+	response, err := g.pool.Send(j.ctx, server.Address, &j.outbound, j.reusePolicy(), j.matchesRequest)
 	if err != nil {
 		return j.sendFailed(choice, err)
 	}
@@ -315,7 +315,7 @@
 	return j.head.Model
 }
 
-func (j *job) freshness() upstream.ReusePolicy {
+func (j *job) reusePolicy() upstream.ReusePolicy {
 	if j.route.Repeatable() {
 		return upstream.ReusePolicy{MaxIdle: maxIdleRepeatable}
 	}
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -375,13 +375,13 @@
 			g.state.adoptTable(table, source)
 			continue
 		}
-		named, ok, err := g.ports.Decoder.Named(row.Key, row.Value)
+		target, ok, err := g.ports.Decoder.Target(row.Key, row.Value)
 		if err != nil {
 			klog.ErrorS(err, "Row of named weights not understood", "row", row.Key, "rowVersion", row.Version)
 			continue
 		}
 		if ok {
-			g.state.nameVersion(now, named, source)
+			g.state.setTarget(now, target, source)
 		}
 	}
 }
--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -105,9 +105,9 @@
 	switch {
 	case b == nil:
 		return false
-	case report.StartedAt == 0 || b.StartedMS == 0 || report.StartedAt == b.StartedMS:
+	case report.StartedMS == 0 || b.StartedMS == 0 || report.StartedMS == b.StartedMS:
 		return true
-	case report.StartedAt > b.StartedMS:
+	case report.StartedMS > b.StartedMS:
 		s.recordRestart(now, b, report)
 	}
 	return false
@@ -117,7 +117,7 @@
 // registration follows with its next heartbeat.
 func (s *state) recordRestart(now time.Time, listed *fleet.Backend, report *call.Report) {
 	next := *listed
-	next.StartedMS, next.Versions = report.StartedAt, report.Versions
+	next.StartedMS, next.Versions = report.StartedMS, report.Versions
 	s.putBackend(now, &next)
 }
 
--- a/internal/gateway/owning.go
+++ b/internal/gateway/owning.go
@@ -25,8 +25,8 @@
 	s.shards.SetEntries(entries)
 }
 
-// divisionLocked returns the assignment of a service's servers to owners.
-func (s *state) divisionLocked(now time.Time, service string) *shard.Assignment {
+// assignmentLocked returns the assignment of a service's servers to owners.
+func (s *state) assignmentLocked(now time.Time, service string) *shard.Assignment {
 	return s.shards.Assignment(now, service, s.list.Generation(), func() []uint64 {
 		servers := s.list.OfService(service)
 		hashes := make([]uint64, len(servers))
@@ -50,7 +50,7 @@
 		if service.Engine == nil {
 			continue
 		}
-		for _, owner := range s.divisionLocked(now, name).Owners {
+		for _, owner := range s.assignmentLocked(now, name).Owners {
 			if !slices.Contains(owners, owner) {
 				owners = append(owners, owner)
 			}
@@ -73,9 +73,9 @@
 	if service == nil {
 		return noOffer
 	}
-	division := s.divisionLocked(now, service.Name)
-	s.shardRouter.SetSavers(len(division.Owners))
-	servers := s.candidatesAtLocked(now, service, ask.GetModel(), division.ServersOf(s.settings.Node))
+	assignment := s.assignmentLocked(now, service.Name)
+	s.shardRouter.SetSavers(len(assignment.Owners))
+	servers := s.candidatesAtLocked(now, service, ask.GetModel(), assignment.ServersOf(s.settings.Node))
 	request := s.routingRequestLocked(now, table, service, ask)
 	if held := ask.GetHeld(); held != nil {
 		s.shardRouter.ReceiveHolder(now, &request, s.holdingLocked(service.Name, held))
--- a/internal/gateway/owning_test.go
+++ b/internal/gateway/owning_test.go
@@ -36,7 +36,7 @@
 		entries = append(entries, shard.Entry{Name: fmt.Sprint("gw", i), Address: fmt.Sprintf("10.1.0.%d:1", i), Cores: 1})
 	}
 	s.setOwners(entries)
-	s.nameVersion(ownerTestStart, weights.Target{Model: "m", Version: 1}, "test")
+	s.setTarget(ownerTestStart, weights.Target{Model: "m", Version: 1}, "test")
 	return s
 }
 
@@ -69,7 +69,7 @@
 	s := newOwner("gw1")
 	own := map[string]bool{}
 	for i, b := range s.list.OfService("engines") {
-		own[b.ID] = s.divisionLocked(ownerTestStart, "engines").Owns("gw1", i)
+		own[b.ID] = s.assignmentLocked(ownerTestStart, "engines").Owns("gw1", i)
 	}
 	var tried []uint32
 	for key := range uint64(32) {
@@ -119,7 +119,7 @@
 	first := s.offer(ownerTestStart, newAsk(1, "aa"))
 	var other *fleet.Backend
 	for i, b := range s.list.OfService("engines") {
-		if !s.divisionLocked(ownerTestStart, "engines").Owns("gw1", i) {
+		if !s.assignmentLocked(ownerTestStart, "engines").Owns("gw1", i) {
 			other = b
 		}
 	}
@@ -192,7 +192,7 @@
 	assert.Nil(t, one.placements.askOwner(context.Background(), unresponsive, newAsk(2, "aa")))
 	one.state.mu.Lock()
 	defer one.state.mu.Unlock()
-	for _, owner := range one.state.divisionLocked(time.Now(), "engines").Owners {
+	for _, owner := range one.state.assignmentLocked(time.Now(), "engines").Owners {
 		assert.NotEqual(t, unresponsive.Name, owner.Name)
 	}
 }
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -83,8 +83,8 @@
 	settings := Settings{Node: "gw9", DataCentre: "a"}
 	g := &Gateway{settings: settings, state: newState(settings, func(string) {}), peers: newTestPeers("gw9", 20)}
 	now := time.Now()
-	g.state.nameVersion(now.Add(-time.Minute), weights.Target{Model: "m", Version: 1}, "test")
-	g.state.nameVersion(now.Add(-2*contendAfter), weights.Target{Model: "m", Version: 2}, "test")
+	g.state.setTarget(now.Add(-time.Minute), weights.Target{Model: "m", Version: 1}, "test")
+	g.state.setTarget(now.Add(-2*contendAfter), weights.Target{Model: "m", Version: 2}, "test")
 	g.state.versions[versionKey{"s1", "m"}] = 1
 	assert.True(t, g.contends(), "no other holder was seen")
 	g.state.recordHolderActivity(now)
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -53,8 +53,8 @@
 	// configuration.
 	IsConfig func(key string) bool
 	Config   func(value []byte) (*routetable.Table, error)
-	// Named decodes a row that names weights; ok is false for any other row.
-	Named   func(key string, value []byte) (named weights.Target, ok bool, err error)
+	// Target decodes a row that names weights; ok is false for any other row.
+	Target  func(key string, value []byte) (target weights.Target, ok bool, err error)
 	Backend func(id string, value []byte) (*fleet.Backend, error)
 	// SameBackend reports whether two values of a backend server's row differ in
 	// nothing but the heartbeat.
@@ -68,8 +68,8 @@
 	Order(ctx context.Context, order call.LoadOrder) (call.OrderOutcome, error)
 }
 
-// KVCacheStores asks KV cache stores what they hold.
-type KVCacheStores interface {
+// KVStores asks KV cache stores what they hold.
+type KVStores interface {
 	// Changes returns what changed since the Next of an earlier result;
 	// call.ErrBusy if the store runs but does not accept the call now.
 	Changes(ctx context.Context, address string, since uint64) (call.StoreChanges, error)
@@ -81,8 +81,8 @@
 	Tables  Tables
 	Decoder Decoder
 	Engines Engines
-	// KVCacheStores may be nil.
-	KVCacheStores KVCacheStores
+	// KVStores may be nil.
+	KVStores KVStores
 	// Table holds the entries' own rows: leases, the entries' addresses and the
 	// requests under which servers crashed.
 	Table platform.Table
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -31,9 +31,9 @@
 
 // engine returns the engine's entry in the server list for the incarnation that
 // started at born.
-func engine(born int64) *fleet.Backend {
+func engine(startedMS int64) *fleet.Backend {
 	return &fleet.Backend{
-		Incarnation: fleet.Incarnation{Instance: "e1", StartedMS: born}, Service: "engines", Address: "10.0.0.1:1", Slots: 8,
+		Incarnation: fleet.Incarnation{Instance: "e1", StartedMS: startedMS}, Service: "engines", Address: "10.0.0.1:1", Slots: 8,
 		Versions: map[string]uint64{"m": 1},
 	}
 }
@@ -89,9 +89,9 @@
 	fixture.router.Finished(now, "r1", true)
 	fixture.observeVersion(first, "m", 7, "entry")
 	fixture.observeAnswer(now, first, "m", &call.Answer{HasLoad: true, Load: call.Load{Running: 90}, Version: 7})
-	assert.False(t, fixture.reportIsCurrent(now, first, &call.Report{StartedAt: 1000}), "report requested from an ended incarnation")
-	assert.False(t, fixture.reportIsCurrent(now, next, &call.Report{StartedAt: 1000}), "report sent by an ended incarnation")
-	assert.True(t, fixture.reportIsCurrent(now, next, &call.Report{StartedAt: 2000}))
+	assert.False(t, fixture.reportIsCurrent(now, first, &call.Report{StartedMS: 1000}), "report requested from an ended incarnation")
+	assert.False(t, fixture.reportIsCurrent(now, next, &call.Report{StartedMS: 1000}), "report sent by an ended incarnation")
+	assert.True(t, fixture.reportIsCurrent(now, next, &call.Report{StartedMS: 2000}))
 	assert.True(t, fixture.reportIsCurrent(now, next, &call.Report{}), "reports without a start time are accepted")
 
 	assert.Equal(t, uint64(1), fixture.versionOf(next, "m"))
@@ -108,7 +108,7 @@
 	now := time.Unix(1000, 0)
 	fixture.putBackend(now, engine(1000))
 	first := fixture.list.Named("e1").ID
-	assert.False(t, fixture.reportIsCurrent(now, first, &call.Report{StartedAt: 2000, Versions: map[string]uint64{"m": 1}}))
+	assert.False(t, fixture.reportIsCurrent(now, first, &call.Report{StartedMS: 2000, Versions: map[string]uint64{"m": 1}}))
 	require.Nil(t, fixture.list.Get(first))
 	second := fixture.list.Named("e1").ID
 	fixture.putBackend(now, engine(1000))
@@ -124,8 +124,8 @@
 	fixture.table.Store(routetable.New(1, routetable.Limits{}, nil, []routetable.Service{*fixture.service}, nil))
 	now := time.Unix(1000, 0)
 	fixture.putBackend(now, engine(1000))
-	fixture.nameVersion(now, weights.Target{Model: "m", Version: 1}, "test")
-	fixture.nameVersion(now, weights.Target{Model: "m", Version: 2}, "test")
+	fixture.setTarget(now, weights.Target{Model: "m", Version: 1}, "test")
+	fixture.setTarget(now, weights.Target{Model: "m", Version: 2}, "test")
 	fixture.recordOrder(now, fixture.list.Named("e1").ID)
 	fixture.putBackend(now, engine(2000))
 	assert.Empty(t, fixture.rollingModels(now.Add(time.Second))[0].servers)
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -62,7 +62,7 @@
 	waitQueue *waitroom.Queue
 	waiters   map[string]*waiter
 	// kvStores are the KV cache stores as seen from engines of type kvStoresEngine.
-	kvStores       []routing.KVCacheStore
+	kvStores       []routing.KVStore
 	kvStoresEngine *routetable.Engine
 	// kvStoresDown holds the addresses of the KV cache stores that do not answer.
 	kvStoresDown map[string]bool
@@ -124,12 +124,12 @@
 	}
 }
 
-// nameVersion records that an operator named a version as the one to serve.
-func (s *state) nameVersion(now time.Time, named weights.Target, source string) {
+// setTarget records that an operator named a version as the one to serve.
+func (s *state) setTarget(now time.Time, target weights.Target, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.weights.Set(now, named) {
-		klog.InfoS("New weights named", "model", named.Model, "version", named.Version, "source", source)
+	if s.weights.Set(now, target) {
+		klog.InfoS("New weights named", "model", target.Model, "version", target.Version, "source", source)
 	}
 }
 
@@ -300,7 +300,7 @@
 
 // kvStoresLocked returns the KV cache stores that an engine can use. The slice must not be
 // changed; it is rebuilt for each configuration and engine type.
-func (s *state) kvStoresLocked(table *routetable.Table, engine *routetable.Engine) []routing.KVCacheStore {
+func (s *state) kvStoresLocked(table *routetable.Table, engine *routetable.Engine) []routing.KVStore {
 	if s.kvStoresEngine == engine {
 		return s.kvStores
 	}
@@ -313,7 +313,7 @@
 		if engine.TokenBytes > 0 {
 			perSecond = store.LinkBytes / float64(engine.TokenBytes)
 		}
-		s.kvStores = append(s.kvStores, routing.NewKVCacheStore(store.Address, store.DataCentre, perSecond))
+		s.kvStores = append(s.kvStores, routing.NewKVStore(store.Address, store.DataCentre, perSecond))
 	}
 	return s.kvStores
 }
--- a/internal/gateway/stores.go
+++ b/internal/gateway/stores.go
@@ -32,7 +32,7 @@
 // watchKVStores polls the KV cache stores for what they add and drop, and detects whether
 // they answer.
 func (g *Gateway) watchKVStores(ctx context.Context) {
-	if g.ports.KVCacheStores == nil {
+	if g.ports.KVStores == nil {
 		return
 	}
 	watches := map[string]*kvStoreWatch{}
@@ -56,7 +56,7 @@
 func (g *Gateway) pollKVStore(ctx context.Context, address string, w *kvStoreWatch) {
 	callCtx, cancel := context.WithTimeout(ctx, kvStoreCallTimeout)
 	defer cancel()
-	changes, err := g.ports.KVCacheStores.Changes(callCtx, address, w.next)
+	changes, err := g.ports.KVStores.Changes(callCtx, address, w.next)
 	switch {
 	case errors.Is(err, call.ErrBusy), ctx.Err() != nil:
 		return
@@ -108,7 +108,7 @@
 		return
 	}
 	now := time.Now()
-	store := routing.NewKVCacheStore(address, "", 0)
+	store := routing.NewKVStore(address, "", 0)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, part := range parts {
--- a/internal/gateway/suspectadmin.go
+++ b/internal/gateway/suspectadmin.go
@@ -13,16 +13,16 @@
 // suspectView is a suspect request as shown to operators.
 type suspectView struct {
 	Fingerprint string `json:"fingerprint"`
-	Held        bool   `json:"held"`
+	Quarantined bool   `json:"held"`
 	// Servers are the incarnations that crashed under it; Unexplained counts those
 	// that no other quarantined request accounts for.
 	Servers     []string `json:"servers"`
 	Unexplained int      `json:"unexplained"`
 	Trials      int      `json:"trials"`
-	// Doubtful: another quarantined request was running at each of its crashes.
-	Doubtful bool `json:"doubtful"`
-	// LastNewsMS is the time since the last crash or trial was recorded.
-	LastNewsMS int64 `json:"last_news_ms"`
+	// Uncertain: another quarantined request was running at each of its crashes.
+	Uncertain bool `json:"doubtful"`
+	// LastUpdateMS is the time since the last crash or trial was recorded.
+	LastUpdateMS int64 `json:"last_news_ms"`
 }
 
 // serveSuspects lists the requests under which servers crashed.
@@ -31,8 +31,8 @@
 	views := []suspectView{}
 	for _, r := range g.state.suspects.list() {
 		views = append(views, suspectView{
-			Fingerprint: r.Fingerprint.String(), Held: r.Quarantined, Servers: r.Servers, Unexplained: r.Unexplained,
-			Trials: r.Trials, Doubtful: r.Uncertain, LastNewsMS: now.Sub(r.LastUpdate).Milliseconds(),
+			Fingerprint: r.Fingerprint.String(), Quarantined: r.Quarantined, Servers: r.Servers, Unexplained: r.Unexplained,
+			Trials: r.Trials, Uncertain: r.Uncertain, LastUpdateMS: now.Sub(r.LastUpdate).Milliseconds(),
 		})
 	}
 	return c.JSON(http.StatusOK, views)
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -24,7 +24,7 @@
 	publish chan struct{}
 
 	mu            sync.Mutex
-	book          *quarantine.Registry
+	registry      *quarantine.Registry
 	interruptions *quarantine.Interruptions
 	// probing holds the server incarnations that are being probed.
 	probing map[string]bool
@@ -43,7 +43,7 @@
 
 func newSuspects() *suspects {
 	return &suspects{
-		book: quarantine.NewRegistry(quarantine.DefaultSettings()), interruptions: quarantine.NewInterruptions(),
+		registry: quarantine.NewRegistry(quarantine.DefaultSettings()), interruptions: quarantine.NewInterruptions(),
 		probing: map[string]bool{}, unwrittenRows: map[string]bool{}, publish: make(chan struct{}, 1),
 	}
 }
@@ -59,7 +59,7 @@
 }
 
 func (s *suspects) updateTrackedLocked() {
-	s.tracked.Store(int64(s.book.Len() + s.interruptions.Len()))
+	s.tracked.Store(int64(s.registry.Len() + s.interruptions.Len()))
 }
 
 // serverCrashed records that an incarnation of a server is proven to have
@@ -116,14 +116,14 @@
 // addCrashesLocked adds crashes from any source. Most arrive from several
 // sources and are added once.
 func (s *suspects) addCrashesLocked(now time.Time, crashes []quarantine.Crash, source string) {
-	crashes = slices.DeleteFunc(slices.Clone(crashes), s.book.Contains)
-	quarantined := s.book.Add(now, crashes)
+	crashes = slices.DeleteFunc(slices.Clone(crashes), s.registry.Contains)
+	quarantined := s.registry.Add(now, crashes)
 	s.updateTrackedLocked()
 	for _, crash := range crashes {
 		klog.InfoS("Server crashed under request", "fingerprint", crash.Request.String(), "server", crash.Server, "source", source)
 	}
 	for _, f := range quarantined {
-		v := s.book.Verdict(now, f)
+		v := s.registry.Verdict(now, f)
 		klog.InfoS("Request held", "fingerprint", f.String(), "source", source, "trial", v.Trial, "retryAfterMS", v.RetryAfter.Milliseconds())
 	}
 }
@@ -143,7 +143,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if row.trial > 0 {
-		s.book.TrialClaimed(now, row.crash.Request, row.trial)
+		s.registry.TrialClaimed(now, row.crash.Request, row.trial)
 		s.updateTrackedLocked()
 		return
 	}
@@ -154,9 +154,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if row.trial > 0 {
-		s.book.TrialReleased(row.crash.Request, row.trial)
+		s.registry.TrialReleased(row.crash.Request, row.trial)
 	} else {
-		s.book.Remove(time.Now(), row.crash)
+		s.registry.Remove(time.Now(), row.crash)
 	}
 	s.updateTrackedLocked()
 }
@@ -180,7 +180,7 @@
 func (s *suspects) clearLocked(f quarantine.Fingerprint, reason string) (quarantine.Request, bool) {
 	s.interruptions.Completed(f)
 	defer s.updateTrackedLocked()
-	request, ok := s.book.Clear(time.Now(), f)
+	request, ok := s.registry.Clear(time.Now(), f)
 	if !ok {
 		return request, false
 	}
@@ -225,25 +225,25 @@
 	head := hashes.Head()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.MayContain(head) || s.interruptions.MayContain(head)
+	return s.registry.MayContain(head) || s.interruptions.MayContain(head)
 }
 
 func (s *suspects) verdict(now time.Time, f quarantine.Fingerprint) quarantine.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Verdict(now, f)
+	return s.registry.Verdict(now, f)
 }
 
 func (s *suspects) crashCount(f quarantine.Fingerprint) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.CrashCount(f)
+	return s.registry.CrashCount(f)
 }
 
 func (s *suspects) mayRepeat(f quarantine.Fingerprint, interruptedAt []string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.MayRepeat(f, interruptedAt)
+	return s.registry.MayRepeat(f, interruptedAt)
 }
 
 // trialClaimed records that this entry claimed a trial, trialReleased that the
@@ -251,13 +251,13 @@
 func (s *suspects) trialClaimed(now time.Time, f quarantine.Fingerprint, trial int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.TrialClaimed(now, f, trial)
+	s.registry.TrialClaimed(now, f, trial)
 }
 
 func (s *suspects) trialReleased(f quarantine.Fingerprint, trial int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.TrialReleased(f, trial)
+	s.registry.TrialReleased(f, trial)
 	s.queueRowLocked(trialKey(f, trial), false)
 	s.signalPublish()
 }
@@ -267,13 +267,13 @@
 func (s *suspects) list() []quarantine.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.List()
+	return s.registry.List()
 }
 
 func (s *suspects) counts() (suspects, quarantined int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Len(), s.book.QuarantinedCount()
+	return s.registry.Len(), s.registry.QuarantinedCount()
 }
 
 // tick deletes expired records. With deleteRows it also deletes their rows,
@@ -282,7 +282,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.interruptions.Tick(now)
-	expired := s.book.Tick(now)
+	expired := s.registry.Tick(now)
 	s.updateTrackedLocked()
 	for _, request := range expired {
 		klog.InfoS("Records of a suspect request expired", "fingerprint", request.Fingerprint.String(), "held", request.Quarantined, "servers", request.Servers)
@@ -301,7 +301,7 @@
 	defer s.mu.Unlock()
 	crashes := s.unsent
 	if len(crashes) > limit {
-		crashes = slices.DeleteFunc(crashes, func(crash quarantine.Crash) bool { return s.book.CrashCount(crash.Request) < 2 })
+		crashes = slices.DeleteFunc(crashes, func(crash quarantine.Crash) bool { return s.registry.CrashCount(crash.Request) < 2 })
 	}
 	cleared := s.unsentCleared
 	s.unsent, s.unsentCleared = nil, nil
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -82,7 +82,7 @@
 	assert.True(t, m.Usable("b00"), "a new incarnation is a new server")
 }
 
-func TestACancelledDrainEndsAfterTheReorderWindow(t *testing.T) {
+func TestACanceledDrainEndsAfterTheReorderWindow(t *testing.T) {
 	m, _ := pool(3)
 	m.ReceiveAgentState(start, "b00", &jayv1.AgentState{Incarnation: 4, Leaving: true})
 	m.ReceiveAgentState(start.Add(6*time.Second), "b00", &jayv1.AgentState{Incarnation: 4})
--- a/internal/routing/direct_prefix.go
+++ b/internal/routing/direct_prefix.go
@@ -84,7 +84,7 @@
 	last holderRecord
 	// store of the prefix, nil without one; storedTokens of the prefix should
 	// be there.
-	store           *KVCacheStore
+	store           *KVStore
 	storedTokens    int
 	preferredWeight uint64
 	secondWeight    uint64
@@ -207,7 +207,7 @@
 func levelKey(chain uint64) uint32 { return uint32(chain) | 1 } //nolint:gosec // the low half of a hash
 
 // planStore sets the prefix's store and how much of the prefix it should have.
-func (d *Direct) planStore(now time.Time, stores []KVCacheStore, salt uint64, v *versionPlan) {
+func (d *Direct) planStore(now time.Time, stores []KVStore, salt uint64, v *versionPlan) {
 	if v.store = storeFor(stores, v.deepestKey()); v.store == nil {
 		return
 	}
--- a/internal/routing/direct_types.go
+++ b/internal/routing/direct_types.go
@@ -53,7 +53,7 @@
 	// 0: all.
 	MemoryShare float64
 	// Stores are the KV cache stores; they are only read.
-	Stores []KVCacheStore
+	Stores []KVStore
 	// MayWait: Choose returns ErrNoFreeMemory rather than a server at which the
 	// request would wait long for memory.
 	MayWait bool
--- a/internal/routing/fleetmodel_test.go
+++ b/internal/routing/fleetmodel_test.go
@@ -94,8 +94,8 @@
 	mayWait bool
 	// owners of shards by name, which choose for all entries; nil: the entries
 	// choose and exchange hints.
-	owners   map[string]*routing.Direct
-	division *shard.Assignment
+	owners     map[string]*routing.Direct
+	assignment *shard.Assignment
 	// isolated is the number of entries, the first ones, that exchange no
 	// hints.
 	isolated int
@@ -104,7 +104,7 @@
 	// stores are the KV cache stores by address, routerStores the same as the
 	// routers see them.
 	stores       map[string]*modelStore
-	routerStores []routing.KVCacheStore
+	routerStores []routing.KVStore
 	// crashes are the times at which a third of the engines lose their caches.
 	crashes []float64
 	// used is when a part was last used at any engine.
@@ -246,7 +246,7 @@
 	var best routing.DirectChoice
 	r.owner = nil
 	err := routing.ErrNoFreeMemory
-	for _, entry := range f.division.OwnersFor(request.RendezvousKey(1)) {
+	for _, entry := range f.assignment.OwnersFor(request.RendezvousKey(1)) {
 		owner := f.owners[entry.Name]
 		if r.owner != nil && best.Source == routing.SourceHeld {
 			owner.ReceiveHolder(modelTime(now), request, routing.PrefixHolder{Server: best.Server.ID, Address: best.Server.Address, Version: best.Server.Version})
@@ -281,7 +281,7 @@
 func (f *modelFleet) shardOf(name string) []routing.DirectServer {
 	var servers []routing.DirectServer
 	for i := range f.servers {
-		if f.division.Owns(name, i) {
+		if f.assignment.Owns(name, i) {
 			servers = append(servers, f.servers[i])
 		}
 	}
@@ -299,7 +299,7 @@
 		f.owners[name] = routing.NewDirect(routing.DirectOptions{DataCentre: "a", ExclusiveServers: true})
 	}
 	m.SetEntries(all)
-	f.division = m.Assignment(directStart, "models", 1, func() []uint64 {
+	f.assignment = m.Assignment(directStart, "models", 1, func() []uint64 {
 		var hashes []uint64
 		for i := range f.servers {
 			hashes = append(hashes, f.servers[i].Hash)
--- a/internal/routing/kept.go
+++ b/internal/routing/kept.go
@@ -15,10 +15,10 @@
 // within a share of the link, and while a store evicts parts early only prompts
 // that are mostly shared are saved.
 
-// KVCacheStore is a store outside engines, to which they send the cached parts
+// KVStore is a store outside engines, to which they send the cached parts
 // of prompts and from which they fetch them. It holds a part under the salt of
 // the request that it was computed for.
-type KVCacheStore struct {
+type KVStore struct {
 	Address    string
 	DataCentre string
 	// Hash of the address, for the rendezvous ranking.
@@ -27,14 +27,14 @@
 	TokensPerSecond float64
 }
 
-// NewKVCacheStore returns a store whose link carries that many tokens per
+// NewKVStore returns a store whose link carries that many tokens per
 // second.
-func NewKVCacheStore(address, dataCentre string, tokensPerSecond float64) KVCacheStore {
-	return KVCacheStore{Address: address, DataCentre: dataCentre, Hash: hashOf(address), TokensPerSecond: tokensPerSecond}
+func NewKVStore(address, dataCentre string, tokensPerSecond float64) KVStore {
+	return KVStore{Address: address, DataCentre: dataCentre, Hash: hashOf(address), TokensPerSecond: tokensPerSecond}
 }
 
 // fetchMS is the transfer time of that many tokens from the store to a server.
-func (k *KVCacheStore) fetchMS(tokens int, dataCentre string) float64 {
+func (k *KVStore) fetchMS(tokens int, dataCentre string) float64 {
 	if k.TokensPerSecond <= 0 {
 		return float64(tokens) * fetchMSPerToken
 	}
@@ -115,8 +115,8 @@
 
 // storeFor returns the store of a prefix, the same at every entry; nil without
 // stores.
-func storeFor(stores []KVCacheStore, prefix uint32) *KVCacheStore {
-	var best *KVCacheStore
+func storeFor(stores []KVStore, prefix uint32) *KVStore {
+	var best *KVStore
 	var most uint64
 	for i := range stores {
 		if w := Rendezvous(uint64(prefix), stores[i].Hash); best == nil || w > most {
@@ -129,7 +129,7 @@
 // storedPartKey returns the key of a part under its salt at a store. If two
 // parts share a key, a prompt may be prefilled again; the salt prevents that a
 // wrong part is used.
-func storedPartKey(store *KVCacheStore, salt, part uint64) uint32 {
+func storedPartKey(store *KVStore, salt, part uint64) uint32 {
 	return uint32(Rendezvous(Rendezvous(salt, part), store.Hash)) //nolint:gosec // the low half of a hash
 }
 
@@ -168,7 +168,7 @@
 // allowSave takes the tokens of one save from this router's share of a store's
 // link, and reports whether it may be sent. shared is the share of the prompt
 // that other requests may use.
-func (k *storeIndex) allowSave(now time.Time, store *KVCacheStore, tokens int, shared float64, savers int) bool {
+func (k *storeIndex) allowSave(now time.Time, store *KVStore, tokens int, shared float64, savers int) bool {
 	rate := store.TokensPerSecond * saveLinkShare / float64(max(savers, 1))
 	burstTokens := rate * saveBurst.Seconds()
 	b := k.budgets[store.Address]
@@ -231,7 +231,7 @@
 
 // UpdateStoredPart records a store's update on a part. held is false for a part
 // that it dropped, even if only in part.
-func (d *Direct) UpdateStoredPart(now time.Time, store *KVCacheStore, salt, part string, held bool) {
+func (d *Direct) UpdateStoredPart(now time.Time, store *KVStore, salt, part string, held bool) {
 	key := storedPartKey(store, hashOf(salt), hashOf(part))
 	one, known := d.stores.parts.Peek(key)
 	if known && !held {
--- a/internal/routing/kept_test.go
+++ b/internal/routing/kept_test.go
@@ -11,7 +11,7 @@
 	"github.com/jayproxy/jayproxy/internal/routing"
 )
 
-var oneStore = []routing.KVCacheStore{routing.NewKVCacheStore("store:1", "a", 290000)}
+var oneStore = []routing.KVStore{routing.NewKVStore("store:1", "a", 290000)}
 
 func promptWithStore(id, document string) *routing.DirectRequest {
 	req := prompt(id, document)
@@ -119,7 +119,7 @@
 func TestSavesStayWithinShareOfLink(t *testing.T) {
 	for perSecond, atMost := range map[float64]int{290000: 290000 * 2, 29000: 29000 * 2, 0: 0} {
 		d, servers := newDirect(), directServers(8)
-		stores := []routing.KVCacheStore{routing.NewKVCacheStore("store:1", "a", perSecond)}
+		stores := []routing.KVStore{routing.NewKVStore("store:1", "a", perSecond)}
 		tokens := 0
 		for i := range 200 {
 			req := prompt(fmt.Sprint("r", i), fmt.Sprint("contract", i))
@@ -151,8 +151,8 @@
 
 // Entries must look for a prefix at the store to which another entry saved it.
 func TestEntriesAgreeOnTheStoreOfAPrefix(t *testing.T) {
-	stores := []routing.KVCacheStore{routing.NewKVCacheStore("store:1", "a", 290000), routing.NewKVCacheStore("store:2", "b", 290000), routing.NewKVCacheStore("store:3", "c", 290000)}
-	rotated := []routing.KVCacheStore{stores[2], stores[0], stores[1]}
+	stores := []routing.KVStore{routing.NewKVStore("store:1", "a", 290000), routing.NewKVStore("store:2", "b", 290000), routing.NewKVStore("store:3", "c", 290000)}
+	rotated := []routing.KVStore{stores[2], stores[0], stores[1]}
 	used := map[string]int{}
 	for i := range 30 {
 		servers := directServers(8)
@@ -171,7 +171,7 @@
 	var req *routing.DirectRequest
 	for i := range b.N {
 		req = prompt(fmt.Sprint(i), fmt.Sprint(i%100))
-		req.Stores = []routing.KVCacheStore{oneStore[0]}
+		req.Stores = []routing.KVStore{oneStore[0]}
 		if _, err := d.Choose(directStart.Add(time.Duration(i)*time.Millisecond), req, servers, nil); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/routing/keptmodel_test.go
+++ b/internal/routing/keptmodel_test.go
@@ -157,7 +157,7 @@
 	f.stores = map[string]*modelStore{}
 	for _, address := range []string{"store1", "store2"}[:stores] {
 		f.stores[address] = newModelStore(1000000, 290000)
-		f.routerStores = append(f.routerStores, routing.NewKVCacheStore(address, "a", 290000))
+		f.routerStores = append(f.routerStores, routing.NewKVStore(address, "a", 290000))
 	}
 	f.play(20000)
 	r := f.results()["all"]
