--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -80,8 +80,8 @@
 	Slots   int
 }
 
-// Answer holds the status and headers of a backend server's answer.
-type Answer struct {
+// ResponseHead holds the status and headers of a backend server's answer.
+type ResponseHead struct {
 	Status int
 	// ID of the request that it belongs to; empty: not given.
 	ID string
@@ -108,7 +108,7 @@
 
 // Refused reports whether the answer proves that the request did not run. Status 421
 // (Misdirected Request) does so, too.
-func (a *Answer) Refused() bool { return a.NotRun || a.Status == 421 }
+func (a *ResponseHead) Refused() bool { return a.NotRun || a.Status == 421 }
 
 // Report is the state that a backend server reports of itself, a few hundred
 // milliseconds old.
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -50,7 +50,7 @@
 	CodeOutcomeUnknown    Code = "outcome_unknown"
 	CodeDuplicate         Code = "duplicate_request"
 	CodeClaimsUnavailable Code = "claims_unavailable"
-	CodeAnswerTooLarge    Code = "answer_too_large"
+	CodeResponseTooLarge  Code = "answer_too_large"
 	CodeStreamNotFound    Code = "stream_not_found"
 	CodeStreamBroken      Code = "stream_broken"
 	CodeStreamNotReached  Code = "stream_not_reached"
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -16,8 +16,8 @@
 
 const nonceBytes = 16
 
-// answer is a sink that also reports whether any of it was sent to the caller.
-type answer interface {
+// responseSink is a sink that also reports whether any of it was sent to the caller.
+type responseSink interface {
 	sink
 	// Begin is called before each attempt starts.
 	Begin(a *attempt)
@@ -37,7 +37,7 @@
 
 // handOff hands the request off to backend servers until an attempt succeeds or
 // no further attempt is allowed.
-func (e *Entry) handOff(ctx context.Context, w *work, to answer) result {
+func (e *Entry) handOff(ctx context.Context, w *work, to responseSink) result {
 	h := &handoff{entry: e, work: w, to: to, table: e.holder.Current()}
 	e.explain.begin(e, w, h.table)
 	r := h.run(ctx)
@@ -53,7 +53,7 @@
 type handoff struct {
 	entry *Entry
 	work  *work
-	to    answer
+	to    responseSink
 	table *catalog.Table
 	tried []routing.RefusedOffer
 	last  result
--- a/internal/entry/model.go
+++ b/internal/entry/model.go
@@ -20,7 +20,7 @@
 
 // finisher is an answer that is completed with the request's result.
 type finisher interface {
-	answer
+	responseSink
 	finish(r result)
 }
 
--- a/internal/entry/sinks.go
+++ b/internal/entry/sinks.go
@@ -9,8 +9,8 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// errAnswerTooLarge is returned for a buffered answer beyond its size limit.
-var errAnswerTooLarge = errors.New("the answer is longer than the limit")
+// errResponseTooLarge is returned for a buffered answer beyond its size limit.
+var errResponseTooLarge = errors.New("the answer is longer than the limit")
 
 // caller writes the response on a caller's connection.
 type caller struct {
@@ -169,7 +169,7 @@
 // Chunk appends to the buffered answer.
 func (s *plainSink) Chunk(_ uint64, data []byte) error {
 	if int64(len(s.body)+len(data)) > s.limit {
-		return errAnswerTooLarge
+		return errResponseTooLarge
 	}
 	s.token()
 	s.body = append(s.body, data...)
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -30,24 +30,24 @@
 
 // handleResponse forwards a server's response, or discards it if another send
 // may succeed.
-func (j *job) handleResponse(choice *routing.DirectChoice, response *upstream.Response, answer *call.Answer) sendOutcome {
+func (j *job) handleResponse(choice *routing.DirectChoice, response *upstream.Response, head *call.ResponseHead) sendOutcome {
 	server := choice.Server.ID
-	j.load, j.hasLoad = answer.Load, answer.HasLoad
+	j.load, j.hasLoad = head.Load, head.HasLoad
 	switch {
-	case answer.Refused():
+	case head.Refused():
 		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedBytes))
-		j.handleRefusal(choice, answer)
+		j.handleRefusal(choice, head)
 		return notRun
-	case answer.Status < http.StatusMultipleChoices && (!answer.Sealed || answer.Encoded):
+	case head.Status < http.StatusMultipleChoices && (!head.Sealed || head.Encoded):
 		// The response lacks the backend server's signature, or its body is not as the
 		// server sent it.
-		klog.InfoS("Answer not sealed", "request", j.head.ID, "server", server, "status", answer.Status)
+		klog.InfoS("Answer not sealed", "request", j.head.ID, "server", server, "status", head.Status)
 		j.recordServerFailure(server)
 		return indeterminate
-	case answer.Status < http.StatusMultipleChoices && strings.HasPrefix(response.Header.Get("Content-Type"), eventStreamType):
+	case head.Status < http.StatusMultipleChoices && strings.HasPrefix(response.Header.Get("Content-Type"), eventStreamType):
 		return j.forwardStream(choice, response)
 	}
-	return j.handleBuffered(choice, response, answer)
+	return j.handleBuffered(choice, response, head)
 }
 
 func (j *job) recordServerFailure(server string) {
@@ -60,19 +60,19 @@
 
 // handleRefusal updates the state after a refusal: the server may be another
 // incarnation, have other weights than expected, or be overloaded.
-func (j *job) handleRefusal(choice *routing.DirectChoice, answer *call.Answer) {
-	klog.InfoS("Refused by server", "request", j.head.ID, "server", choice.Server.ID, "status", answer.Status,
-		"instance", answer.Instance, "version", answer.Version, "expected", choice.Server.Version, "running", answer.Load.Running, "waiting", answer.Load.Waiting)
-	j.gateway.metrics.Count("refused_by_server", strconv.Itoa(answer.Status), 1)
+func (j *job) handleRefusal(choice *routing.DirectChoice, head *call.ResponseHead) {
+	klog.InfoS("Refused by server", "request", j.head.ID, "server", choice.Server.ID, "status", head.Status,
+		"instance", head.Instance, "version", head.Version, "expected", choice.Server.Version, "running", head.Load.Running, "waiting", head.Load.Waiting)
+	j.gateway.metrics.Count("refused_by_server", strconv.Itoa(head.Status), 1)
 	now := time.Now()
 	server := choice.Server
 	switch {
-	case answer.Instance != "" && answer.Instance != server.Instance:
+	case head.Instance != "" && head.Instance != server.Instance:
 		j.gateway.pool.CloseIdle(server.Address)
-		j.gateway.state.incarnationEnded(now, server.ID, "response from instance "+answer.Instance)
+		j.gateway.state.incarnationEnded(now, server.ID, "response from instance "+head.Instance)
 		j.evidence.otherIncarnation = true
-	case answer.Version > server.Version,
-		answer.Status == http.StatusMisdirectedRequest && j.gateway.state.inferNextVersion(server.ID, j.modelName(), server.Version):
+	case head.Version > server.Version,
+		head.Status == http.StatusMisdirectedRequest && j.gateway.state.inferNextVersion(server.ID, j.modelName(), server.Version):
 		// Only this entry's view of the weights was outdated, so the server may be
 		// asked again. While the others take new weights it may be the only one left.
 		j.tried = j.tried[:len(j.tried)-1]
@@ -94,7 +94,7 @@
 // handleBuffered reads a response other than a stream to its end before the
 // caller gets it. Responses longer than maxBufferedBytes are forwarded as they
 // arrive.
-func (j *job) handleBuffered(choice *routing.DirectChoice, response *upstream.Response, answer *call.Answer) sendOutcome {
+func (j *job) handleBuffered(choice *routing.DirectChoice, response *upstream.Response, head *call.ResponseHead) sendOutcome {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
 	if err != nil {
 		return j.responseInterrupted(choice, err)
@@ -102,14 +102,14 @@
 	if len(body) == maxBufferedBytes {
 		return j.forwardLong(choice, response, body)
 	}
-	buffered := &bufferedResponse{status: answer.Status, header: j.gateway.ports.Dialect.ResponseHeader(response.Header), body: body}
-	if answer.Status >= http.StatusInternalServerError && j.route.Repeatable() && j.indeterminateSends+1 < j.route.MaxAttempts {
+	buffered := &bufferedResponse{status: head.Status, header: j.gateway.ports.Dialect.ResponseHeader(response.Header), body: body}
+	if head.Status >= http.StatusInternalServerError && j.route.Repeatable() && j.indeterminateSends+1 < j.route.MaxAttempts {
 		// Another server may succeed. If none does, this response is passed on.
-		klog.InfoS("Server failed", "request", j.head.ID, "server", choice.Server.ID, "status", answer.Status)
+		klog.InfoS("Server failed", "request", j.head.ID, "server", choice.Server.ID, "status", head.Status)
 		j.serverFailure = buffered
 		return indeterminate
 	}
-	if answer.Status >= http.StatusInternalServerError {
+	if head.Status >= http.StatusInternalServerError {
 		j.recordServerFailure(choice.Server.ID)
 	}
 	j.complete = true
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -300,10 +300,10 @@
 		return j.sendFailed(choice, err)
 	}
 	defer response.Close()
-	answer := g.ports.Dialect.Answer(response.Status, response.Header)
-	response.KeepFor(keepAliveFor(answer.KeepAlive))
-	g.state.observeAnswer(time.Now(), server.ID, j.modelName(), &answer)
-	outcome := j.handleResponse(choice, response, &answer)
+	head := g.ports.Dialect.DecodeResponse(response.Status, response.Header)
+	response.KeepFor(keepAliveFor(head.KeepAlive))
+	g.state.observeResponse(time.Now(), server.ID, j.modelName(), &head)
+	outcome := j.handleResponse(choice, response, &head)
 	j.sendFinished(choice, outcome)
 	return outcome
 }
@@ -333,11 +333,11 @@
 // reused connection a response without an ID may be a late one to an earlier
 // request.
 func (j *job) matchesRequest(h http.Header, reused bool) bool {
-	answer := j.gateway.ports.Dialect.Answer(0, h)
-	if answer.ID == "" {
-		return !reused || answer.NotRun || j.head.ID == ""
+	head := j.gateway.ports.Dialect.DecodeResponse(0, h)
+	if head.ID == "" {
+		return !reused || head.NotRun || j.head.ID == ""
 	}
-	return answer.ID == j.head.ID
+	return head.ID == j.head.ID
 }
 
 func (j *job) sendFailed(choice *routing.DirectChoice, err error) sendOutcome {
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -65,10 +65,10 @@
 	mu   sync.Mutex
 	copy mirror.Copy
 
-	// lastAnswer is when the store last answered this entry or its relay, in Unix
+	// lastResponse is when the store last answered this entry or its relay, in Unix
 	// nanoseconds.
-	lastAnswer atomic.Int64
-	failing    atomic.Bool
+	lastResponse atomic.Int64
+	failing      atomic.Bool
 	// interrupt cancels the current blocking read. interrupted is set when that was done;
 	// the next read then does not block.
 	interrupt   atomic.Pointer[context.CancelFunc]
@@ -107,7 +107,7 @@
 
 // age returns the time since the store last answered.
 func (f *feed) age(now time.Time) time.Duration {
-	return now.Sub(time.Unix(0, f.lastAnswer.Load()))
+	return now.Sub(time.Unix(0, f.lastResponse.Load()))
 }
 
 // tableAge returns the maximum age of a table. A blocking read gets an answer only when
@@ -319,7 +319,7 @@
 // their reads are interrupted.
 func (g *Gateway) feedSucceeded(f *feed, age time.Duration) {
 	now := time.Now().Add(-age)
-	last := f.lastAnswer.Swap(now.UnixNano())
+	last := f.lastResponse.Swap(now.UnixNano())
 	if !f.failing.Swap(false) {
 		return
 	}
--- a/internal/gateway/feeds_test.go
+++ b/internal/gateway/feeds_test.go
@@ -84,11 +84,11 @@
 	g, _ := newRelayedEntry(t, 100, 0)
 	now := time.Now()
 	list := &feed{table: "servers"}
-	list.lastAnswer.Store(now.Add(-3 * time.Second).UnixNano())
+	list.lastResponse.Store(now.Add(-3 * time.Second).UnixNano())
 	waiting := &feed{table: "op", wait: longPollWait}
-	waiting.lastAnswer.Store(now.Add(-10 * time.Second).UnixNano())
+	waiting.lastResponse.Store(now.Add(-10 * time.Second).UnixNano())
 	g.feeds = []*feed{waiting, list}
 	assert.InDelta(t, 3000, g.tableAge(now, waiting).Milliseconds(), 1, "the old list shows that the store is unreachable")
-	list.lastAnswer.Store(now.Add(-100 * time.Millisecond).UnixNano())
+	list.lastResponse.Store(now.Add(-100 * time.Millisecond).UnixNano())
 	assert.Less(t, g.tableAge(now, waiting), time.Second, "the recent list shows that the store is reachable")
 }
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -77,15 +77,15 @@
 		return g.state.offer(time.Now(), ask)
 	}
 	started := time.Now()
-	answer := make(chan *jayv1.PlacementOffer, 1)
+	offers := make(chan *jayv1.PlacementOffer, 1)
 	p.mu.Lock()
-	p.pending[ask.GetKey()] = answer
+	p.pending[ask.GetKey()] = offers
 	p.mu.Unlock()
 	err := g.datagrams.send(g.datagrams.addressOf(owner.Address), &jayv1.Datagram{Body: &jayv1.Datagram_Ask{Ask: ask}})
 	if err != nil {
 		klog.V(1).InfoS("Placement request not sent to owner", "owner", owner.Name, "err", err)
 	}
-	offer := p.awaitOffer(ctx, ask.GetKey(), answer)
+	offer := p.awaitOffer(ctx, ask.GetKey(), offers)
 	now := time.Now()
 	switch {
 	case offer != nil:
@@ -111,11 +111,11 @@
 
 // awaitOffer waits for an owner's answer. It returns nil if none arrives in
 // time.
-func (p *placementClient) awaitOffer(ctx context.Context, key uint64, answer chan *jayv1.PlacementOffer) *jayv1.PlacementOffer {
+func (p *placementClient) awaitOffer(ctx context.Context, key uint64, offers chan *jayv1.PlacementOffer) *jayv1.PlacementOffer {
 	timer := time.NewTimer(ownerTimeout)
 	defer timer.Stop()
 	select {
-	case offer := <-answer:
+	case offer := <-offers:
 		return offer
 	case <-timer.C:
 	case <-ctx.Done():
@@ -124,7 +124,7 @@
 	defer p.mu.Unlock()
 	delete(p.pending, key)
 	select {
-	case offer := <-answer:
+	case offer := <-offers:
 		return offer
 	default:
 		return nil
@@ -136,10 +136,10 @@
 // request that went elsewhere.
 func (p *placementClient) receiveOffer(offer *jayv1.PlacementOffer, from *net.UDPAddr) {
 	p.mu.Lock()
-	answer, ok := p.pending[offer.GetKey()]
+	offers, ok := p.pending[offer.GetKey()]
 	delete(p.pending, offer.GetKey())
 	if ok {
-		answer <- offer
+		offers <- offer
 	}
 	p.mu.Unlock()
 	if ok || offer.GetOutcome() != jayv1.PlacementOffer_OUTCOME_SERVER {
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -23,9 +23,9 @@
 	Decode(h http.Header) (call.Head, error)
 	// RequestHeader returns the header of a request to a backend server.
 	RequestHeader(from http.Header, d call.ForwardOptions) http.Header
-	// Answer reads the header of a backend server's response; ResponseHeader
+	// DecodeResponse reads the header of a backend server's response; ResponseHeader
 	// returns the one for the caller.
-	Answer(status int, h http.Header) call.Answer
+	DecodeResponse(status int, h http.Header) call.ResponseHead
 	ResponseHeader(from http.Header) http.Header
 	// Refuse writes the header of a response by the entry itself. after is the
 	// retry delay; 0: none.
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -366,19 +366,19 @@
 	}
 }
 
-// observeAnswer records the load and the weight version that an answer reports of its
+// observeResponse records the load and the weight version that an answer reports of its
 // server.
-func (s *state) observeAnswer(now time.Time, server, model string, answer *call.Answer) {
+func (s *state) observeResponse(now time.Time, server, model string, response *call.ResponseHead) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.list.Get(server) == nil {
 		return
 	}
-	if answer.HasLoad {
-		s.router.UpdateLoad(now, server, answer.Load)
+	if response.HasLoad {
+		s.router.UpdateLoad(now, server, response.Load)
 	}
-	if model != "" && answer.Version > 0 {
-		s.observeVersionLocked(server, model, answer.Version, "answer")
+	if model != "" && response.Version > 0 {
+		s.observeVersionLocked(server, model, response.Version, "answer")
 	}
 }
 
--- a/internal/routing/direct_memory.go
+++ b/internal/routing/direct_memory.go
@@ -35,9 +35,9 @@
 	// minReportedMemoryShare is the used share of all engines' memory below
 	// which entries send no memory hints, as nothing waits for memory.
 	minReportedMemoryShare = 0.4
-	// meanAnswerShare is the mean length of an answer, as a share of its upper
+	// meanOutputShare is the mean length of an answer, as a share of its upper
 	// bound.
-	meanAnswerShare = 0.35
+	meanOutputShare = 0.35
 	// minPlacedTokens is the size in tokens of a request from which the other
 	// entries are notified at once.
 	minPlacedTokens = 4000
@@ -55,7 +55,7 @@
 
 // memoryOf returns the expected memory of a running request, in tokens.
 func memoryOf(req *DirectRequest) int {
-	return req.Tokens + int(meanAnswerShare*float64(req.OutputTokens))
+	return req.Tokens + int(meanOutputShare*float64(req.OutputTokens))
 }
 
 // MemoryHints returns the memory that this router's requests occupy at each
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -22,11 +22,11 @@
 	// ErrNotSent: no byte of the request was sent, so it did not run. The cause is
 	// wrapped too, for example ErrNoListener.
 	ErrNotSent = errors.New("request not sent")
-	// ErrNoAnswer: the request was sent, at least in part, and may have run.
-	ErrNoAnswer = errors.New("no answer")
-	// ErrInvalidAnswer: the bytes received are not an answer to the request, which may
+	// ErrNoResponse: the request was sent, at least in part, and may have run.
+	ErrNoResponse = errors.New("no answer")
+	// ErrInvalidResponse: the bytes received are not an answer to the request, which may
 	// have run.
-	ErrInvalidAnswer = errors.New("invalid answer")
+	ErrInvalidResponse = errors.New("invalid answer")
 	// ErrNoListener: nothing listens at the address; the process has ended.
 	ErrNoListener error = syscall.ECONNREFUSED
 )
@@ -170,7 +170,7 @@
 		// A stray answer to an earlier request on the connection.
 		strays++
 		if strays > maxStrays || !skip(inner) {
-			return eris.Wrap(ErrInvalidAnswer, "got the answer of another request")
+			return eris.Wrap(ErrInvalidResponse, "got the answer of another request")
 		}
 	}
 }
@@ -179,9 +179,9 @@
 func headerError(err error) error {
 	var netErr net.Error
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &netErr) || errors.Is(err, net.ErrClosed) {
-		return eris.Wrapf(ErrNoAnswer, "%v", err)
+		return eris.Wrapf(ErrNoResponse, "%v", err)
 	}
-	return eris.Wrapf(ErrInvalidAnswer, "%v", err)
+	return eris.Wrapf(ErrInvalidResponse, "%v", err)
 }
 
 // skip reads a stray answer to its end; false if its framing does not give the end, or
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -148,11 +148,11 @@
 	assert.ErrorIs(t, err, upstream.ErrNotSent)
 	unanswered := server(t, func(int, *http.Request, net.Conn) bool { return false })
 	_, _, err = send(newPool(), unanswered, "1", "")
-	assert.ErrorIs(t, err, upstream.ErrNoAnswer)
+	assert.ErrorIs(t, err, upstream.ErrNoResponse)
 	invalid := server(t, func(_ int, _ *http.Request, c net.Conn) bool {
 		_, _ = io.WriteString(c, "not HTTP\r\n\r\n")
 		return true
 	})
 	_, _, err = send(newPool(), invalid, "1", "")
-	assert.ErrorIs(t, err, upstream.ErrInvalidAnswer)
+	assert.ErrorIs(t, err, upstream.ErrInvalidResponse)
 }
