--- a/internal/entry/callers_test.go
+++ b/internal/entry/callers_test.go
@@ -20,7 +20,7 @@
 	e := s.entry("e1")
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatPlain)
 	require.Equal(t, http.StatusOK, r.status, r.body)
-	assert.JSONEq(t, completeAnswer, r.body)
+	assert.JSONEq(t, completeResponse, r.body)
 	assert.Equal(t, "done", r.header.Get(entry.HeaderOutcome))
 	assert.Equal(t, "1", r.header.Get(entry.HeaderAttempts))
 	assert.NotEmpty(t, r.header.Get(entry.HeaderRequestID))
@@ -33,7 +33,7 @@
 
 func TestStreamIsOrderedAndMarkedComplete(t *testing.T) {
 	s := newDeployment(t, "b1")
-	s.agents[0].set(func(f *fakeAgent) { f.answer = tokens(100) })
+	s.agents[0].set(func(f *fakeAgent) { f.respond = tokens(100) })
 	e := s.entry("e1", func(settings *entry.Settings) { settings.Attempts.ResumeChunks = 10 })
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
 	require.Equal(t, http.StatusOK, r.status, r.body)
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -18,26 +18,26 @@
 // takeClaim claims the idempotency key of a call that may run at most once,
 // before the call is handed off. A call without a key has no claim and gets a
 // single attempt.
-func (e *Entry) takeClaim(ctx context.Context, w *work) *Error {
-	if !w.nonRepeatable || w.key == "" {
+func (e *Entry) takeClaim(ctx context.Context, request *callerRequest) *Error {
+	if !request.nonRepeatable || request.key == "" {
 		return nil
 	}
-	claim, err := e.ledger.Take(ctx, w.workspace.GetName(), w.claimKey(), w.id)
+	claim, err := e.ledger.Take(ctx, request.workspace.GetName(), request.claimKey(), request.id)
 	var duplicate *ledger.DuplicateError
 	switch {
 	case err == nil:
-		w.claim = claim
+		request.claim = claim
 		return nil
 	case errors.As(err, &duplicate):
 		return duplicateOf(duplicate.First)
 	}
-	klog.V(1).InfoS("claim not taken", "request", w.id, "workspace", w.workspace.GetName(), "cause", err)
+	klog.V(1).InfoS("claim not taken", "request", request.id, "workspace", request.workspace.GetName(), "cause", err)
 	return refuseTemporarily(http.StatusServiceUnavailable, CodeClaimsUnavailable,
 		"the call may run at most once and could not be claimed; it was not run", claimRetryAfter)
 }
 
 // claimKey scopes the idempotency key to its service.
-func (w *work) claimKey() string { return w.service.GetName() + "/" + w.key }
+func (request *callerRequest) claimKey() string { return request.service.GetName() + "/" + request.key }
 
 // duplicateOf returns the error for a key that is already claimed. Its outcome
 // is that of the first request with the key: done, or unknown while that request
@@ -57,25 +57,25 @@
 // recordResult updates retry budget and claim after a request ended. A claim is
 // released only when the request certainly did not run, and before the caller
 // gets the answer: a repeated call must not conflict with its own earlier claim.
-func (e *Entry) recordResult(w *work, r result) {
+func (e *Entry) recordResult(request *callerRequest, r result) {
 	if r.err == nil {
 		e.creditRetry()
 	}
-	if w.claim == nil {
+	if request.claim == nil {
 		return
 	}
 	switch r.outcome {
 	case jayv1.Outcome_OUTCOME_NOT_RUN:
-		if err := e.ledger.Release(e.ctx, w.claim); err != nil {
-			klog.InfoS("claim not released although the call did not run", "request", w.id, "cause", err)
+		if err := e.ledger.Release(e.ctx, request.claim); err != nil {
+			klog.InfoS("claim not released although the call did not run", "request", request.id, "cause", err)
 		}
 	case jayv1.Outcome_OUTCOME_DONE:
 		// A graceful shutdown waits for this write; the caller does not.
 		release := e.streams.addBackground()
 		go func() {
 			defer release()
-			if err := e.ledger.Done(e.ctx, w.claim); err != nil {
-				klog.V(1).InfoS("claim not marked as done", "request", w.id, "cause", err)
+			if err := e.ledger.Done(e.ctx, request.claim); err != nil {
+				klog.V(1).InfoS("claim not marked as done", "request", request.id, "cause", err)
 			}
 		}()
 	}
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -191,41 +191,41 @@
 
 // checkQuarantine refuses a quarantined request. It returns nil when the request
 // may run.
-func (e *Entry) checkQuarantine(w *work) *Error {
-	if !e.crashes.maySuspect(w.hashes) {
+func (e *Entry) checkQuarantine(request *callerRequest) *Error {
+	if !e.crashes.maySuspect(request.hashes) {
 		return nil
 	}
-	verdict := e.crashes.verdict(time.Now(), w.hashes.Fingerprint())
+	verdict := e.crashes.verdict(time.Now(), request.hashes.Fingerprint())
 	if !verdict.Quarantined || verdict.Trial > 0 {
 		return nil
 	}
-	klog.InfoS("request refused: it is quarantined after engine crashes", "request", w.id, "fingerprint", w.hashes.Fingerprint().String(), "retryAfterMS", verdict.RetryAfter.Milliseconds())
+	klog.InfoS("request refused: it is quarantined after engine crashes", "request", request.id, "fingerprint", request.hashes.Fingerprint().String(), "retryAfterMS", verdict.RetryAfter.Milliseconds())
 	return refuseTemporarily(http.StatusServiceUnavailable, CodeHeld, "engines crashed as they started to run this request; it is not sent again for now", verdict.RetryAfter)
 }
 
 // recordCrash records that the engine of the attempt crashed.
-func (h *handoff) recordCrash(a *attempt) {
-	if h.work.hashes == nil || !a.end.GetEngineCrashed() {
+func (d *dispatch) recordCrash(a *attempt) {
+	if d.request.hashes == nil || !a.end.GetEngineCrashed() {
 		return
 	}
 	engine := a.server + "@" + strconv.FormatUint(a.end.GetIncarnation(), 36)
-	h.crashed = append(h.crashed, engine)
+	d.crashed = append(d.crashed, engine)
 	now := time.Now()
-	h.entry.crashes.add(now, now, crashRecord{crash: quarantine.Crash{Request: h.work.hashes.Fingerprint(), Server: engine}})
+	d.entry.crashes.add(now, now, crashRecord{crash: quarantine.Crash{Request: d.request.hashes.Fingerprint(), Server: engine}})
 }
 
 // crashesAllowRepeat reports whether the engine crashes so far allow another
 // attempt of the request.
-func (e *Entry) crashesAllowRepeat(w *work, crashed []string) bool {
-	return len(crashed) == 0 || e.crashes.mayRepeat(w.hashes.Fingerprint(), crashed)
+func (e *Entry) crashesAllowRepeat(request *callerRequest, crashed []string) bool {
+	return len(crashed) == 0 || e.crashes.mayRepeat(request.hashes.Fingerprint(), crashed)
 }
 
 // clearSuspect voids the crash records of a request that ran to completion, at
 // all entries.
-func (e *Entry) clearSuspect(w *work) {
-	if !e.crashes.maySuspect(w.hashes) {
+func (e *Entry) clearSuspect(request *callerRequest) {
+	if !e.crashes.maySuspect(request.hashes) {
 		return
 	}
 	now := time.Now()
-	e.crashes.add(now, now, crashRecord{crash: quarantine.Crash{Request: w.hashes.Fingerprint()}, cleared: true})
+	e.crashes.add(now, now, crashRecord{crash: quarantine.Crash{Request: request.hashes.Fingerprint()}, cleared: true})
 }
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -26,11 +26,11 @@
 	return &explanations{byID: map[string]*jayv1.Explanation{}}
 }
 
-func (x *explanations) begin(e *Entry, w *work, table *catalog.Table) {
+func (x *explanations) begin(e *Entry, request *callerRequest, table *catalog.Table) {
 	explanation := &jayv1.Explanation{
-		RequestId: w.id, Entry: e.settings.Name, Workspace: w.workspace.GetName(), Pool: w.target(),
+		RequestId: request.id, Entry: e.settings.Name, Workspace: request.workspace.GetName(), Pool: request.target(),
 		Policy: e.settings.Policy, Generation: table.Generation(),
-		ChainPoints: uint32(len(w.route.Chain)), PromptBytes: uint32(w.route.PromptBytes), //nolint:gosec // bounded by limits
+		ChainPoints: uint32(len(request.route.Chain)), PromptBytes: uint32(request.route.PromptBytes), //nolint:gosec // bounded by limits
 		AtUnixMs: time.Now().UnixMilli(),
 	}
 	x.mu.Lock()
@@ -39,7 +39,7 @@
 		delete(x.byID, old.GetRequestId())
 	}
 	x.ring[x.next] = explanation
-	x.byID[w.id] = explanation
+	x.byID[request.id] = explanation
 	x.next = (x.next + 1) % maxExplanations
 }
 
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -27,7 +27,7 @@
 func TestServerThatAcceptsAndFailsRequestsIsEjected(t *testing.T) {
 	s := newDeployment(t, "b1", "b2", "b3", "b4")
 	s.agents[0].set(func(f *fakeAgent) {
-		f.answer = func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
+		f.respond = func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
 			return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine failed"}
 		}
 	})
--- a/internal/entry/fakeagent_test.go
+++ b/internal/entry/fakeagent_test.go
@@ -26,9 +26,9 @@
 	mu sync.Mutex
 	// refuse returns the refusal of an offer; nil accepts it.
 	refuse func(offer *jayv1.Offer) *jayv1.OfferReply
-	// answer emits the chunks of an accepted request and returns its End; it may
+	// respond emits the chunks of an accepted request and returns its End; it may
 	// block.
-	answer func(offer *jayv1.Offer, body []byte, emit func(data string)) *jayv1.End
+	respond func(offer *jayv1.Offer, body []byte, emit func(data string)) *jayv1.End
 	// cuts is how many times the link is aborted: first after cutAfter chunks,
 	// then one chunk later each time.
 	cutAfter, cuts int
@@ -152,7 +152,7 @@
 	f.bodies = append(f.bodies, body)
 	f.runs[offer.GetRequestId()]++
 	f.kept[key(offer.GetRequestId(), offer.GetAttempt())] = kept
-	answer := f.answer
+	answer := f.respond
 	f.mu.Unlock()
 	if answer == nil {
 		answer = tokens(3)
@@ -335,7 +335,7 @@
 			return done()
 		}
 		if !offer.GetStream() {
-			emit(completeAnswer)
+			emit(completeResponse)
 			return done()
 		}
 		for i := range n {
@@ -358,4 +358,4 @@
 	}
 }
 
-const completeAnswer = `{"id":"c","object":"chat.completion","model":"modelos","choices":[{"index":0,"message":{"role":"assistant","content":"ready"},"finish_reason":"stop"}],"usage":{"prompt_tokens":100,"completion_tokens":1,"total_tokens":101,"prompt_tokens_details":{"cached_tokens":60}}}`
+const completeResponse = `{"id":"c","object":"chat.completion","model":"modelos","choices":[{"index":0,"message":{"role":"assistant","content":"ready"},"finish_reason":"stop"}],"usage":{"prompt_tokens":100,"completion_tokens":1,"total_tokens":101,"prompt_tokens_details":{"cached_tokens":60}}}`
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -35,24 +35,24 @@
 	server   string
 }
 
-// handOff hands the request off to backend servers until an attempt succeeds or
+// dispatch hands the request off to backend servers until an attempt succeeds or
 // no further attempt is allowed.
-func (e *Entry) handOff(ctx context.Context, w *work, to responseSink) result {
-	h := &handoff{entry: e, work: w, to: to, table: e.holder.Current()}
-	e.explain.begin(e, w, h.table)
-	r := h.run(ctx)
+func (e *Entry) dispatch(ctx context.Context, request *callerRequest, to responseSink) result {
+	d := &dispatch{entry: e, request: request, to: to, table: e.holder.Current()}
+	e.explain.begin(e, request, d.table)
+	r := d.run(ctx)
 	if r.err != nil {
 		// Caller, claim and metrics get the same outcome.
 		r.err.Outcome = r.outcome
 	}
-	e.explain.recordOutcome(w.id, r)
+	e.explain.recordOutcome(request.id, r)
 	return r
 }
 
-// handoff is the state of one request across its attempts.
-type handoff struct {
+// dispatch is the state of one request across its attempts.
+type dispatch struct {
 	entry *Entry
-	work  *work
+	request  *callerRequest
 	to    responseSink
 	table *catalog.Table
 	tried []routing.RefusedOffer
@@ -64,44 +64,44 @@
 	crashed []string
 }
 
-func (h *handoff) run(ctx context.Context) result {
-	for n := 1; n <= h.maxAttempts(); n++ {
+func (d *dispatch) run(ctx context.Context) result {
+	for n := 1; n <= d.maxAttempts(); n++ {
 		// The catalog may have changed since the last attempt.
-		h.table = h.entry.holder.Current()
-		d, err := h.decide(ctx)
+		d.table = d.entry.holder.Current()
+		decision, err := d.decide(ctx)
 		if err != nil {
 			break
 		}
-		d.Final = d.Final || h.maxAttempts() == 1 || h.declines() >= h.entry.settings.Attempts.MaxDeclines
-		a, ok := h.newAttempt(uint32(n), d) //nolint:gosec // bounded by the setting
+		decision.Final = decision.Final || d.maxAttempts() == 1 || d.declines() >= d.entry.settings.Attempts.MaxDeclines
+		a, ok := d.newAttempt(uint32(n), decision) //nolint:gosec // bounded by the setting
 		if !ok {
-			h.tried = append(h.tried, routing.RefusedOffer{Server: d.Server, Refusal: jayv1.Refusal_REFUSAL_NOT_FOUND})
+			d.tried = append(d.tried, routing.RefusedOffer{Server: decision.Server, Refusal: jayv1.Refusal_REFUSAL_NOT_FOUND})
 			continue
 		}
-		h.entry.explain.recordDecision(h.work.id, d)
-		h.to.Begin(a)
-		offer := h.work.offer(time.Now(), a.number, d, h.table.Generation(), a.nonce)
-		a.run(ctx, offer, h.work.body, h.to)
-		h.recordAttempt(a)
-		if h.finished(ctx, a) {
-			return h.last
+		d.entry.explain.recordDecision(d.request.id, decision)
+		d.to.Begin(a)
+		offer := d.request.offer(time.Now(), a.number, decision, d.table.Generation(), a.nonce)
+		a.run(ctx, offer, d.request.body, d.to)
+		d.recordAttempt(a)
+		if d.finished(ctx, a) {
+			return d.last
 		}
 	}
-	return h.exhausted()
+	return d.exhausted()
 }
 
 // maxAttempts is 1 for a call that may run at most once and has no idempotency
 // key: without a claim nothing would prevent a second run.
-func (h *handoff) maxAttempts() int {
-	if h.work.nonRepeatable && h.work.key == "" {
+func (d *dispatch) maxAttempts() int {
+	if d.request.nonRepeatable && d.request.key == "" {
 		return 1
 	}
-	return h.entry.settings.Attempts.Max
+	return d.entry.settings.Attempts.Max
 }
 
-func (h *handoff) declines() int {
+func (d *dispatch) declines() int {
 	n := 0
-	for _, t := range h.tried {
+	for _, t := range d.tried {
 		if t.Refusal == jayv1.Refusal_REFUSAL_COST {
 			n++
 		}
@@ -109,36 +109,36 @@
 	return n
 }
 
-func (h *handoff) newAttempt(number uint32, d routing.Decision) (*attempt, bool) {
-	server, ok := h.table.BackendServer(d.Server)
+func (d *dispatch) newAttempt(number uint32, decision routing.Decision) (*attempt, bool) {
+	server, ok := d.table.BackendServer(decision.Server)
 	if !ok {
 		return nil, false
 	}
-	a := newAttempt(h.work.id, number)
+	a := newAttempt(d.request.id, number)
 	a.server, a.address = server.GetName(), server.GetAgentAddress()
-	a.generation = h.table.Generation()
-	a.workspace, a.dial = h.work.workspace.GetName(), h.entry.node
-	a.limits, a.timeouts = h.entry.settings.Attempts, h.entry.settings.Timeouts
-	a.deadline, a.resumable = h.work.deadline, h.work.resumable
-	if h.work.stream {
+	a.generation = d.table.Generation()
+	a.workspace, a.dial = d.request.workspace.GetName(), d.entry.node
+	a.limits, a.timeouts = d.entry.settings.Attempts, d.entry.settings.Timeouts
+	a.deadline, a.resumable = d.request.deadline, d.request.resumable
+	if d.request.stream {
 		a.ackLag = uint64(a.limits.ResumeChunks) //nolint:gosec // not negative by the setting's rule
 	}
-	a.onReply = func(reply *jayv1.OfferReply) { h.entry.picker.replied(time.Now(), h.work, a.server, reply) }
+	a.onReply = func(reply *jayv1.OfferReply) { d.entry.picker.replied(time.Now(), d.request, a.server, reply) }
 	a.nonce = make([]byte, nonceBytes)
 	_, _ = rand.Read(a.nonce)
 	return a, true
 }
 
 // recordAttempt records the result of an ended attempt.
-func (h *handoff) recordAttempt(a *attempt) {
-	h.entry.picker.ended(time.Now(), h.work, a)
+func (d *dispatch) recordAttempt(a *attempt) {
+	d.entry.picker.ended(time.Now(), d.request, a)
 	t := routing.RefusedOffer{Server: a.server, Refusal: refusalOf(a), CostMS: a.reply.GetCostMs(), CachedBytes: int(a.reply.GetCachedBytes())}
-	h.tried = append(h.tried, t)
-	h.entry.explain.recordAttempt(a, t.Refusal)
-	h.last.attempts, h.last.server = a.number, a.server
-	h.last.end, h.last.reply = a.end, a.reply
-	h.last.outcome = a.outcome()
-	h.recordCrash(a)
+	d.tried = append(d.tried, t)
+	d.entry.explain.recordAttempt(a, t.Refusal)
+	d.last.attempts, d.last.server = a.number, a.server
+	d.last.end, d.last.reply = a.end, a.reply
+	d.last.outcome = a.outcome()
+	d.recordCrash(a)
 	klog.V(2).InfoS("attempt ended", "request", a.id, "attempt", a.number, "server", a.server, "state", a.state, "refusal", t.Refusal)
 }
 
@@ -159,34 +159,34 @@
 
 // finished reports whether the request ends with this attempt, and sets its
 // result.
-func (h *handoff) finished(ctx context.Context, a *attempt) bool {
+func (d *dispatch) finished(ctx context.Context, a *attempt) bool {
 	switch {
 	case a.outcome() == jayv1.Outcome_OUTCOME_DONE:
-		h.entry.clearSuspect(h.work)
-		h.last.err = nil
+		d.entry.clearSuspect(d.request)
+		d.last.err = nil
 		return true
 	case a.outcome() == jayv1.Outcome_OUTCOME_UNKNOWN:
-		h.mayHaveRun = true
-		return !h.mayRetryUnknown(a)
+		d.mayHaveRun = true
+		return !d.mayRetryUnknown(a)
 	case ctx.Err() != nil, errors.Is(a.cause, errCallerGone), errors.Is(a.cause, errBody):
-		h.last.err = bodyError(a.cause)
-		h.last.outcome = h.outcomeNow()
+		d.last.err = bodyError(a.cause)
+		d.last.outcome = d.outcomeNow()
 		return true
 	case finalRefusal(refusalOf(a)):
-		h.last.err = h.refused(a)
-		h.last.outcome = h.outcomeNow()
+		d.last.err = d.refused(a)
+		d.last.outcome = d.outcomeNow()
 		return true
-	case h.to.Started() || !h.work.body.Rewind() || !time.Now().Before(h.work.deadline):
-		h.last.err = h.refused(a)
-		h.last.outcome = h.outcomeNow()
+	case d.to.Started() || !d.request.body.Rewind() || !time.Now().Before(d.request.deadline):
+		d.last.err = d.refused(a)
+		d.last.outcome = d.outcomeNow()
 		return true
 	}
 	return false
 }
 
 // outcomeNow is NOT_RUN only while no attempt may have run.
-func (h *handoff) outcomeNow() jayv1.Outcome {
-	if h.mayHaveRun {
+func (d *dispatch) outcomeNow() jayv1.Outcome {
+	if d.mayHaveRun {
 		return jayv1.Outcome_OUTCOME_UNKNOWN
 	}
 	return jayv1.Outcome_OUTCOME_NOT_RUN
@@ -195,29 +195,29 @@
 // mayRetryUnknown reports whether a request that may have run is started again:
 // only if it is repeatable, nothing of its answer was sent to the caller, and
 // the retry budget allows it.
-func (h *handoff) mayRetryUnknown(a *attempt) bool {
-	h.last.err = &Error{
+func (d *dispatch) mayRetryUnknown(a *attempt) bool {
+	d.last.err = &Error{
 		Status: http.StatusBadGateway, Code: CodeOutcomeUnknown, Outcome: jayv1.Outcome_OUTCOME_UNKNOWN,
 		Message: "the connection to the backend server was lost; the request may have run",
 	}
-	if h.to.Started() {
-		h.last.err.Code = CodeStreamBroken
-		h.last.err.Message = "the stream could not be completed"
+	if d.to.Started() {
+		d.last.err.Code = CodeStreamBroken
+		d.last.err.Message = "the stream could not be completed"
 	}
 	if errors.Is(a.cause, errTimedOut) {
-		h.last.err.Status, h.last.err.Code = http.StatusGatewayTimeout, CodeDeadline
-		h.last.err.Message = "the request timed out; it may have run"
+		d.last.err.Status, d.last.err.Code = http.StatusGatewayTimeout, CodeDeadline
+		d.last.err.Message = "the request timed out; it may have run"
 	}
-	if h.work.repeatable {
-		h.last.err.RetryAfter = defaultRetryAfter
+	if d.request.repeatable {
+		d.last.err.RetryAfter = defaultRetryAfter
 	}
-	if !h.work.repeatable || h.to.Started() || errors.Is(a.cause, errCallerGone) || !h.work.body.Rewind() {
+	if !d.request.repeatable || d.to.Started() || errors.Is(a.cause, errCallerGone) || !d.request.body.Rewind() {
 		return false
 	}
-	if !h.entry.crashesAllowRepeat(h.work, h.crashed) {
+	if !d.entry.crashesAllowRepeat(d.request, d.crashed) {
 		return false
 	}
-	return h.entry.allowRetry(time.Now(), h.work.deadline)
+	return d.entry.allowRetry(time.Now(), d.request.deadline)
 }
 
 // finalRefusal reports whether every other backend server would refuse too.
@@ -226,16 +226,16 @@
 }
 
 // exhausted returns the result of a request that no backend server accepted.
-func (h *handoff) exhausted() result {
-	h.last.outcome = h.outcomeNow()
-	if h.last.err != nil && h.mayHaveRun {
-		return h.last
-	}
-	if len(h.tried) == 0 {
-		h.last.err = refuseTemporarily(http.StatusServiceUnavailable, CodeNoBackendServer, "no backend server is available for the request now", 0)
-		return h.last
-	}
-	h.last.err = refuseTemporarily(http.StatusServiceUnavailable, CodeOverloaded,
-		"every backend server that was tried refused the request; last reason: "+refusalName(h.tried[len(h.tried)-1].Refusal), h.retryAfter())
-	return h.last
+func (d *dispatch) exhausted() result {
+	d.last.outcome = d.outcomeNow()
+	if d.last.err != nil && d.mayHaveRun {
+		return d.last
+	}
+	if len(d.tried) == 0 {
+		d.last.err = refuseTemporarily(http.StatusServiceUnavailable, CodeNoBackendServer, "no backend server is available for the request now", 0)
+		return d.last
+	}
+	d.last.err = refuseTemporarily(http.StatusServiceUnavailable, CodeOverloaded,
+		"every backend server that was tried refused the request; last reason: "+refusalName(d.tried[len(d.tried)-1].Refusal), d.retryAfter())
+	return d.last
 }
--- a/internal/entry/handover_test.go
+++ b/internal/entry/handover_test.go
@@ -56,7 +56,7 @@
 		return tokens(3)(offer, body, emit)
 	}
 	for _, a := range s.agents {
-		a.set(func(f *fakeAgent) { f.answer = answer })
+		a.set(func(f *fakeAgent) { f.respond = answer })
 	}
 	e := s.entry("e1", func(settings *entry.Settings) { settings.Attempts.RetryBurst = 4 })
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
@@ -93,7 +93,7 @@
 		return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine failed"}
 	}
 	for _, a := range s.agents {
-		a.set(func(f *fakeAgent) { f.refuse, f.answer = refuse, answer })
+		a.set(func(f *fakeAgent) { f.refuse, f.respond = refuse, answer })
 	}
 	e := s.entry("e1")
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatPlain)
@@ -108,7 +108,7 @@
 	release := make(chan struct{})
 	defer close(release)
 	s.agents[0].set(func(f *fakeAgent) {
-		f.answer = func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
+		f.respond = func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
 			<-release
 			return done()
 		}
@@ -203,7 +203,7 @@
 func TestGracefulShutdownInterruptsNoRequest(t *testing.T) {
 	s := newDeployment(t, "b1", "b2")
 	for _, a := range s.agents {
-		a.set(func(f *fakeAgent) { f.answer = paced(20, 5*time.Millisecond) })
+		a.set(func(f *fakeAgent) { f.respond = paced(20, 5*time.Millisecond) })
 	}
 	var current atomic.Pointer[entry.Entry]
 	current.Store(s.entry("e0", func(settings *entry.Settings) { settings.Timeouts.GraceMS = 100 }))
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -57,7 +57,7 @@
 	s := newDeployment(t, "b1")
 	release := make(chan struct{})
 	s.agents[0].set(func(f *fakeAgent) {
-		f.answer = func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
+		f.respond = func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
 			<-release
 			return done()
 		}
--- a/internal/entry/model.go
+++ b/internal/entry/model.go
@@ -35,20 +35,20 @@
 	if refusal != nil {
 		return refusal
 	}
-	w, refusal := e.modelWork(c, call, req, body)
+	request, refusal := e.newModelRequest(c, call, req, body)
 	if refusal != nil {
 		return refusal
 	}
-	return e.serve(c, w, req.promptTokens(w.policy.BytesPerToken), func(client *caller) finisher {
-		if w.stream {
+	return e.serve(c, request, req.promptTokens(request.policy.BytesPerToken), func(client *caller) finisher {
+		if request.stream {
 			return &sseSink{caller: client, newToken: e.resumeToken}
 		}
 		return &plainSink{caller: client, limit: e.settings.Limits.AnswerBytes}
 	})
 }
 
-// modelWork builds the work of a model request from the catalog.
-func (e *Entry) modelWork(c echo.Context, call *call, req *modelRequest, body []byte) (*work, *Error) {
+// newModelRequest builds the work of a model request from the catalog.
+func (e *Entry) newModelRequest(c echo.Context, call *call, req *modelRequest, body []byte) (*callerRequest, *Error) {
 	if req.promptBytes() > e.settings.Limits.PromptBytes {
 		return nil, refuse(http.StatusBadRequest, CodePromptTooLarge, "the prompt is longer than the limit")
 	}
@@ -61,25 +61,25 @@
 	if version == nil || !ok {
 		return nil, refuse(http.StatusNotFound, CodeModelNotFound, "the model has no such version or adapter")
 	}
-	w := &work{
+	request := &callerRequest{
 		pool: pool, model: req.Model, version: version.GetDigest(), adapter: adapter,
 		apiPath: c.Request().URL.Path, stream: req.Stream, maxOut: req.maxOutput(),
 		body: &bufferedBody{body: body}, repeatable: true,
 		resumable: req.Stream && c.Request().Header.Get(HeaderResume) == resumeKeep,
 	}
-	rule, refusal := e.admit(c, call, w, catalog.Traffic{Model: req.Model})
+	rule, refusal := e.admit(c, call, request, catalog.Traffic{Model: req.Model})
 	if refusal != nil {
 		return nil, refusal
 	}
-	w.hashes = &quarantine.Hashes{Identity: quarantine.Identity{Caller: w.workspace.GetName(), Method: http.MethodPost, Target: w.apiPath, Body: body}}
-	seed := prefix.Seed{Workspace: w.workspace.GetName(), Model: w.model, VersionDigest: w.version, Adapter: adapter}
+	request.hashes = &quarantine.Hashes{Identity: quarantine.Identity{Caller: request.workspace.GetName(), Method: http.MethodPost, Target: request.apiPath, Body: body}}
+	seed := prefix.Seed{Workspace: request.workspace.GetName(), Model: request.model, VersionDigest: request.version, Adapter: adapter}
 	chain := prefix.Chain(seed, req.canonical)
-	w.route = &routing.Request{
-		ID: w.id, Workspace: w.workspace.GetName(), Pool: pool.GetName(), VersionDigest: w.version, Adapter: adapter,
-		Class: w.class, Chain: chain.Points, Levels: chain.Levels, PromptBytes: chain.Bytes, DataCentres: rule.GetDataCentres(),
+	request.route = &routing.Request{
+		ID: request.id, Workspace: request.workspace.GetName(), Pool: pool.GetName(), VersionDigest: request.version, Adapter: adapter,
+		Class: request.class, Chain: chain.Points, Levels: chain.Levels, PromptBytes: chain.Bytes, DataCentres: rule.GetDataCentres(),
 	}
-	w.policy = policyOf(pool)
-	return w, nil
+	request.policy = policyOf(pool)
+	return request, nil
 }
 
 // adapterOf returns the adapter's name, false when the pool does not declare it.
@@ -98,21 +98,21 @@
 
 // admit applies the matching rule: it refuses denied traffic and sets id,
 // workspace, class, priority and deadline of the work.
-func (e *Entry) admit(c echo.Context, call *call, w *work, traffic catalog.Traffic) (*jayv1.Rule, *Error) {
+func (e *Entry) admit(c echo.Context, call *call, request *callerRequest, traffic catalog.Traffic) (*jayv1.Rule, *Error) {
 	traffic.Workspace = call.workspace.GetName()
 	traffic.ClassLabel = c.Request().Header.Get(HeaderClass)
 	rule := call.table.Match(traffic)
 	if rule.GetDeny() {
 		return nil, refuse(http.StatusForbidden, CodeForbidden, "a rule denies this traffic")
 	}
-	w.id, w.workspace, w.started = call.id, call.workspace, call.started
-	w.class = classOf(rule, call.workspace)
-	w.priority = rule.GetEnginePriority()
+	request.id, request.workspace, request.started = call.id, call.workspace, call.started
+	request.class = classOf(rule, call.workspace)
+	request.priority = rule.GetEnginePriority()
 	deadline := ms(e.settings.Timeouts.DeadlineMS)
 	if rule.GetDeadlineMs() > 0 {
 		deadline = time.Duration(rule.GetDeadlineMs()) * time.Millisecond
 	}
-	w.deadline = call.started.Add(deadline)
+	request.deadline = call.started.Add(deadline)
 	return rule, nil
 }
 
--- a/internal/entry/openai_test.go
+++ b/internal/entry/openai_test.go
@@ -58,7 +58,7 @@
 	assert.Equal(t, string(entry.CodeModelNotFound), fault.Code)
 
 	s.agents[0].set(func(f *fakeAgent) {
-		f.answer = func(_ *jayv1.Offer, _ []byte, emit func(string)) *jayv1.End {
+		f.respond = func(_ *jayv1.Offer, _ []byte, emit func(string)) *jayv1.End {
 			emit(`{"choices":[{"index":0,"delta":{"content":"half"}}]}`)
 			return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN}
 		}
--- a/internal/entry/picker.go
+++ b/internal/entry/picker.go
@@ -39,16 +39,16 @@
 }
 
 // next chooses the backend server that the work is offered to next.
-func (p *picker) next(now time.Time, table *catalog.Table, w *work, tried []routing.RefusedOffer) (routing.Decision, error) {
+func (p *picker) next(now time.Time, table *catalog.Table, request *callerRequest, tried []routing.RefusedOffer) (routing.Decision, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.adopt(now, table)
-	set, ok := p.sets[w.target()]
+	set, ok := p.sets[request.target()]
 	if !ok {
-		set = setOf(w.target(), w.servers(p.table))
-		p.sets[w.target()] = set
+		set = setOf(request.target(), request.servers(p.table))
+		p.sets[request.target()] = set
 	}
-	return p.router.Choose(now, w.route, w.policy, set, tried)
+	return p.router.Choose(now, request.route, request.policy, set, tried)
 }
 
 // adopt applies the backend servers of a newer generation. An older one is
@@ -88,15 +88,15 @@
 }
 
 // replied records an agent's reply to an offer.
-func (p *picker) replied(now time.Time, w *work, server string, reply *jayv1.OfferReply) {
+func (p *picker) replied(now time.Time, request *callerRequest, server string, reply *jayv1.OfferReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.receiveState(now, server, reply.GetState())
 	if reply.GetAccepted() || reply.GetRefusal() == jayv1.Refusal_REFUSAL_COST {
-		p.router.ObserveCache(now, server, w.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
+		p.router.ObserveCache(now, server, request.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
 	}
 	if reply.GetAccepted() {
-		p.router.HandedOff(now, server, w.route, reply.GetCostMs())
+		p.router.HandedOff(now, server, request.route, reply.GetCostMs())
 	}
 }
 
@@ -109,11 +109,11 @@
 }
 
 // ended records the end of an attempt.
-func (p *picker) ended(now time.Time, w *work, a *attempt) {
+func (p *picker) ended(now time.Time, request *callerRequest, a *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a.reply.GetAccepted() {
-		p.router.Finished(now, a.server, w.route, a.firstTokenMS())
+		p.router.Finished(now, a.server, request.route, a.firstTokenMS())
 	}
 	p.receiveState(now, a.server, a.end.GetState())
 	switch evidenceOf(a) {
@@ -165,11 +165,11 @@
 
 // probed records an agent's reply to a probe. Its cached bytes are as exact as
 // those of a reply to an offer.
-func (p *picker) probed(now time.Time, w *work, server string, reply *jayv1.ProbeReply) {
+func (p *picker) probed(now time.Time, request *callerRequest, server string, reply *jayv1.ProbeReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.receiveState(now, server, reply.GetState())
-	p.router.ObserveCache(now, server, w.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
+	p.router.ObserveCache(now, server, request.route, int(reply.GetCachedBytes()), reply.GetState().GetIncarnation())
 }
 
 // receiveVMs applies the platform's list of VMs, complete or changes only.
--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -15,35 +15,35 @@
 
 // decide chooses the backend server of the next offer. If the policy asks for
 // probes, the agents are probed first; late replies are left out.
-func (h *handoff) decide(ctx context.Context) (routing.Decision, error) {
-	d, err := h.entry.picker.next(time.Now(), h.table, h.work, h.tried)
-	if err != nil || len(d.ProbeServers) == 0 {
-		return d, err
+func (d *dispatch) decide(ctx context.Context) (routing.Decision, error) {
+	decision, err := d.entry.picker.next(time.Now(), d.table, d.request, d.tried)
+	if err != nil || len(decision.ProbeServers) == 0 {
+		return decision, err
 	}
-	h.work.route.Probes = h.probe(ctx, d.ProbeServers)
-	d, err = h.entry.picker.next(time.Now(), h.table, h.work, h.tried)
-	h.work.route.Probes = nil
-	return d, err
+	d.request.route.Probes = d.probe(ctx, decision.ProbeServers)
+	decision, err = d.entry.picker.next(time.Now(), d.table, d.request, d.tried)
+	d.request.route.Probes = nil
+	return decision, err
 }
 
 // probe probes the servers in parallel. The result is never nil.
-func (h *handoff) probe(ctx context.Context, servers []string) []routing.Probe {
+func (d *dispatch) probe(ctx context.Context, servers []string) []routing.Probe {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	replies := []routing.Probe{}
 	for _, name := range servers {
-		server, ok := h.table.BackendServer(name)
+		server, ok := d.table.BackendServer(name)
 		if !ok {
 			continue
 		}
 		wg.Go(func() {
-			reply, err := h.probeOne(ctx, server)
+			reply, err := d.probeOne(ctx, server)
 			if err != nil {
 				return
 			}
-			h.entry.picker.probed(time.Now(), h.work, name, reply)
+			d.entry.picker.probed(time.Now(), d.request, name, reply)
 			mu.Lock()
 			defer mu.Unlock()
 			replies = append(replies, routing.Probe{Server: name, CostMS: reply.GetCostMs(), CachedBytes: int(reply.GetCachedBytes())})
@@ -53,8 +53,8 @@
 	return replies
 }
 
-func (h *handoff) probeOne(ctx context.Context, server *jayv1.BackendServer) (*jayv1.ProbeReply, error) {
-	stream, err := h.entry.node.Open(ctx, server.GetAgentAddress(), keys.RoleAgent)
+func (d *dispatch) probeOne(ctx context.Context, server *jayv1.BackendServer) (*jayv1.ProbeReply, error) {
+	stream, err := d.entry.node.Open(ctx, server.GetAgentAddress(), keys.RoleAgent)
 	if err != nil {
 		return nil, err
 	}
@@ -63,9 +63,9 @@
 		_ = stream.SetDeadline(deadline)
 	}
 	request := &jayv1.ProbeRequest{
-		Pool: h.work.pool.GetName(), Chain: h.work.route.Chain,
-		PromptBytes: uint32(h.work.route.PromptBytes), Generation: h.table.Generation(), //nolint:gosec // bounded by the prompt limit
-		Class: h.work.class,
+		Pool: d.request.pool.GetName(), Chain: d.request.route.Chain,
+		PromptBytes: uint32(d.request.route.PromptBytes), Generation: d.table.Generation(), //nolint:gosec // bounded by the prompt limit
+		Class: d.request.class,
 	}
 	if err := stream.Send(&jayv1.ClientFrame{Frame: &jayv1.ClientFrame_Probe{Probe: request}}); err != nil {
 		return nil, err
--- a/internal/entry/refusals.go
+++ b/internal/entry/refusals.go
@@ -13,7 +13,7 @@
 var errBody = errors.New("request body could not be read")
 
 // refused converts an agent's refusal into the caller's error.
-func (h *handoff) refused(a *attempt) *Error {
+func (d *dispatch) refused(a *attempt) *Error {
 	refusal := refusalOf(a)
 	message := a.reply.GetMessage()
 	if a.end.GetError() != "" {
@@ -27,17 +27,17 @@
 	case jayv1.Refusal_REFUSAL_INVALID:
 		e = refuse(http.StatusBadRequest, CodeInvalidRequest, message)
 	case jayv1.Refusal_REFUSAL_DEADLINE:
-		e = refuseTemporarily(http.StatusGatewayTimeout, CodeDeadline, message, h.retryAfter())
+		e = refuseTemporarily(http.StatusGatewayTimeout, CodeDeadline, message, d.retryAfter())
 	default:
-		e = refuseTemporarily(http.StatusServiceUnavailable, CodeOverloaded, message, h.retryAfter())
+		e = refuseTemporarily(http.StatusServiceUnavailable, CodeOverloaded, message, d.retryAfter())
 	}
-	e.Outcome = h.outcomeNow()
+	e.Outcome = d.outcomeNow()
 	return e
 }
 
 // retryAfter returns the retry delay of the last refusal, 0 when it has none.
-func (h *handoff) retryAfter() time.Duration {
-	return ms(int(max(h.last.end.GetRetryAfterMs(), h.last.reply.GetRetryAfterMs())))
+func (d *dispatch) retryAfter() time.Duration {
+	return ms(int(max(d.last.end.GetRetryAfterMs(), d.last.reply.GetRetryAfterMs())))
 }
 
 // bodyError returns the caller's error for a truncated body. By then the caller
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -14,31 +14,31 @@
 )
 
 // serve checks the limits, hands the work off and completes the answer.
-func (e *Entry) serve(c echo.Context, w *work, tokens float64, newSink func(*caller) finisher) error {
-	leave, refusal := e.enter(w.workspace, tokens)
+func (e *Entry) serve(c echo.Context, request *callerRequest, tokens float64, newSink func(*caller) finisher) error {
+	leave, refusal := e.enter(request.workspace, tokens)
 	if refusal != nil {
 		return refusal
 	}
 	defer leave()
-	defer e.releaseLimits(w.workspace.GetName())
-	if refusal := e.checkQuarantine(w); refusal != nil {
+	defer e.releaseLimits(request.workspace.GetName())
+	if refusal := e.checkQuarantine(request); refusal != nil {
 		return refusal
 	}
 	ctx := c.Request().Context()
-	if w.nonRepeatable {
+	if request.nonRepeatable {
 		// A call that may run at most once is not cancelled when its caller
 		// disconnects: a cancelled call would have an unknown outcome.
 		ctx = context.WithoutCancel(ctx)
 	}
-	if refusal := e.takeClaim(ctx, w); refusal != nil {
+	if refusal := e.takeClaim(ctx, request); refusal != nil {
 		return refusal
 	}
-	client := newCaller(c.Response(), w.id, ms(e.settings.Timeouts.CallerWriteMS))
-	client.onToken = e.tokenMeter(w)
+	client := newCaller(c.Response(), request.id, ms(e.settings.Timeouts.CallerWriteMS))
+	client.onToken = e.tokenMeter(request)
 	to := newSink(client)
-	r := e.handOff(ctx, w, to)
-	e.recordResult(w, r)
-	e.recordMetrics(w, r)
+	r := e.dispatch(ctx, request, to)
+	e.recordResult(request, r)
+	e.recordMetrics(request, r)
 	to.finish(r)
 	return nil
 }
@@ -147,17 +147,17 @@
 )
 
 // labels returns the metric labels of a request: its workspace and its class.
-func labels(w *work) [2]string {
-	return [2]string{w.workspace.GetName(), classLabelPrefix + catalog.ClassName(w.class)}
+func labels(request *callerRequest) [2]string {
+	return [2]string{request.workspace.GetName(), classLabelPrefix + catalog.ClassName(request.class)}
 }
 
-func (e *Entry) tokenMeter(w *work) func(time.Time, time.Duration) {
-	names := labels(w)
+func (e *Entry) tokenMeter(request *callerRequest) func(time.Time, time.Duration) {
+	names := labels(request)
 	first := true
 	return func(now time.Time, since time.Duration) {
 		for _, label := range names {
 			if first {
-				e.metrics.Time(metricFirstToken, label, now.Sub(w.started))
+				e.metrics.Time(metricFirstToken, label, now.Sub(request.started))
 			} else {
 				e.metrics.Time(metricNextToken, label, since)
 			}
@@ -167,10 +167,10 @@
 }
 
 // recordMetrics records the metrics of a finished request.
-func (e *Entry) recordMetrics(w *work, r result) {
+func (e *Entry) recordMetrics(request *callerRequest, r result) {
 	const permille = 1000
 	usage := r.end.GetUsage()
-	for _, label := range labels(w) {
+	for _, label := range labels(request) {
 		e.metrics.Count(metricRequests+"_"+OutcomeName(r.outcome), label, 1)
 		if r.err != nil {
 			e.metrics.Count(metricRefusals+"_"+string(r.err.Code), label, 1)
@@ -183,7 +183,7 @@
 		e.metrics.Value(metricCachedShare, label, int64(permille)*int64(usage.GetCachedTokens())/int64(usage.GetPromptTokens()))
 		e.metrics.Value(metricRecomputed, label, int64(usage.GetRecomputedTokens()))
 	}
-	klog.V(1).InfoS("request finished", "request", w.id, "workspace", w.workspace.GetName(), "server", r.server,
+	klog.V(1).InfoS("request finished", "request", request.id, "workspace", request.workspace.GetName(), "server", r.server,
 		"attempts", r.attempts, "outcome", OutcomeName(r.outcome))
 }
 
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -16,44 +16,44 @@
 // serveService handles requests of any method to plain services.
 func (e *Entry) serveService(c echo.Context) error {
 	call := callOf(c)
-	w, refusal := e.serviceWork(c, call)
+	request, refusal := e.newServiceRequest(c, call)
 	if refusal != nil {
 		return refusal
 	}
-	return e.serve(c, w, 0, func(client *caller) finisher { return &serviceSink{caller: client, runToEnd: w.nonRepeatable} })
+	return e.serve(c, request, 0, func(client *caller) finisher { return &serviceSink{caller: client, runToEnd: request.nonRepeatable} })
 }
 
-func (e *Entry) serviceWork(c echo.Context, call *call) (*work, *Error) {
+func (e *Entry) newServiceRequest(c echo.Context, call *call) (*callerRequest, *Error) {
 	service, ok := call.table.Service(c.Param("name"))
 	if !ok || service.GetKvStore() {
 		return nil, refuse(http.StatusNotFound, CodeServiceNotFound, "no such service")
 	}
-	request := c.Request()
-	if request.ContentLength > e.settings.Limits.BodyBytes {
+	inbound := c.Request()
+	if inbound.ContentLength > e.settings.Limits.BodyBytes {
 		return nil, refuse(http.StatusRequestEntityTooLarge, CodeBodyTooLarge, "the body is longer than the limit")
 	}
-	target := servicePath(request)
+	target := servicePath(inbound)
 	rulePath, ok := catalog.CallPath(target)
 	if !ok {
 		return nil, invalid("the path is not a clean absolute path")
 	}
-	w := &work{
-		service: service, method: request.Method, path: target, headers: forwardedHeaders(request.Header),
-		key: request.Header.Get(HeaderIdempotencyKey),
+	request := &callerRequest{
+		service: service, method: inbound.Method, path: target, headers: forwardedHeaders(inbound.Header),
+		key: inbound.Header.Get(HeaderIdempotencyKey),
 	}
-	w.nonRepeatable = catalog.NonRepeatable(service, request.Method, rulePath)
-	w.repeatable = !w.nonRepeatable && safeMethod(request.Method)
-	if len(w.key) > e.settings.Limits.KeyBytes {
+	request.nonRepeatable = catalog.NonRepeatable(service, inbound.Method, rulePath)
+	request.repeatable = !request.nonRepeatable && safeMethod(inbound.Method)
+	if len(request.key) > e.settings.Limits.KeyBytes {
 		return nil, invalid("the idempotency key is longer than the limit")
 	}
-	rule, refusal := e.admit(c, call, w, catalog.Traffic{Service: service.GetName()})
+	rule, refusal := e.admit(c, call, request, catalog.Traffic{Service: service.GetName()})
 	if refusal != nil {
 		return nil, refusal
 	}
-	w.body = e.serviceBody(c)
-	w.route = &routing.Request{ID: w.id, Workspace: w.workspace.GetName(), Class: w.class, DataCentres: rule.GetDataCentres()}
-	w.policy = policyOf(nil)
-	return w, nil
+	request.body = e.serviceBody(c)
+	request.route = &routing.Request{ID: request.id, Workspace: request.workspace.GetName(), Class: request.class, DataCentres: rule.GetDataCentres()}
+	request.policy = policyOf(nil)
+	return request, nil
 }
 
 // servicePath returns path and query below the service's prefix, escaped as the
--- a/internal/entry/service_test.go
+++ b/internal/entry/service_test.go
@@ -47,7 +47,7 @@
 		}
 		return done()
 	}
-	agent.set(func(f *fakeAgent) { f.answer = scripted })
+	agent.set(func(f *fakeAgent) { f.respond = scripted })
 	e := s.entry("e1")
 	r := call(t, "PUT", e.CallersURL()+"/services/reservas/a%2Fb/c?d=1", keyQuarry, "one two", "X-Own", "kept", "Connection", "X-Drop", "X-Drop", "dropped")
 	require.Equal(t, 201, r.status, r.body)
@@ -71,7 +71,7 @@
 // idempotency key through several entries at once.
 func TestIdempotencyKeyRunsOnceAcrossEntries(t *testing.T) {
 	s, agent, table := serviceDeployment(t)
-	agent.set(func(f *fakeAgent) { f.answer = paced(1, 30*time.Millisecond) })
+	agent.set(func(f *fakeAgent) { f.respond = paced(1, 30*time.Millisecond) })
 	entries := []*entry.Entry{s.entry("e1", withPlatform(table)), s.entry("e2", withPlatform(table)), s.entry("e3", withPlatform(table))}
 	var mu sync.Mutex
 	statuses := map[int]int{}
@@ -241,7 +241,7 @@
 		emit("booked")
 		return done()
 	}
-	agent.set(func(f *fakeAgent) { f.answer = scripted })
+	agent.set(func(f *fakeAgent) { f.respond = scripted })
 	e := s.entry("e1", withPlatform(table))
 	response := open(t, "POST", e.CallersURL()+confirmPath, keyQuarry, "b", entry.HeaderIdempotencyKey, "k")
 	<-started
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -21,7 +21,7 @@
 // is lost several times during a stream.
 func TestLinkLossNeitherDropsNorDuplicatesChunks(t *testing.T) {
 	s := newDeployment(t, "b1")
-	s.agents[0].set(func(f *fakeAgent) { f.answer = tokens(20) })
+	s.agents[0].set(func(f *fakeAgent) { f.respond = tokens(20) })
 	s.agents[0].set(func(f *fakeAgent) { f.cutAfter, f.cuts = 4, 5 })
 	e := s.entry("e1")
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
@@ -43,7 +43,7 @@
 		emit(`{"choices":[{"delta":{"content":"half"}}]}`)
 		return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine failed"}
 	}
-	s.agents[0].set(func(f *fakeAgent) { f.answer = scripted })
+	s.agents[0].set(func(f *fakeAgent) { f.respond = scripted })
 	e := s.entry("e1")
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
 	require.NoError(t, r.err)
@@ -67,7 +67,7 @@
 
 func TestDisconnectCancelsRequest(t *testing.T) {
 	s := newDeployment(t, "b1")
-	s.agents[0].set(func(f *fakeAgent) { f.answer = paced(1000, 5*time.Millisecond) })
+	s.agents[0].set(func(f *fakeAgent) { f.respond = paced(1000, 5*time.Millisecond) })
 	e := s.entry("e1")
 	response := open(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
 	_, err := response.Body.Read(make([]byte, 10))
@@ -82,7 +82,7 @@
 // workspace the stream must appear not to exist.
 func TestStreamResumesAtAnotherEntry(t *testing.T) {
 	s := newDeployment(t, "b1")
-	s.agents[0].set(func(f *fakeAgent) { f.answer = paced(40, 2*time.Millisecond) })
+	s.agents[0].set(func(f *fakeAgent) { f.respond = paced(40, 2*time.Millisecond) })
 	first, second := s.entry("e1"), s.entry("e2")
 	response := open(t, "POST", first.CallersURL()+chatPath, keyQuarry, chatStream, entry.HeaderResume, "keep")
 	token := response.Header.Get(entry.HeaderResumeToken)
@@ -110,7 +110,7 @@
 func TestStreamResumesAfterCompleteRelay(t *testing.T) {
 	const chunks = 200
 	s := newDeployment(t, "b1")
-	s.agents[0].set(func(f *fakeAgent) { f.answer = tokens(chunks) })
+	s.agents[0].set(func(f *fakeAgent) { f.respond = tokens(chunks) })
 	e := s.entry("e1")
 	response := open(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream, entry.HeaderResume, "keep")
 	token := response.Header.Get(entry.HeaderResumeToken)
@@ -151,7 +151,7 @@
 		}
 		return done()
 	}
-	s.agents[0].set(func(f *fakeAgent) { f.answer = scripted })
+	s.agents[0].set(func(f *fakeAgent) { f.respond = scripted })
 	e := s.entry("e1", func(settings *entry.Settings) { settings.Timeouts.CallerWriteMS = 1500 })
 	for range slow {
 		response := open(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
@@ -205,7 +205,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			s := newDeployment(t, "b1")
-			s.agents[0].set(func(f *fakeAgent) { f.answer = failing })
+			s.agents[0].set(func(f *fakeAgent) { f.respond = failing })
 			e := s.entry("e1", func(settings *entry.Settings) { settings.Attempts.ResumeTries = 2 })
 			token := startStream(t, e)
 			tt.change(s.agents[0])
@@ -230,7 +230,7 @@
 			settings.Holder.Adopt(catalog.Build(&jayv1.Snapshot{Generation: generation, Resources: resources}))
 		}
 	}
-	s.agents[0].set(func(f *fakeAgent) { f.answer = paced(40, 2*time.Millisecond) })
+	s.agents[0].set(func(f *fakeAgent) { f.respond = paced(40, 2*time.Millisecond) })
 	newer, older := s.entry("e1", at(2, s.resources)), s.entry("e2", at(1, others))
 	token := startStream(t, newer)
 	resume := func(e *entry.Entry) reply {
--- a/internal/entry/work.go
+++ b/internal/entry/work.go
@@ -11,8 +11,8 @@
 	"github.com/jayproxy/jayproxy/internal/routing"
 )
 
-// work is one caller's request, checked and ready for handoff.
-type work struct {
+// callerRequest is one caller's request, checked and ready for handoff.
+type callerRequest struct {
 	id        string
 	workspace *jayv1.Workspace
 	class     jayv1.Class
@@ -50,37 +50,37 @@
 }
 
 // target returns a name of the pool or service that is unique across both kinds.
-func (w *work) target() string {
-	if w.service != nil {
-		return catalog.KindService + "/" + w.service.GetName()
+func (request *callerRequest) target() string {
+	if request.service != nil {
+		return catalog.KindService + "/" + request.service.GetName()
 	}
-	return catalog.KindPool + "/" + w.pool.GetName()
+	return catalog.KindPool + "/" + request.pool.GetName()
 }
 
-func (w *work) servers(table *catalog.Table) []*jayv1.BackendServer {
-	if w.service != nil {
-		return table.BackendServersOfService(w.service.GetName())
+func (request *callerRequest) servers(table *catalog.Table) []*jayv1.BackendServer {
+	if request.service != nil {
+		return table.BackendServersOfService(request.service.GetName())
 	}
-	return table.BackendServersOfPool(w.pool.GetName())
+	return table.BackendServersOfPool(request.pool.GetName())
 }
 
 // offer returns the Offer message that starts a handoff.
-func (w *work) offer(now time.Time, number uint32, d routing.Decision, generation uint64, nonce []byte) *jayv1.Offer {
+func (request *callerRequest) offer(now time.Time, number uint32, d routing.Decision, generation uint64, nonce []byte) *jayv1.Offer {
 	return &jayv1.Offer{
-		RequestId: w.id, Attempt: number, Workspace: w.workspace.GetName(),
-		Pool: w.pool.GetName(), Service: w.service.GetName(),
-		Model: w.model, VersionDigest: w.version, Adapter: w.adapter,
-		Class: w.class, EnginePriority: w.priority, WorkspaceWeight: max(w.workspace.GetWeight(), 1),
-		DeadlineMs: remainingMS(now, w.deadline),
-		Chain:      w.route.Chain, PromptBytes: uint32(w.route.PromptBytes), MaxOutputTokens: w.maxOut, //nolint:gosec // bounded by the prompt limit
+		RequestId: request.id, Attempt: number, Workspace: request.workspace.GetName(),
+		Pool: request.pool.GetName(), Service: request.service.GetName(),
+		Model: request.model, VersionDigest: request.version, Adapter: request.adapter,
+		Class: request.class, EnginePriority: request.priority, WorkspaceWeight: max(request.workspace.GetWeight(), 1),
+		DeadlineMs: remainingMS(now, request.deadline),
+		Chain:      request.route.Chain, PromptBytes: uint32(request.route.PromptBytes), MaxOutputTokens: request.maxOut, //nolint:gosec // bounded by the prompt limit
 		ExpectedMs: d.ExpectedMS, NextBestMs: d.NextBestMS, Final: d.Final,
 		Generation: generation, Incarnation: d.Incarnation,
-		NonRepeatable: w.nonRepeatable, IdempotencyKey: w.key,
-		Method: w.method, Path: w.path, Headers: w.headers,
+		NonRepeatable: request.nonRepeatable, IdempotencyKey: request.key,
+		Method: request.method, Path: request.path, Headers: request.headers,
 		// A body always follows, at least an empty last frame. The agent runs
 		// nothing before it, so an offer whose reply is lost has not run.
 		HasBody: true,
-		Stream:  w.stream, Nonce: nonce, ApiPath: w.apiPath,
+		Stream:  request.stream, Nonce: nonce, ApiPath: request.apiPath,
 	}
 }
 
--- a/internal/upstream/sent_test.go
+++ b/internal/upstream/sent_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a reusable connection being closed because the answer is complete
 // before the goroutine that wrote the request has reported its result.
-func TestTheAnswerMayCompleteBeforeTheWriteIsReported(t *testing.T) {
+func TestTheResponseMayCompleteBeforeTheWriteIsReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		after time.Duration
 		err   error
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -78,7 +78,7 @@
 
 // Guards against a late answer to an abandoned request that is taken for the answer to
 // the next one. It is recognized by its id and skipped.
-func TestAStrayAnswerIsSkipped(t *testing.T) {
+func TestAStrayResponseIsSkipped(t *testing.T) {
 	address := server(t, func(_ int, r *http.Request, c net.Conn) bool {
 		reply(c, "other", "wrong")
 		reply(c, r.Header.Get("Id"), "right")
@@ -91,7 +91,7 @@
 
 // Guards against the reuse of a connection whose server has answered before it has
 // read the whole body: it would take the next request for the rest of the body.
-func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
+func TestAnEarlyResponseEndsTheConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -118,7 +118,7 @@
 }
 
 // Guards against an interrupted answer that looks complete, whatever its framing.
-func TestAnInterruptedAnswerIsAnError(t *testing.T) {
+func TestAnInterruptedResponseIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf",
 		"chunks": "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
