--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -80,7 +80,7 @@
 	assert.Empty(t, fix.engine.requests())
 }
 
-// Guards against a cancelled request that keeps its slot: the cancel must reach
+// Guards against a canceled request that keeps its slot: the cancel must reach
 // the engine and the next request must start.
 func TestCancelFreesTheSlotInTheEngine(t *testing.T) {
 	fix := newFixture(t, func(s *agent.Settings) { s.Queue.Slots = 1 })
--- a/internal/agent/model.go
+++ b/internal/agent/model.go
@@ -18,7 +18,7 @@
 const cancelTimeout = 5 * time.Second
 
 // runModel submits an attempt to the engine and relays the response. It holds
-// the attempt's slot until the engine has ended or cancelled the request.
+// the attempt's slot until the engine has ended or canceled the request.
 func (a *Agent) runModel(att *attempt) {
 	defer a.scheduler.done(att.id)
 	a.importKV(att)
@@ -113,7 +113,7 @@
 	ctx, cancel := context.WithTimeout(a.ctx, cancelTimeout)
 	defer cancel()
 	if err := a.model.engine.Cancel(ctx, id); err != nil {
-		klog.V(1).InfoS("request could not be cancelled in the engine", "request", id, "error", err.Error())
+		klog.V(1).InfoS("request could not be canceled in the engine", "request", id, "error", err.Error())
 	}
 }
 
--- a/internal/agent/offer.go
+++ b/internal/agent/offer.go
@@ -234,7 +234,7 @@
 		return
 	}
 	if _, started := att.fire(eventStart); !started {
-		return // Cancelled meanwhile; its end frees the slot.
+		return // Canceled meanwhile; its end frees the slot.
 	}
 	att.mu.Lock()
 	att.queueWait = action.Waited
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -182,8 +182,8 @@
 	case *jayv1.ClientFrame_Ack:
 		att.response.ack(f.Ack.GetNextSeq())
 	case *jayv1.ClientFrame_Cancel:
-		klog.V(2).InfoS("cancelled by the entry", "request", att.offer.GetRequestId(), "reason", f.Cancel.GetReason())
-		a.end(att, eventCancel, &jayv1.End{Error: "cancelled: " + f.Cancel.GetReason()})
+		klog.V(2).InfoS("canceled by the entry", "request", att.offer.GetRequestId(), "reason", f.Cancel.GetReason())
+		a.end(att, eventCancel, &jayv1.End{Error: "canceled: " + f.Cancel.GetReason()})
 	default:
 		return errUnexpectedFrame
 	}
--- a/internal/agent/work.go
+++ b/internal/agent/work.go
@@ -34,7 +34,7 @@
 	offer    *jayv1.Offer
 	claim    relay.Claim
 	response *responseBuffer
-	// ctx ends when the attempt ends or is cancelled.
+	// ctx ends when the attempt ends or is canceled.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	// discarded ends when the response is discarded.
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,6 +1,6 @@
 // Package call defines types for the headers of forwarded calls: those of a caller's
 // request, those that the router adds for the backend server, and those of the
-// answer. Wire formats are converted to these types at the edge and used nowhere
+// response. Wire formats are converted to these types at the edge and used nowhere
 // else.
 package call
 
@@ -28,7 +28,7 @@
 	// Timeout is how long the caller waits; 0: not given.
 	Timeout time.Duration
 	Model   string
-	// InputTokens is the length of the prompt, OutputTokens the longest answer.
+	// InputTokens is the length of the prompt, OutputTokens that of the longest output.
 	InputTokens  int
 	OutputTokens int
 	Parts        []Part
@@ -72,7 +72,7 @@
 	LastEventID string
 }
 
-// Load is the load that a backend server reports with an answer: its running and
+// Load is the load that a backend server reports with a response: its running and
 // waiting requests, and how many it can run at once.
 type Load struct {
 	Running int
@@ -80,14 +80,14 @@
 	Slots   int
 }
 
-// ResponseHead holds the status and headers of a backend server's answer.
+// ResponseHead holds the status and headers of a backend server's response.
 type ResponseHead struct {
 	Status int
 	// ID of the request that it belongs to; empty: not given.
 	ID string
 	// NotRun: the backend server states that the request did not run there.
 	NotRun bool
-	// Sealed: the answer carries a seal, the backend server's signature.
+	// Sealed: the response carries a seal, the backend server's signature.
 	Sealed bool
 	// HasLoad: Load was reported.
 	HasLoad bool
@@ -106,7 +106,7 @@
 	Instance string
 }
 
-// Refused reports whether the answer proves that the request did not run. Status 421
+// Refused reports whether the response proves that the request did not run. Status 421
 // (Misdirected Request) does so, too.
 func (a *ResponseHead) Refused() bool { return a.NotRun || a.Status == 421 }
 
@@ -191,7 +191,7 @@
 
 // The outcomes.
 const (
-	// OrderUnknown: no answer; the order may still be carried out at any time.
+	// OrderUnknown: no response; the order may still be carried out at any time.
 	OrderUnknown OrderOutcome = iota
 	// OrderAccepted: it is being carried out.
 	OrderAccepted
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -76,7 +76,7 @@
 	reply        *jayv1.OfferReply
 	end          *jayv1.End
 	headReceived bool
-	// status is the HTTP status of a plain service's answer.
+	// status is the HTTP status of a plain service's response.
 	status uint32
 	// onReply is called with the reply to the offer before the body is sent.
 	onReply      func(reply *jayv1.OfferReply)
@@ -92,7 +92,7 @@
 	cause error
 }
 
-// sink receives the answer of an attempt: chunks in order, each one once.
+// sink receives the response of an attempt: chunks in order, each one once.
 type sink interface {
 	Head(head *jayv1.ServiceHead) error
 	Chunk(seq uint64, data []byte) error
@@ -127,7 +127,7 @@
 	}
 }
 
-// run hands the request off and relays its answer until the attempt ends.
+// run hands the request off and relays its response until the attempt ends.
 func (a *attempt) run(ctx context.Context, offer *jayv1.Offer, body bodySource, to sink) {
 	a.handOff(ctx, offer, body)
 	for !a.ended() {
@@ -272,7 +272,7 @@
 }
 
 // release closes both directions of the stream once the attempt has ended. A
-// resumable stream is aborted instead, so that the agent retains the answer:
+// resumable stream is aborted instead, so that the agent retains the response:
 // its last chunks may never have reached the caller.
 func (a *attempt) release() {
 	if a.stream == nil {
--- a/internal/entry/attempt_test.go
+++ b/internal/entry/attempt_test.go
@@ -15,7 +15,7 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// cancelWatch is an agent that reports for each stream whether it was cancelled.
+// cancelWatch is an agent that reports for each stream whether it was canceled.
 type cancelWatch struct {
 	node     *transport.Node
 	canceled chan bool
@@ -56,7 +56,7 @@
 	return node
 }
 
-// Guards against cancelling a resumable request when its caller disconnects while
+// Guards against canceling a resumable request when its caller disconnects while
 // the entry sends an acknowledgement to the agent, which fails as a link error.
 func TestDisconnectDuringAcknowledgementKeepsResumableStream(t *testing.T) {
 	sendFailed := eris.New("send frame: deadline exceeded")
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -56,7 +56,7 @@
 
 // recordResult updates retry budget and claim after a request ended. A claim is
 // released only when the request certainly did not run, and before the caller
-// gets the answer: a repeated call must not conflict with its own earlier claim.
+// gets the response: a repeated call must not conflict with its own earlier claim.
 func (e *Entry) recordResult(request *callerRequest, r result) {
 	if r.err == nil {
 		e.creditRetry()
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -29,7 +29,7 @@
 )
 
 // crashSettings returns the settings of the entry's quarantine, which ends after
-// Forget. Entries have no stored row by which one of them could claim a trial,
+// SuspectTTL. Entries have no stored row by which one of them could claim a trial,
 // so only requests that are possibly not the cause of their crashes get one.
 func crashSettings() quarantine.Settings {
 	settings := quarantine.DefaultSettings()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
 // Package entry implements jay-entry: the callers' HTTP API, the handoff of
-// requests to agents and the relay of their answers. It does the I/O; decisions
+// requests to agents and the relay of their responses. It does the I/O; decisions
 // are made by the packages routing, retry, quota, membership and ledger.
 package entry
 
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -136,7 +136,7 @@
 	return typeInvalidRequest
 }
 
-// write sends the error as the complete answer.
+// write sends the error as the complete response.
 func (e *Error) write(w http.ResponseWriter, requestID string) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -166,7 +166,7 @@
 	}
 }
 
-// OutcomeName returns the outcome as it appears in answers to callers.
+// OutcomeName returns the outcome as it appears in responses to callers.
 func OutcomeName(outcome jayv1.Outcome) string {
 	switch outcome {
 	case jayv1.Outcome_OUTCOME_DONE:
--- a/internal/entry/fakeagent_test.go
+++ b/internal/entry/fakeagent_test.go
@@ -40,7 +40,7 @@
 	cutBody int
 	// cutReply is how many times the link is aborted instead of accepting an offer.
 	cutReply int
-	// head of a plain service's answer, nil for none.
+	// head of a plain service's response, nil for none.
 	head *jayv1.ServiceHead
 
 	offers  []*jayv1.Offer
@@ -261,7 +261,7 @@
 }
 
 // listen receives the entry's frames until an error. io.EOF means that the entry
-// has the complete answer.
+// has the complete response.
 func (f *fakeAgent) listen(s *transport.Stream, kept *keptStream) error {
 	for {
 		frame := &jayv1.ClientFrame{}
@@ -327,7 +327,7 @@
 	return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_DONE, Usage: &jayv1.Usage{PromptTokens: 100, CachedTokens: 60, OutputTokens: 3}}
 }
 
-// tokens answers a streaming request with n chunks, any other with one answer.
+// tokens answers a streaming request with n chunks, any other with one response.
 func tokens(n int) func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
 	return func(offer *jayv1.Offer, _ []byte, emit func(string)) *jayv1.End {
 		if offer.GetService() != "" {
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -16,7 +16,7 @@
 
 const nonceBytes = 16
 
-// responseSink is a sink that also reports whether any of it was sent to the caller.
+// responseSink is a sink for the caller's response that also reports whether any of it was sent to the caller.
 type responseSink interface {
 	sink
 	// Begin is called before each attempt starts.
@@ -35,7 +35,7 @@
 	server   string
 }
 
-// dispatch hands the request off to backend servers until an attempt succeeds or
+// dispatch hands the request off to one backend server after another until an attempt succeeds or
 // no further attempt is allowed.
 func (e *Entry) dispatch(ctx context.Context, request *callerRequest, to responseSink) result {
 	d := &dispatch{entry: e, request: request, to: to, table: e.holder.Current()}
@@ -51,12 +51,12 @@
 
 // dispatch is the state of one request across its attempts.
 type dispatch struct {
-	entry *Entry
-	request  *callerRequest
-	to    responseSink
-	table *catalog.Table
-	tried []routing.RefusedOffer
-	last  result
+	entry   *Entry
+	request *callerRequest
+	to      responseSink
+	table   *catalog.Table
+	tried   []routing.RefusedOffer
+	last    result
 	// mayHaveRun: an attempt had an unknown outcome, so the request can't be
 	// reported as not run.
 	mayHaveRun bool
@@ -193,7 +193,7 @@
 }
 
 // mayRetryUnknown reports whether a request that may have run is started again:
-// only if it is repeatable, nothing of its answer was sent to the caller, and
+// only if it is repeatable, nothing of its response was sent to the caller, and
 // the retry budget allows it.
 func (d *dispatch) mayRetryUnknown(a *attempt) bool {
 	d.last.err = &Error{
--- a/internal/entry/handover_test.go
+++ b/internal/entry/handover_test.go
@@ -102,7 +102,7 @@
 }
 
 // A request to an engine that hangs ends at its deadline with an unknown outcome
-// and is cancelled at the agent.
+// and is canceled at the agent.
 func TestRequestTimesOutAtDeadline(t *testing.T) {
 	s := newDeployment(t, "b1")
 	release := make(chan struct{})
@@ -129,10 +129,10 @@
 	assert.LessOrEqual(t, offer.GetDeadlineMs(), uint32(200))
 	require.Eventually(t, func() bool {
 		return s.agents[0].count(func(f *fakeAgent) int { return f.cancels }) == 1
-	}, time.Second, time.Millisecond, "the request is cancelled at the agent")
+	}, time.Second, time.Millisecond, "the request is canceled at the agent")
 }
 
-// A server that the platform lists as leaving gets no new requests.
+// A server that the platform lists as draining gets no new requests.
 func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	table := platformtest.New()
 	s := newDeployment(t, "b1", "b2")
@@ -158,7 +158,7 @@
 	listedAt := time.Now()
 	require.Eventually(t, func() bool { return time.Since(listedAt) >= 3*time.Second }, 4*time.Second, 10*time.Millisecond)
 	for range 6 {
-		assert.Zero(t, send(), "b1 gets no offer 3 s after it was listed as leaving")
+		assert.Zero(t, send(), "b1 gets no offer 3 s after it was listed as draining")
 	}
 }
 
--- a/internal/entry/model.go
+++ b/internal/entry/model.go
@@ -18,7 +18,7 @@
 // stream.
 const resumeKeep = "keep"
 
-// finisher is an answer that is completed with the request's result.
+// finisher is a response that is completed with the request's result.
 type finisher interface {
 	responseSink
 	finish(r result)
@@ -47,7 +47,7 @@
 	})
 }
 
-// newModelRequest builds the work of a model request from the catalog.
+// newModelRequest builds a checked model request from the catalog.
 func (e *Entry) newModelRequest(c echo.Context, call *call, req *modelRequest, body []byte) (*callerRequest, *Error) {
 	if req.promptBytes() > e.settings.Limits.PromptBytes {
 		return nil, refuse(http.StatusBadRequest, CodePromptTooLarge, "the prompt is longer than the limit")
@@ -97,7 +97,7 @@
 }
 
 // admit applies the matching rule: it refuses denied traffic and sets id,
-// workspace, class, priority and deadline of the work.
+// workspace, class, priority and deadline of the request.
 func (e *Entry) admit(c echo.Context, call *call, request *callerRequest, traffic catalog.Traffic) (*jayv1.Rule, *Error) {
 	traffic.Workspace = call.workspace.GetName()
 	traffic.ClassLabel = c.Request().Header.Get(HeaderClass)
--- a/internal/entry/picker.go
+++ b/internal/entry/picker.go
@@ -23,7 +23,7 @@
 	members *membership.Members
 	table   *catalog.Table
 	sets    map[string]*routing.Set
-	// listed holds the latest entry of the platform's list for each VM, because a
+	// listed holds the latest row of the platform's list for each VM, because a
 	// server may be declared after its VM was listed.
 	listed map[string]platform.VM
 }
@@ -38,7 +38,7 @@
 	return p
 }
 
-// next chooses the backend server that the work is offered to next.
+// next chooses the backend server that the request is offered to next.
 func (p *picker) next(now time.Time, table *catalog.Table, request *callerRequest, tried []routing.RefusedOffer) (routing.Decision, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/entry/refusals.go
+++ b/internal/entry/refusals.go
@@ -50,7 +50,7 @@
 	return refuse(http.StatusBadRequest, CodeInvalidRequest, "the request body was truncated")
 }
 
-// refusalName returns the reason as it appears in answers and explanations.
+// refusalName returns the reason as it appears in responses and explanations.
 func refusalName(refusal jayv1.Refusal) string {
 	return strings.ToLower(strings.TrimPrefix(refusal.String(), "REFUSAL_"))
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -29,7 +29,7 @@
 }
 
 // receive waits for a frame until the deadline for the first chunk or, once the
-// answer has started, for the idle timeout of a stream.
+// response has started, for the idle timeout of a stream.
 func (a *attempt) receive(ctx context.Context) (*jayv1.ServerFrame, error) {
 	deadline := time.Now().Add(ms(a.timeouts.StreamIdleMS))
 	if a.chunks.Next() == 0 && !a.headReceived && !a.deadline.IsZero() {
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -13,7 +13,7 @@
 	"github.com/jayproxy/jayproxy/internal/catalog"
 )
 
-// serve checks the limits, hands the work off and completes the answer.
+// serve checks the limits, dispatches the request and completes the response.
 func (e *Entry) serve(c echo.Context, request *callerRequest, tokens float64, newSink func(*caller) finisher) error {
 	leave, refusal := e.enter(request.workspace, tokens)
 	if refusal != nil {
@@ -26,8 +26,8 @@
 	}
 	ctx := c.Request().Context()
 	if request.nonRepeatable {
-		// A call that may run at most once is not cancelled when its caller
-		// disconnects: a cancelled call would have an unknown outcome.
+		// A call that may run at most once is not canceled when its caller
+		// disconnects: a canceled call would have an unknown outcome.
 		ctx = context.WithoutCancel(ctx)
 	}
 	if refusal := e.takeClaim(ctx, request); refusal != nil {
--- a/internal/entry/sinks.go
+++ b/internal/entry/sinks.go
@@ -9,8 +9,8 @@
 	jayv1 "github.com/jayproxy/jayproxy/api/gen/jay/v1"
 )
 
-// errResponseTooLarge is returned for a buffered answer beyond its size limit.
-var errResponseTooLarge = errors.New("the answer is longer than the limit")
+// errResponseTooLarge is returned for a buffered response beyond its size limit.
+var errResponseTooLarge = errors.New("the response is longer than the limit")
 
 // caller writes the response on a caller's connection.
 type caller struct {
@@ -72,7 +72,7 @@
 	}
 }
 
-// fail writes the error as the complete answer.
+// fail writes the error as the complete response.
 func (c *caller) fail(e *Error) {
 	_ = c.control.SetWriteDeadline(time.Now().Add(c.writeTimeout))
 	c.w.Header().Set(HeaderAttempts, strconv.Itoa(int(c.attempts)))
@@ -103,7 +103,7 @@
 	s.current = a
 }
 
-// Head ignores the head: model answers have none.
+// Head ignores the head: model responses have none.
 func (s *sseSink) Head(*jayv1.ServiceHead) error { return nil }
 
 // Chunk writes one event.
@@ -150,7 +150,7 @@
 	_ = s.write(outcome, sseDone)
 }
 
-// plainSink buffers an answer until it is complete.
+// plainSink buffers a response until it is complete.
 type plainSink struct {
 	*caller
 	limit int64
@@ -163,10 +163,10 @@
 	s.body = s.body[:0]
 }
 
-// Head ignores the head: model answers have none.
+// Head ignores the head: model responses have none.
 func (s *plainSink) Head(*jayv1.ServiceHead) error { return nil }
 
-// Chunk appends to the buffered answer.
+// Chunk appends to the buffered response.
 func (s *plainSink) Chunk(_ uint64, data []byte) error {
 	if int64(len(s.body)+len(data)) > s.limit {
 		return errResponseTooLarge
@@ -189,7 +189,7 @@
 	_ = s.write(s.body)
 }
 
-// serviceSink streams a plain service's answer to the caller.
+// serviceSink streams a plain service's response to the caller.
 type serviceSink struct {
 	*caller
 	head *jayv1.ServiceHead
@@ -238,8 +238,8 @@
 	s.start(int(max(s.head.GetStatus(), http.StatusOK)))
 }
 
-// finish ends the answer. If the body can't be completed, the connection is
-// aborted so that the caller can detect the truncated answer.
+// finish ends the response. If the body can't be completed, the connection is
+// aborted so that the caller can detect the truncated response.
 func (s *serviceSink) finish(r result) {
 	switch {
 	case r.err != nil && !s.started:
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -36,7 +36,7 @@
 	assert.True(t, strings.HasSuffix(r.body, "data: [DONE]\n\n"))
 }
 
-// Guards against a truncated stream that looks like a complete, short answer.
+// Guards against a truncated stream that looks like a complete, short response.
 func TestTruncatedStreamEndsWithErrorEvent(t *testing.T) {
 	s := newDeployment(t, "b1")
 	scripted := func(_ *jayv1.Offer, _ []byte, emit func(string)) *jayv1.End {
@@ -54,7 +54,7 @@
 	assert.Equal(t, "unknown", r.trailer.Get(entry.HeaderOutcome))
 }
 
-// An answer with fewer chunks than its End frame counts is not complete, and
+// A response with fewer chunks than its End frame counts is not complete, and
 // resumes that bring no further chunk must end.
 func TestAnswerWithMissingChunksIsNotComplete(t *testing.T) {
 	s := newDeployment(t, "b1")
@@ -105,7 +105,7 @@
 	assert.Zero(t, s.agents[0].count(func(f *fakeAgent) int { return f.cancels }))
 }
 
-// Guards against an agent that discards an answer once it was written to the
+// Guards against an agent that discards a response once it was written to the
 // caller's connection: the caller may have received only a part of it.
 func TestStreamResumesAfterCompleteRelay(t *testing.T) {
 	const chunks = 200
--- a/internal/entry/work.go
+++ b/internal/entry/work.go
@@ -18,7 +18,7 @@
 	class     jayv1.Class
 	priority  uint32
 	started   time.Time
-	// deadline for the first byte of the answer.
+	// deadline for the first byte of the response.
 	deadline time.Time
 
 	pool      *jayv1.Pool
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -206,7 +206,7 @@
 	return choice, err
 }
 
-// place asks the router for a server. With mayWait it returns routing.ErrNoRoom
+// place asks the router for a server. With mayWait it returns routing.ErrNoFreeMemory
 // rather than a server at which the request would wait for memory.
 func (j *job) place(mayWait bool) (routing.DirectChoice, error) {
 	s := j.gateway.state
@@ -264,7 +264,7 @@
 // as indeterminate, and its server as failed.
 func serverTimeout(left time.Duration) time.Duration { return max(left-serverResponseMargin, left/2) }
 
-// forwardOptions returns the instructions sent to the chosen server with the
+// forwardOptions returns what the chosen server is sent in addition to the caller's
 // request.
 func (j *job) forwardOptions(choice *routing.DirectChoice) call.ForwardOptions {
 	options := call.ForwardOptions{
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -110,7 +110,7 @@
 	return now.Sub(time.Unix(0, f.lastResponse.Load()))
 }
 
-// tableAge returns the maximum age of a table. A blocking read gets an answer only when
+// tableAge returns the maximum age of a table. A blocking read gets a response only when
 // its table changes, and hangs while this entry is cut off from the store. The list of
 // servers is read at short intervals, so its age shows whether the store is reachable.
 // Without that check an entry that is cut off would relay an old configuration as current.
@@ -315,7 +315,7 @@
 
 // feedSucceeded records that the store answered the given time ago. After an outage,
 // registrations of servers that are alive may have expired, so the list keeps them for its
-// grace period. Other feeds may still block on connections whose answers were lost, so
+// grace period. Other feeds may still block on connections whose responses were lost, so
 // their reads are interrupted.
 func (g *Gateway) feedSucceeded(f *feed, age time.Duration) {
 	now := time.Now().Add(-age)
--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -162,7 +162,7 @@
 	s.members.SetServers(now, servers)
 }
 
-// sendFailed records that a request could not be sent, or got no answer.
+// sendFailed records that a request could not be sent, or got no response.
 func (s *state) sendFailed(now time.Time, server string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -61,7 +61,7 @@
 	gateway *Gateway
 	mu      sync.Mutex
 	// pending holds a channel for each unanswered placement request, by its key;
-	// each has room for the one answer.
+	// each has room for the one response.
 	pending map[uint64]chan *jayv1.PlacementOffer
 }
 
@@ -69,7 +69,7 @@
 	return &placementClient{gateway: g, pending: map[uint64]chan *jayv1.PlacementOffer{}}
 }
 
-// askOwner asks one owner for a server. It returns nil if no answer arrives in
+// askOwner asks one owner for a server. It returns nil if no response arrives in
 // time.
 func (p *placementClient) askOwner(ctx context.Context, owner shard.Entry, ask *jayv1.PlacementAsk) *jayv1.PlacementOffer {
 	g := p.gateway
@@ -109,7 +109,7 @@
 	return ""
 }
 
-// awaitOffer waits for an owner's answer. It returns nil if none arrives in
+// awaitOffer waits for an owner's response. It returns nil if none arrives in
 // time.
 func (p *placementClient) awaitOffer(ctx context.Context, key uint64, offers chan *jayv1.PlacementOffer) *jayv1.PlacementOffer {
 	timer := time.NewTimer(ownerTimeout)
@@ -131,7 +131,7 @@
 	}
 }
 
-// receiveOffer delivers an owner's answer to the request that waits for it. An
+// receiveOffer delivers an owner's response to the request that waits for it. An
 // offer that arrives too late is released, so that the owner does not count a
 // request that went elsewhere.
 func (p *placementClient) receiveOffer(offer *jayv1.PlacementOffer, from *net.UDPAddr) {
@@ -209,7 +209,7 @@
 
 // bestOffer asks the owners in turn until one offers a server with a short
 // queue, and returns the best offer. Without an offer it returns
-// routing.ErrNoRoom if an owner answered that no memory is free, else
+// routing.ErrNoFreeMemory if an owner answered that no memory is free, else
 // errNoOffer.
 func (j *job) bestOffer(mayWait bool) (*ownerOffer, error) {
 	p := j.gateway.placements
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -53,7 +53,7 @@
 	// configuration.
 	IsConfig func(key string) bool
 	Config   func(value []byte) (*routetable.Table, error)
-	// Target decodes a row that names weights; ok is false for any other row.
+	// Target decodes a row that names the weights to serve; ok is false for any other row.
 	Target  func(key string, value []byte) (target weights.Target, ok bool, err error)
 	Backend func(id string, value []byte) (*fleet.Backend, error)
 	// SameBackend reports whether two values of a backend server's row differ in
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -29,8 +29,8 @@
 	return fixture
 }
 
-// engine returns the engine's entry in the server list for the incarnation that
-// started at born.
+// engine returns the engine's registration for the incarnation that started at
+// startedMS.
 func engine(startedMS int64) *fleet.Backend {
 	return &fleet.Backend{
 		Incarnation: fleet.Incarnation{Instance: "e1", StartedMS: startedMS}, Service: "engines", Address: "10.0.0.1:1", Slots: 8,
@@ -112,7 +112,7 @@
 	require.Nil(t, fixture.list.Get(first))
 	second := fixture.list.Named("e1").ID
 	fixture.putBackend(now, engine(1000))
-	assert.Equal(t, second, fixture.list.Named("e1").ID, "an older list entry does not restore the previous incarnation")
+	assert.Equal(t, second, fixture.list.Named("e1").ID, "an older registration does not restore the previous incarnation")
 	fixture.putBackend(now, engine(2000))
 	assert.Equal(t, second, fixture.list.Named("e1").ID)
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// setTarget records that an operator named a version as the one to serve.
+// setTarget records the version of a model's weights that an operator named as the one to serve.
 func (s *state) setTarget(now time.Time, target weights.Target, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,7 +239,7 @@
 	return true
 }
 
-// observeVersion records a weight version from an answer, a report or another entry.
+// observeVersion records a weight version from a response, a report or another entry.
 // Servers that are not listed are ignored.
 func (s *state) observeVersion(server, model string, version uint64, source string) {
 	s.mu.Lock()
@@ -366,7 +366,7 @@
 	}
 }
 
-// observeResponse records the load and the weight version that an answer reports of its
+// observeResponse records the load and the weight version that a response reports of its
 // server.
 func (s *state) observeResponse(now time.Time, server, model string, response *call.ResponseHead) {
 	s.mu.Lock()
--- a/internal/gateway/stores.go
+++ b/internal/gateway/stores.go
@@ -52,7 +52,7 @@
 }
 
 // pollKVStore applies the changes reported by one store, or records that it did not
-// answer.
+// respond.
 func (g *Gateway) pollKVStore(ctx context.Context, address string, w *kvStoreWatch) {
 	callCtx, cancel := context.WithTimeout(ctx, kvStoreCallTimeout)
 	defer cancel()
--- a/internal/gateway/switches.go
+++ b/internal/gateway/switches.go
@@ -129,7 +129,7 @@
 	return updates
 }
 
-// postSwitches sends updates to other entries by HTTP, without waiting for their answers.
+// postSwitches sends updates to other entries by HTTP, without waiting for their responses.
 func (p *peers) postSwitches(ctx context.Context, addresses []string, updates []switchUpdate) {
 	for _, address := range addresses {
 		go func() {
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -14,7 +14,7 @@
 	keeperTick   = 200 * time.Millisecond
 	tableTimeout = 2 * time.Second
 	// closeWait is how long Close waits for a call in flight before it cancels it.
-	// A cancelled renewal may still take effect and change the row's version, on
+	// A canceled renewal may still take effect and change the row's version, on
 	// which the write that releases the lease depends.
 	closeWait = 500 * time.Millisecond
 )
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -14,7 +14,7 @@
 }
 
 // Guards against a configuration that reverts: a batch from another entry whose
-// copy is still at version 7 arrives after the store's answer with version 9.
+// copy is still at version 7 arrives after the store's response with version 9.
 func TestAnOlderBatchDoesNotRevertARow(t *testing.T) {
 	var c mirror.Copy
 	c.Apply(mirror.Batch{Rows: []mirror.Row{row("config", 9)}, Version: 9, Snapshot: true})
--- a/internal/routing/direct.go
+++ b/internal/routing/direct.go
@@ -86,7 +86,7 @@
 	entries int
 	// savers is the number of routers that save to the same KV cache stores.
 	savers int
-	// inflow of prompt and answer tokens per second from this router, over all
+	// inflow of prompt and output tokens per second from this router, over all
 	// engines, as of inflowAt.
 	inflow   float64
 	inflowAt time.Time
--- a/internal/routing/direct_load.go
+++ b/internal/routing/direct_load.go
@@ -21,7 +21,7 @@
 	// holds those of other entries, by entry.
 	tokens         int
 	receivedMemory map[uint32]receivedTokens
-	// serviceMS is the mean time of an answer to a request without a prompt.
+	// serviceMS is the mean time of a response to a request without a prompt.
 	serviceMS float64
 }
 
@@ -138,7 +138,7 @@
 	}
 }
 
-// UpdateLoad records the load that a server reported with an answer; it
+// UpdateLoad records the load that a server reported with a response; it
 // includes this router's own requests.
 func (d *Direct) UpdateLoad(now time.Time, server string, load call.Load) {
 	l := d.load(server)
--- a/internal/routing/direct_memory.go
+++ b/internal/routing/direct_memory.go
@@ -9,7 +9,7 @@
 // server that suits it best.
 var ErrNoFreeMemory = errors.New("no memory free at the servers that suit the request")
 
-// Running requests occupy an engine's memory until their answers end. When it
+// Running requests occupy an engine's memory until their outputs end. When it
 // is full, new requests wait, low-priority ones are preempted and prefilled
 // again, and cached prefixes are evicted, which causes further prefill. Only
 // the entries that sent the requests know what they occupy, so they exchange it
@@ -19,12 +19,12 @@
 // occupy.
 type MemoryHint struct {
 	Server string
-	// Tokens of running prompts and answers.
+	// Tokens of running prompts and outputs.
 	Tokens int
 }
 
 const (
-	// memoryHintLifetime is how long memory hints count: answers take seconds,
+	// memoryHintLifetime is how long memory hints count: outputs take seconds,
 	// and an entry that is gone sends no more hints.
 	memoryHintLifetime = 3 * time.Second
 	// maxMemoryWaitMS is the expected wait for memory above which a request
@@ -35,7 +35,7 @@
 	// minReportedMemoryShare is the used share of all engines' memory below
 	// which entries send no memory hints, as nothing waits for memory.
 	minReportedMemoryShare = 0.4
-	// meanOutputShare is the mean length of an answer, as a share of its upper
+	// meanOutputShare is the mean length of an output, as a share of its upper
 	// bound.
 	meanOutputShare = 0.35
 	// minPlacedTokens is the size in tokens of a request from which the other
--- a/internal/routing/kept_test.go
+++ b/internal/routing/kept_test.go
@@ -75,7 +75,7 @@
 	assert.Equal(t, "store:1", again.SaveTo, "the part is prefilled again, so it is saved again")
 }
 
-// After the store lost its parts, engines must not be told to fetch from it.
+// After the store lost its parts, engines must not be directed to fetch from it.
 func TestEmptyStoreIsNotUsed(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
 	first := choose(t, d, 0, promptWithStore("r1", "contract"), servers)
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -7,7 +7,7 @@
 // servers, which all entries read; there is no coordination and no stored
 // assignment. Entries that see different lists for a while ask different owners,
 // each of which knows part of the load. That may cost longer queues but gives no
-// wrong answers. The package has no I/O, goroutines or clock; callers provide the
+// wrong results. The package has no I/O, goroutines or clock; callers provide the
 // locking.
 package shard
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -23,23 +23,23 @@
 	// wrapped too, for example ErrNoListener.
 	ErrNotSent = errors.New("request not sent")
 	// ErrNoResponse: the request was sent, at least in part, and may have run.
-	ErrNoResponse = errors.New("no answer")
-	// ErrInvalidResponse: the bytes received are not an answer to the request, which may
+	ErrNoResponse = errors.New("no response")
+	// ErrInvalidResponse: the bytes received are not a response to the request, which may
 	// have run.
-	ErrInvalidResponse = errors.New("invalid answer")
+	ErrInvalidResponse = errors.New("invalid response")
 	// ErrNoListener: nothing listens at the address; the process has ended.
 	ErrNoListener error = syscall.ECONNREFUSED
 )
 
 const (
 	readBufferBytes = 4 << 10
-	// maxStrays is how many stray answers, that is answers to earlier requests, are
+	// maxStrays is how many stray responses, that is responses to earlier requests, are
 	// skipped in one exchange.
 	maxStrays = 2
-	// writeDoneTimeout is how long after the complete answer the goroutine that wrote
+	// writeDoneTimeout is how long after the complete response the goroutine that wrote
 	// the request may take to report that it has finished.
 	writeDoneTimeout = 10 * time.Millisecond
-	// maxStrayBytes bounds the body of a stray answer that is skipped.
+	// maxStrayBytes bounds the body of a stray response that is skipped.
 	maxStrayBytes = 1 << 20
 )
 
@@ -81,15 +81,15 @@
 	idleSince time.Time
 }
 
-// Response is an answer whose header has been read. It must be closed.
+// Response is an HTTP response whose header has been read. It must be closed.
 type Response struct {
 	Status int
 	Header http.Header
-	// Body ends with io.EOF only when the answer is complete.
+	// Body ends with io.EOF only when the response is complete.
 	Body io.Reader
 	// Reused: the connection has carried other requests before.
 	Reused bool
-	// Bounded: the answer's end is given by its framing, not by the end of the
+	// Bounded: the response's end is given by its framing, not by the end of the
 	// connection.
 	Bounded bool
 
@@ -132,12 +132,12 @@
 	return err == nil && idle
 }
 
-// exchange sends the request and reads the header of its answer. belongs reports
-// whether a header is that of an answer to this request.
+// exchange sends the request and reads the header of its response. belongs reports
+// whether a header is that of a response to this request.
 func (c *conn) exchange(ctx context.Context, r *Request, belongs func(http.Header) bool) (*Response, error) {
 	response := &Response{conn: c, Reused: c.used > 0, written: make(chan error, 1)}
 	c.used++
-	// When the context ends, the closed connection tells the backend server to stop
+	// When the context ends, the closed connection makes the backend server stop
 	// working on the request.
 	response.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
 	message := r.bytes()
@@ -167,10 +167,10 @@
 			r.setHeader(inner)
 			return nil
 		}
-		// A stray answer to an earlier request on the connection.
+		// A stray response to an earlier request on the connection.
 		strays++
 		if strays > maxStrays || !skip(inner) {
-			return eris.Wrap(ErrInvalidResponse, "got the answer of another request")
+			return eris.Wrap(ErrInvalidResponse, "got the response to another request")
 		}
 	}
 }
@@ -184,7 +184,7 @@
 	return eris.Wrapf(ErrInvalidResponse, "%v", err)
 }
 
-// skip reads a stray answer to its end; false if its framing does not give the end, or
+// skip reads a stray response to its end; false if its framing does not give the end, or
 // the body is too long.
 func skip(stray *http.Response) bool {
 	if stray.ContentLength < 0 && len(stray.TransferEncoding) == 0 {
@@ -217,7 +217,7 @@
 func (r *Response) KeepFor(d time.Duration) { r.keep = d }
 
 // Close ends the exchange. The connection is kept only if the request was completely
-// written, the answer completely read, and no bytes are left over: what remained of
+// written, the response completely read, and no bytes are left over: what remained of
 // either would be taken for part of the next exchange.
 func (r *Response) Close() {
 	if r.closed {
@@ -234,7 +234,7 @@
 	r.pool.put(r.conn, r.keep)
 }
 
-// sent reports whether the request was completely written. The answer may be complete
+// sent reports whether the request was completely written. The response may be complete
 // before the goroutine that wrote the request has reported its result, so sent waits
 // for it. If none comes in time, the server has answered before it has read the
 // request.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -54,8 +54,8 @@
 	MaxIdle time.Duration
 }
 
-// Send sends a request to an address and returns the answer once its header has been
-// read. belongs reports whether a header is that of an answer to this request; reused
+// Send sends a request to an address and returns the response once its header has been
+// read. belongs reports whether a header is that of a response to this request; reused
 // says whether the connection has carried other requests. The request is sent at most
 // once, and not at all if the error is ErrNotSent. When ctx ends, the connection is
 // closed.
--- a/internal/upstream/sent_test.go
+++ b/internal/upstream/sent_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against a reusable connection being closed because the answer is complete
+// Guards against a reusable connection being closed because the response is complete
 // before the goroutine that wrote the request has reported its result.
 func TestTheResponseMayCompleteBeforeTheWriteIsReported(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -76,7 +76,7 @@
 	assert.Equal(t, int64(1), p.Opened())
 }
 
-// Guards against a late answer to an abandoned request that is taken for the answer to
+// Guards against a late response to an abandoned request that is taken for the response to
 // the next one. It is recognized by its id and skipped.
 func TestAStrayResponseIsSkipped(t *testing.T) {
 	address := server(t, func(_ int, r *http.Request, c net.Conn) bool {
@@ -117,7 +117,7 @@
 	assert.Zero(t, p.Open(address), "the connection is not reused")
 }
 
-// Guards against an interrupted answer that looks complete, whatever its framing.
+// Guards against an interrupted response that looks complete, whatever its framing.
 func TestAnInterruptedResponseIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf",
