--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -108,7 +108,7 @@
 
 // Refused reports whether the response proves that the request did not run. Status 421
 // (Misdirected Request) does so, too.
-func (a *ResponseHead) Refused() bool { return a.NotRun || a.Status == 421 }
+func (h *ResponseHead) Refused() bool { return h.NotRun || h.Status == 421 }
 
 // Report is the state that a backend server reports of itself, a few hundred
 // milliseconds old.
@@ -137,9 +137,9 @@
 	Dropped bool
 }
 
-// StoreChanges lists what a KV cache store has stored and evicted since an earlier
+// KVStoreChanges lists what a KV cache store has stored and evicted since an earlier
 // call. Changes are listed about 100 ms late, and a few never are.
-type StoreChanges struct {
+type KVStoreChanges struct {
 	// Epoch changes when the store restarts, empty.
 	Epoch uint64
 	// Next is the position at which the next call continues. Lost: some changes since
--- a/internal/entry/callers_test.go
+++ b/internal/entry/callers_test.go
@@ -15,7 +15,7 @@
 	"github.com/jayproxy/jayproxy/internal/entry"
 )
 
-func TestPlainAnswerIsCompleteWithOutcome(t *testing.T) {
+func TestPlainResponseIsCompleteWithOutcome(t *testing.T) {
 	s := newDeployment(t, "b1")
 	e := s.entry("e1")
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatPlain)
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -32,8 +32,8 @@
 		Store: store, VMs: e.platform, OnVMs: e.receiveVMs,
 		OnNews:    func(_ keys.Identity, updates []*jayv1.MemberNews) { e.picker.receive(time.Now(), updates) },
 		News:      func() []*jayv1.MemberNews { return e.picker.digest(time.Now()) },
-		OnCrashes: func(updates []*jayv1.CrashNews) { e.crashes.receive(time.Now(), updates) },
-		Crashes:   func(all bool) []*jayv1.CrashNews { return e.crashes.digest(time.Now(), all) },
+		OnCrashes: func(updates []*jayv1.CrashNews) { e.suspects.receive(time.Now(), updates) },
+		Crashes:   func(all bool) []*jayv1.CrashNews { return e.suspects.digest(time.Now(), all) },
 		Leaving:   e.stopping.Load, Process: e.addLeases,
 	})
 	if err != nil {
@@ -79,7 +79,7 @@
 	defer ticker.Stop()
 	for {
 		e.picker.refresh(time.Now(), e.holder.Current())
-		e.crashes.expire(time.Now())
+		e.suspects.expire(time.Now())
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/entry/crashes_test.go
+++ b/internal/entry/crashes_test.go
@@ -19,7 +19,7 @@
 	return (&quarantine.Identity{Target: fmt.Sprint(n)}).Fingerprint()
 }
 
-func (c *crashes) isQuarantined(now time.Time, n int) bool {
+func (c *suspects) isQuarantined(now time.Time, n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.registry.Verdict(now, requestNumber(n)).Quarantined
@@ -29,7 +29,7 @@
 // through other entries.
 func TestCrashesOfSeveralEntriesAddUp(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	first, second, third := newCrashes(), newCrashes(), newCrashes()
+	first, second, third := newSuspects(), newSuspects(), newSuspects()
 	first.add(now, now, crashOf(1, "a"))
 	first.add(now, now, crashOf(1, "b"))
 	second.add(now, now, crashOf(1, "c"))
@@ -39,7 +39,7 @@
 	assert.False(t, first.isQuarantined(now, 1))
 	first.receive(now, third.digest(now, false))
 	assert.True(t, first.isQuarantined(now, 1))
-	late := newCrashes()
+	late := newSuspects()
 	later := now.Add(time.Minute)
 	assert.Empty(t, first.digest(later, false), "old records are not sent to running entries any more")
 	late.receive(later, first.digest(later, true))
@@ -50,7 +50,7 @@
 // after the record of its complete run.
 func TestCompleteRunOverridesOlderCrashes(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	one, other := newCrashes(), newCrashes()
+	one, other := newSuspects(), newSuspects()
 	for _, engine := range []string{"a", "b", "c"} {
 		one.add(now, now, crashOf(1, engine))
 	}
@@ -75,7 +75,7 @@
 
 func TestCrashRecordsAreBoundedAndExpire(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	c := newCrashes()
+	c := newSuspects()
 	for n := range 100 {
 		c.add(now, now, crashOf(n, "a"))
 	}
@@ -92,5 +92,5 @@
 	c.receive(now, []*jayv1.CrashNews{{Request: []byte("short"), Server: "a"}, {}})
 	c.expire(now.Add(crashSettings().SuspectTTL))
 	assert.Empty(t, c.digest(now.Add(crashSettings().SuspectTTL), true))
-	assert.Zero(t, c.suspects.Load())
+	assert.Zero(t, c.tracked.Load())
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -45,8 +45,8 @@
 	startup *startup
 	explain *explanations
 
-	// crashes holds the crash records of requests.
-	crashes *crashes
+	// suspects holds the crash records of requests.
+	suspects *suspects
 
 	quotaMu  sync.Mutex
 	quota    *quota.Limiter
@@ -98,16 +98,16 @@
 func newEntry(ctx context.Context, settings Settings, creds *transport.Credentials) *Entry {
 	e := &Entry{
 		settings: settings, holder: settings.Holder, creds: creds,
-		metrics: metrics.New(settings.MaxLabels),
-		picker:  newPicker(settings),
-		ready:   make(chan struct{}),
-		streams: newStreamCount(settings.Limits),
-		startup: newStartup(settings),
-		explain: newExplanations(),
-		quota:   quota.NewLimiter(),
-		crashes: newCrashes(),
-		budget:  retry.NewBudget(settings.Attempts.RetryShare, settings.Attempts.RetryBurst),
-		started: time.Now(),
+		metrics:  metrics.New(settings.MaxLabels),
+		picker:   newPicker(settings),
+		ready:    make(chan struct{}),
+		streams:  newStreamCount(settings.Limits),
+		startup:  newStartup(settings),
+		explain:  newExplanations(),
+		quota:    quota.NewLimiter(),
+		suspects: newSuspects(),
+		budget:   retry.NewBudget(settings.Attempts.RetryShare, settings.Attempts.RetryBurst),
+		started:  time.Now(),
 	}
 	if e.holder == nil {
 		e.holder = catalog.NewHolder()
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -54,7 +54,7 @@
 	CodeStreamNotFound    Code = "stream_not_found"
 	CodeStreamBroken      Code = "stream_broken"
 	CodeStreamNotReached  Code = "stream_not_reached"
-	CodeHeld              Code = "request_held"
+	CodeQuarantined       Code = "request_held"
 	CodeInternal          Code = "internal_error"
 	typeInvalidRequest         = "invalid_request_error"
 	typeAuthentication         = "authentication_error"
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -56,7 +56,7 @@
 
 // A response with fewer chunks than its End frame counts is not complete, and
 // resumes that bring no further chunk must end.
-func TestAnswerWithMissingChunksIsNotComplete(t *testing.T) {
+func TestResponseWithMissingChunksIsNotComplete(t *testing.T) {
 	s := newDeployment(t, "b1")
 	s.agents[0].set(func(f *fakeAgent) { f.wrongCount = 1 })
 	e := s.entry("e1")
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestRunServesEveryCallAndStaysBelowTheBound(t *testing.T) {
-	result, err := experiment.Run(t.Context(), spec(routing.PolicyAskInDoubt))
+	result, err := experiment.Run(t.Context(), spec(routing.PolicyProbeIfUncertain))
 	require.NoError(t, err)
 	assert.Positive(t, result.Calls)
 	assert.Equal(t, result.Calls, result.Served)
@@ -38,8 +38,8 @@
 		return experiment.Result{Spec: s, Summary: load.Summary{HitRate: hitRate, FirstToken: load.Quantiles{P99: p99}}}
 	}
 	report := experiment.Report{Results: []experiment.Result{
-		result(routing.PolicyLeastLoad, 1, 0.4, 1000), result(routing.PolicyAskAll, 1, 0.8, 400),
-		result(routing.PolicyAskInDoubt, 1, 0.78, 300), result(routing.PolicyAskInDoubt, 3, 0.78, 300),
+		result(routing.PolicyLeastLoad, 1, 0.4, 1000), result(routing.PolicyProbeAll, 1, 0.8, 400),
+		result(routing.PolicyProbeIfUncertain, 1, 0.78, 300), result(routing.PolicyProbeIfUncertain, 3, 0.78, 300),
 	}}
 	compared := report.Compare()
 	assert.InDelta(t, 1.95, compared[2].HitOverLeastLoad, 0.001)
@@ -50,5 +50,5 @@
 	require.NoError(t, report.WriteTable(&table))
 	assert.Contains(t, html.String(), "<svg")
 	assert.NotContains(t, html.String(), "src=", "the page needs nothing else")
-	assert.Contains(t, table.String(), routing.PolicyAskInDoubt)
+	assert.Contains(t, table.String(), routing.PolicyProbeIfUncertain)
 }
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -40,7 +40,7 @@
 		switch result.Policy {
 		case routing.PolicyLeastLoad:
 			least[keyOf(result)] = result
-		case routing.PolicyAskAll:
+		case routing.PolicyProbeAll:
 			full[keyOf(result)] = result
 		}
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -232,7 +232,7 @@
 		return request
 	}
 	request.Tokens, request.OutputTokens = j.head.InputTokens, j.head.OutputTokens
-	request.Prefix, request.Stores = j.head.Shared(), s.kvStoresLocked(j.table, j.service.Engine)
+	request.Prefix, request.KVStores = j.head.Shared(), s.kvStoresLocked(j.table, j.service.Engine)
 	request.MemoryShare = routing.MemoryShare(j.table.RoutePriorityRank(j.route))
 	if j.workspace != nil && j.workspace.Isolated {
 		request.IsolatedWorkspace = j.workspace.Name
--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -78,7 +78,7 @@
 func (s *state) forgetIncarnationLocked(now time.Time, b *fleet.Backend, source string) {
 	klog.InfoS("Backend server gone", "server", b.ID, "source", source)
 	if b.Draining {
-		s.suspects.serverEnded(b.ID)
+		s.suspects.serverDrained(b.ID)
 	} else {
 		s.suspects.serverCrashed(now, b.ID)
 	}
--- a/internal/gateway/owning.go
+++ b/internal/gateway/owning.go
@@ -108,7 +108,7 @@
 		request.Prefix = append(request.Prefix, call.Part{ID: id, Tokens: int(ask.GetPartTokens()[i])})
 	}
 	if service.Engine != nil {
-		request.Stores = s.kvStoresLocked(table, service.Engine)
+		request.KVStores = s.kvStoresLocked(table, service.Engine)
 	}
 	return request
 }
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -72,7 +72,7 @@
 type KVStores interface {
 	// Changes returns what changed since the Next of an earlier result;
 	// call.ErrBusy if the store runs but does not accept the call now.
-	Changes(ctx context.Context, address string, since uint64) (call.StoreChanges, error)
+	Changes(ctx context.Context, address string, since uint64) (call.KVStoreChanges, error)
 }
 
 // Ports are the external systems that a Gateway uses.
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -305,7 +305,7 @@
 		return s.kvStores
 	}
 	s.kvStoresEngine, s.kvStores = engine, nil
-	for _, store := range table.Stores {
+	for _, store := range table.KVStores {
 		if s.kvStoresDown[store.Address] {
 			continue
 		}
--- a/internal/gateway/stores.go
+++ b/internal/gateway/stores.go
@@ -38,7 +38,7 @@
 	watches := map[string]*kvStoreWatch{}
 	for ctx.Err() == nil {
 		if table := g.state.table.Load(); table != nil && g.isDeciding() {
-			for _, store := range table.Stores {
+			for _, store := range table.KVStores {
 				w := watches[store.Address]
 				if w == nil {
 					w = &kvStoreWatch{}
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -71,8 +71,8 @@
 	s.updateTrackedLocked()
 }
 
-// serverEnded records that an incarnation of a server ended as planned.
-func (s *suspects) serverEnded(server string) {
+// serverDrained records that an incarnation of a server ended as planned.
+func (s *suspects) serverDrained(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.interruptions.ServerDrained(server)
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -163,7 +163,7 @@
 func TestPlannedEndIsNotCountedAsCrash(t *testing.T) {
 	s := newSuspects()
 	s.runInterrupted(time.Now(), quarantine.Crash{Request: suspectFingerprint(1), Server: "a"})
-	s.serverEnded("a")
+	s.serverDrained("a")
 	s.serverCrashed(time.Now(), "a")
 	assert.Empty(t, s.list())
 }
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -126,9 +126,9 @@
 	Limits     Limits
 	Workspaces []Workspace
 	Services   map[string]*Service
-	// Stores are the KV cache stores, sorted by the names of their services. Every store
+	// KVStores are the KV cache stores, sorted by the names of their services. Every store
 	// serves all engines.
-	Stores []KVStore
+	KVStores []KVStore
 	// byHost holds the routes of each host, longest prefix first.
 	byHost map[string][]*Route
 	// byKey holds the workspace of each API key.
@@ -163,12 +163,12 @@
 			t.byKey[key] = &workspaces[i]
 		}
 	}
-	t.Stores = storesOf(services)
+	t.KVStores = kvStoresOf(services)
 	t.rankPriorities()
 	return t
 }
 
-func storesOf(services []Service) []KVStore {
+func kvStoresOf(services []Service) []KVStore {
 	var storeServices []*Service
 	for i := range services {
 		if services[i].KVStore != nil {
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -12,22 +12,22 @@
 
 // Sources of candidates, by their names in explanations.
 const (
-	sourceRendezvous = "rendezvous"
-	sourceBelief     = "belief" // observed to hold the prefix
-	sourceRandom     = "random"
-	sourceAsked      = "asked"
-	sourceLoad       = "load"
-	sourceFallback   = "fallback"
+	sourceRendezvous  = "rendezvous"
+	sourceObservation = "belief" // observed to hold the prefix
+	sourceRandom      = "random"
+	sourceAsked       = "asked"
+	sourceLoad        = "load"
+	sourceFallback    = "fallback"
 )
 
 // Evidence for a candidate's cached bytes, by its name in explanations: none,
 // an observation, membership in the shared prefix's set, or the agent's answer
 // about this request.
 const (
-	evidenceNone     = "none"
-	evidenceSeen     = "seen"
-	evidencePresumed = "presumed"
-	evidenceAsked    = "asked"
+	evidenceNone    = "none"
+	evidenceObserved    = "seen"
+	evidenceAssumed = "presumed"
+	evidenceProbed   = "asked"
 )
 
 // candidate is a server under consideration, with the terms of its expected
--- a/internal/routing/direct_prefix.go
+++ b/internal/routing/direct_prefix.go
@@ -198,7 +198,7 @@
 		v.levels = append(v.levels, levelPlan{key: key, part: hash, tokens: tokens, holders: live})
 		v.last = last
 	}
-	d.planStore(now, req.Stores, salt, &v)
+	d.planStore(now, req.KVStores, salt, &v)
 	return v
 }
 
--- a/internal/routing/direct_types.go
+++ b/internal/routing/direct_types.go
@@ -52,8 +52,8 @@
 	// MemoryShare is the share of a server's memory that this request may use;
 	// 0: all.
 	MemoryShare float64
-	// Stores are the KV cache stores; they are only read.
-	Stores []KVStore
+	// KVStores are the KV cache stores; they are only read.
+	KVStores []KVStore
 	// MayWait: Choose returns ErrNoFreeMemory rather than a server at which the
 	// request would wait long for memory.
 	MayWait bool
--- a/internal/routing/fleetmodel_test.go
+++ b/internal/routing/fleetmodel_test.go
@@ -227,7 +227,7 @@
 func (f *modelFleet) place(r *modelRequest, now float64, mustPlace bool) bool {
 	request := &routing.DirectRequest{
 		ID: r.id, Tokens: r.tokens(), OutputTokens: 3 * r.class.output, Prefix: r.shared,
-		MemoryShare: routing.MemoryShare(r.class.priority, len(f.classes)), MayWait: f.mayWait && !mustPlace, Stores: f.routerStores,
+		MemoryShare: routing.MemoryShare(r.class.priority, len(f.classes)), MayWait: f.mayWait && !mustPlace, KVStores: f.routerStores,
 	}
 	choice, err := f.choose(r, request, now)
 	if errors.Is(err, routing.ErrNoFreeMemory) {
--- a/internal/routing/kept_test.go
+++ b/internal/routing/kept_test.go
@@ -15,7 +15,7 @@
 
 func promptWithStore(id, document string) *routing.DirectRequest {
 	req := prompt(id, document)
-	req.Stores = oneStore
+	req.KVStores = oneStore
 	return req
 }
 
@@ -123,7 +123,7 @@
 		tokens := 0
 		for i := range 200 {
 			req := prompt(fmt.Sprint("r", i), fmt.Sprint("contract", i))
-			req.Stores = stores
+			req.KVStores = stores
 			if choose(t, d, time.Duration(i)*time.Millisecond, req, servers).SaveTo != "" {
 				tokens += req.Tokens
 			}
@@ -157,9 +157,9 @@
 	for i := range 30 {
 		servers := directServers(8)
 		req := prompt("r", fmt.Sprint("contract", i))
-		req.Stores = stores
+		req.KVStores = stores
 		one := choose(t, newDirect(), 0, req, servers).SaveTo
-		req.Stores = rotated
+		req.KVStores = rotated
 		assert.Equal(t, one, choose(t, newDirect(), 0, req, servers).SaveTo)
 		used[one]++
 	}
@@ -171,7 +171,7 @@
 	var req *routing.DirectRequest
 	for i := range b.N {
 		req = prompt(fmt.Sprint(i), fmt.Sprint(i%100))
-		req.Stores = []routing.KVStore{oneStore[0]}
+		req.KVStores = []routing.KVStore{oneStore[0]}
 		if _, err := d.Choose(directStart.Add(time.Duration(i)*time.Millisecond), req, servers, nil); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/routing/picker.go
+++ b/internal/routing/picker.go
@@ -26,7 +26,7 @@
 	for len(chosen) < n {
 		best := -1
 		for i := range c.candidates[:c.n] {
-			if taken[i] || c.candidates[i].filtered != "" || c.candidates[i].evidence == evidenceAsked {
+			if taken[i] || c.candidates[i].filtered != "" || c.candidates[i].evidence == evidenceProbed {
 				continue
 			}
 			if best < 0 || c.candidates[i].totalMS < c.candidates[best].totalMS {
@@ -50,7 +50,7 @@
 		return false // No candidate, or no alternative to it.
 	}
 	best := &c.candidates[c.best]
-	if aboveMS < 0 || best.evidence != evidenceSeen {
+	if aboveMS < 0 || best.evidence != evidenceObserved {
 		return true
 	}
 	return best.queueMS+c.missedSharedMS(best) > aboveMS
--- a/internal/routing/policies.go
+++ b/internal/routing/policies.go
@@ -15,25 +15,25 @@
 	PolicyHashFirst = "hash-first"
 	// PolicyHashLevel takes the preferred server of the shared prefix.
 	PolicyHashLevel = "hash-level"
-	// PolicyBeliefs chooses among random servers and those that this process
+	// PolicyObservations chooses among random servers and those that this process
 	// observed to hold a prefix of the request.
-	PolicyBeliefs = "beliefs"
-	// PolicyPresumption extends PolicyBeliefs with the servers of the shared
+	PolicyObservations = "beliefs"
+	// PolicyAssumptions extends PolicyBeliefs with the servers of the shared
 	// prefix's rendezvous set, which are presumed to hold it.
-	PolicyPresumption = "presumption"
+	PolicyAssumptions = "presumption"
 	// PolicyOffers extends PolicyPresumption: agents may refuse an offer with
 	// their actual cost.
 	PolicyOffers = "offers"
-	// PolicyAskFour probes four candidates for their actual cost before it
+	// PolicyProbeFour probes four candidates for their actual cost before it
 	// chooses.
-	PolicyAskFour = "ask-four"
-	// PolicyAskInDoubt probes four candidates only when that may save time;
+	PolicyProbeFour = "ask-four"
+	// PolicyProbeIfUncertain probes four candidates only when that may save time;
 	// otherwise it offers the request to a server that was seen to hold the
 	// prefix.
-	PolicyAskInDoubt = "ask-in-doubt"
-	// PolicyAskAll probes every server: a bound for comparison, not for
+	PolicyProbeIfUncertain = "ask-in-doubt"
+	// PolicyProbeAll probes every server: a bound for comparison, not for
 	// production.
-	PolicyAskAll = "ask-all"
+	PolicyProbeAll = "ask-all"
 )
 
 // maxDeclines is how many refusals for cost a request may receive before its
@@ -75,12 +75,12 @@
 	{name: PolicyLeastLoad, decide: decideLeastLoad},
 	{name: PolicyHashFirst, decide: decideHashFirst},
 	{name: PolicyHashLevel, decide: decideHashLevel},
-	{name: PolicyBeliefs, sources: []source{fromRandom, fromObservations}},
-	{name: PolicyPresumption, sources: []source{fromRendezvous, fromRandom, fromObservations, presume}},
-	{name: PolicyOffers, sources: []source{fromRefusals, fromRendezvous, fromRandom, fromObservations, presume}, mayDecline: true},
-	{name: PolicyAskFour, sources: []source{fromProbes, fromRendezvous, fromRandom, fromObservations, presume}, probes: probedServers, probeAboveMS: -1, minWidth: probedServers},
-	{name: PolicyAskInDoubt, sources: []source{fromRefusals, fromProbes, fromRendezvous, fromRandom, fromObservations, presume}, mayDecline: true, probes: probedServers, probeAboveMS: defaultProbeAboveMS, minWidth: probedServers},
-	{name: PolicyAskAll, sources: []source{fromProbes}, probeAll: true},
+	{name: PolicyObservations, sources: []source{fromRandom, fromObservations}},
+	{name: PolicyAssumptions, sources: []source{fromRendezvous, fromRandom, fromObservations, assumeSharedHeld}},
+	{name: PolicyOffers, sources: []source{fromRefusals, fromRendezvous, fromRandom, fromObservations, assumeSharedHeld}, mayDecline: true},
+	{name: PolicyProbeFour, sources: []source{fromProbes, fromRendezvous, fromRandom, fromObservations, assumeSharedHeld}, probes: probedServers, probeAboveMS: -1, minWidth: probedServers},
+	{name: PolicyProbeIfUncertain, sources: []source{fromRefusals, fromProbes, fromRendezvous, fromRandom, fromObservations, assumeSharedHeld}, mayDecline: true, probes: probedServers, probeAboveMS: defaultProbeAboveMS, minWidth: probedServers},
+	{name: PolicyProbeAll, sources: []source{fromProbes}, probeAll: true},
 }
 
 // Policies returns the names of all policies.
@@ -94,7 +94,7 @@
 
 func strategyOf(name string) (*strategy, bool) {
 	if name == "" {
-		name = PolicyAskInDoubt
+		name = PolicyProbeIfUncertain
 	}
 	at := slices.IndexFunc(strategies, func(s strategy) bool { return s.name == name })
 	if at < 0 {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -138,7 +138,7 @@
 	decision.Server = best.backend.name
 	decision.Incarnation = best.backend.signals.Incarnation
 	decision.ExpectedMS = best.queueMS + best.prefillMS
-	decision.Final = !r.strategy.mayDecline || c.declined >= maxDeclines || best.evidence == evidenceAsked || c.next < 0
+	decision.Final = !r.strategy.mayDecline || c.declined >= maxDeclines || best.evidence == evidenceProbed || c.next < 0
 	if c.next >= 0 {
 		next := &c.candidates[c.next]
 		// The agent compares this with its own cost, which lacks the terms that
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -110,7 +110,7 @@
 // of an earlier incarnation must not count, also when an answer arrives late.
 func TestObservationOfEarlierIncarnationIsNotUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := routing.New(option(routing.PolicyBeliefs, rapid.Uint64().Draw(t, "seed")))
+		r := routing.New(option(routing.PolicyObservations, rapid.Uint64().Draw(t, "seed")))
 		set := routing.NewSet("p", servers(rapid.IntRange(1, 20).Draw(t, "servers")))
 		observed := uint64(rapid.IntRange(1, 3).Draw(t, "observed"))
 		current := uint64(rapid.IntRange(1, 3).Draw(t, "current"))
@@ -138,7 +138,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		list := servers(rapid.IntRange(1, 60).Draw(t, "servers"))
 		policy := rapid.SampledFrom([]string{
-			routing.PolicyPresumption, routing.PolicyOffers, routing.PolicyAskFour, routing.PolicyAskInDoubt,
+			routing.PolicyAssumptions, routing.PolicyOffers, routing.PolicyProbeFour, routing.PolicyProbeIfUncertain,
 		}).Draw(t, "policy")
 		one := routing.New(option(policy, 1))
 		other := option(policy, 2)
@@ -176,7 +176,7 @@
 // A prefix that was not observed for longer than the server's cache retention
 // has most likely been evicted.
 func TestObservationExpiresWithCacheRetention(t *testing.T) {
-	r := routing.New(option(routing.PolicyBeliefs, 1))
+	r := routing.New(option(routing.PolicyObservations, 1))
 	set := routing.NewSet("p", servers(1))
 	r.UpdateState(epoch, "runner-0", state(1, 0))
 	r.ObserveCache(epoch, "runner-0", document(1, 1), 1<<20, 1)
@@ -253,8 +253,8 @@
 
 // A server is presumed to hold the prefixes of which it is a preferred server
 // until its agent reports that it does not.
-func TestPresumedCacheEndsWithAnswer(t *testing.T) {
-	r := routing.New(option(routing.PolicyPresumption, 1))
+func TestAssumedCacheEndsWithReply(t *testing.T) {
+	r := routing.New(option(routing.PolicyAssumptions, 1))
 	set := routing.NewSet("p", servers(12))
 	req := document(1, 1)
 	first, err := r.Choose(epoch, req, pool, set, nil)
@@ -277,7 +277,7 @@
 
 // The agents' exact answers decide: here the holder of the prefix has a queue
 // that costs more than prefill at another server.
-func TestProbeAnswersDecide(t *testing.T) {
+func TestProbeRepliesDecide(t *testing.T) {
 	r := routing.New(option("", 1))
 	set := routing.NewSet("p", servers(12))
 	req := document(1, 1)
--- a/internal/routing/sources.go
+++ b/internal/routing/sources.go
@@ -106,7 +106,7 @@
 		return
 	}
 	if cand := c.add(index, sourceAsked); cand != nil {
-		cand.evidence, cand.exactMS, cand.cachedBytes = evidenceAsked, costMS, cachedBytes
+		cand.evidence, cand.exactMS, cand.cachedBytes = evidenceProbed, costMS, cachedBytes
 	}
 }
 
@@ -128,33 +128,33 @@
 			cand := c.find(h.server)
 			if cand == nil && added < observedCandidates && r.filter.reason(c, index) == "" {
 				added++
-				cand = c.add(index, sourceBelief)
+				cand = c.add(index, sourceObservation)
 			}
 			if cand != nil && cand.evidence == evidenceNone {
-				cand.evidence, cand.cachedBytes = evidenceSeen, int(point.GetBytes())
+				cand.evidence, cand.cachedBytes = evidenceObserved, int(point.GetBytes())
 			}
 		}
 	}
 }
 
-// presume assumes that the servers of the prefix's set hold the shared prefix,
+// assumeSharedHeld assumes that the servers of the prefix's set hold the shared prefix,
 // as other processes send requests with it there as well, unless an agent
 // reported otherwise.
-func presume(r *Router, c *choice) {
+func assumeSharedHeld(r *Router, c *choice) {
 	if c.shared == nil {
 		return
 	}
 	point := c.req.Chain[c.sharedPoint]
 	for i := range c.candidates[:c.n] {
 		cand := &c.candidates[i]
-		shallower := cand.evidence == evidenceSeen && cand.cachedBytes < int(point.GetBytes())
+		shallower := cand.evidence == evidenceObserved && cand.cachedBytes < int(point.GetBytes())
 		if cand.evidence != evidenceNone && !shallower {
 			continue
 		}
 		if !c.shared.includes(cand.index) || r.observedAbsent(c, cand.backend, point.GetHash()) {
 			continue
 		}
-		cand.evidence, cand.cachedBytes = evidencePresumed, int(point.GetBytes())
+		cand.evidence, cand.cachedBytes = evidenceAssumed, int(point.GetBytes())
 	}
 }
 
