--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -65,7 +65,7 @@
 }
 
 // Failed records that a request failed because of the server or the connection to
-// it: not reached, no answer in time, engine down, truncated answer. Proper
+// it: not reached, no response in time, engine down, truncated response. Proper
 // refusals (server full, cost too high, draining) are no failures.
 func (m *Members) Failed(now time.Time, server string) {
 	b := m.members[server]
--- a/internal/membership/facts.go
+++ b/internal/membership/facts.go
@@ -40,7 +40,7 @@
 func (f *facts) gone() bool { return f.vm == platform.VMGone && !f.aliveAt.After(f.goneAt) }
 
 // expire drops old reports. A server that drained and was replaced at the same
-// address could not correct its report: it receives no requests, so no answer of
+// address could not correct its report: it receives no requests, so no reply of
 // its agent arrives, and it would stay out for ever. If it is still draining, it
 // refuses the next offer before anything runs, which renews the report.
 func (f *facts) expire(now time.Time, settings Settings) {
@@ -64,9 +64,9 @@
 	}
 }
 
-// ReceiveAgentState records the state that was sent with an agent's answer. A
+// ReceiveAgentState records the state that was sent with an agent's reply. A
 // report that the server drains takes effect at once. A report to the contrary
-// does so only after the reorder window or from a newer incarnation: answers can
+// does so only after the reorder window or from a newer incarnation: replies can
 // arrive out of order, and an older one must not return a draining server.
 func (m *Members) ReceiveAgentState(now time.Time, server string, state *jayv1.AgentState) {
 	b := m.members[server]
@@ -97,7 +97,7 @@
 	}
 }
 
-// ReceiveVMs records an answer of the platform's list. A VM is matched by the
+// ReceiveVMs records a response of the platform's list. A VM is matched by the
 // name of the backend server, otherwise by its IP address if only one server has
 // it.
 func (m *Members) ReceiveVMs(now time.Time, list platform.VMList) {
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -1,6 +1,6 @@
 // Package membership determines which backend servers may receive requests. Its
 // sources are the catalog, the platform's list of VMs (which lags), the state in
-// the agents' answers, the results of the entry's own requests and updates from
+// the agents' replies, the results of the entry's own requests and updates from
 // other entries. It has no I/O, goroutines or clock; callers provide the locking.
 //
 // Facts and conclusions are kept apart. That a server is draining or gone is a
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// Guards against a draining server that returns to service because an older answer
+// Guards against a draining server that returns to service because an older reply
 // of its agent or a lagging VM list arrives later.
 func TestOlderReportsDoNotReturnADrainingServer(t *testing.T) {
 	m, _ := pool(3)
--- a/internal/routing/backend.go
+++ b/internal/routing/backend.go
@@ -51,7 +51,7 @@
 
 func (b *backend) update(now time.Time, state *jayv1.AgentState) bool {
 	if b.hasState() && state.GetIncarnation() < b.signals.Incarnation {
-		// The answer was delayed past a restart of the engine.
+		// The reply was delayed past a restart of the engine.
 		return false
 	}
 	b.signals = Signals{
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -21,12 +21,12 @@
 )
 
 // Evidence for a candidate's cached bytes, by its name in explanations: none,
-// an observation, membership in the shared prefix's set, or the agent's answer
-// about this request.
+// an observation, membership in the shared prefix's set, or the agent's reply
+// to a probe or offer of this request.
 const (
-	evidenceNone    = "none"
-	evidenceObserved    = "seen"
-	evidenceAssumed = "presumed"
+	evidenceNone     = "none"
+	evidenceObserved = "seen"
+	evidenceAssumed  = "presumed"
 	evidenceProbed   = "asked"
 )
 
@@ -41,7 +41,7 @@
 
 	cachedBytes int
 	// exactMS is the queue and prefill time that the agent answered for this
-	// request; negative: no answer.
+	// request; negative: no reply.
 	exactMS     float64
 	queueMS     float64
 	prefillMS   float64
--- a/internal/routing/direct.go
+++ b/internal/routing/direct.go
@@ -74,7 +74,7 @@
 )
 
 // Direct chooses among backend servers that are called without an agent, from
-// the requests that it placed, the servers' answers and the hints of other
+// the requests that it placed, the servers' responses and the hints of other
 // entries. It is not safe for concurrent use.
 type Direct struct {
 	options  DirectOptions
--- a/internal/routing/direct_types.go
+++ b/internal/routing/direct_types.go
@@ -46,7 +46,7 @@
 	// Prefix holds the parts that other requests may share, outermost first.
 	Prefix []call.Part
 	// Tokens of the whole prompt; OutputTokens is the upper bound for the
-	// answer.
+	// output.
 	Tokens       int
 	OutputTokens int
 	// MemoryShare is the share of a server's memory that this request may use;
--- a/internal/routing/enginemodel_test.go
+++ b/internal/routing/enginemodel_test.go
@@ -52,7 +52,7 @@
 	// prefill.
 	save    string
 	arrived float64
-	// uncached prompt tokens still to prefill, generated tokens of the answer.
+	// uncached prompt tokens still to prefill, generated tokens of the output.
 	uncached, generated int
 	parts               []*list.Element
 }
@@ -150,7 +150,7 @@
 	e.enqueue(run)
 }
 
-// pinned counts the tokens of parts in use and of answers.
+// pinned counts the tokens of parts in use and of outputs.
 func (e *modelEngine) pinned() int {
 	sum := 0
 	for at := e.order.Front(); at != nil; at = at.Next() {
--- a/internal/routing/fleetmodel_test.go
+++ b/internal/routing/fleetmodel_test.go
@@ -23,14 +23,14 @@
 	// Shared parts of the prompts: tokens of one and number of different ones.
 	commonTokens, commons     int
 	documentTokens, documents int
-	// output is the mean length of an answer in tokens; callers declare three
+	// output is the mean length of an output in tokens; callers declare three
 	// times that as the upper bound.
 	output              int
 	targetMS, timeoutMS float64
 	// firstTokenTimeoutMS is the time to the first token after which a caller
 	// gives up.
 	firstTokenTimeoutMS float64
-	// credit of an answer whose first token meets targetMS, and of a later one.
+	// credit of a response whose first token meets targetMS, and of a later one.
 	credit, lateCredit float64
 	priority           int // 0: the highest
 }
--- a/internal/routing/overload_test.go
+++ b/internal/routing/overload_test.go
@@ -13,7 +13,7 @@
 	_ "github.com/jayproxy/jayproxy/internal/testseed" // fixed seed
 )
 
-// longAndShort is a mix of long prompts with long answers and many short ones.
+// longAndShort is a mix of long prompts with long outputs and many short ones.
 // At scale 1.4 its running requests nearly fill the memory of 16 engines.
 func longAndShort(scale float64) []*modelClass {
 	return []*modelClass{
--- a/internal/routing/policies.go
+++ b/internal/routing/policies.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Names of the policies, as in settings. PolicyAskInDoubt is the default; the
+// Names of the policies, as in settings. PolicyProbeIfUncertain is the default; the
 // others are baselines and bounds for experiments.
 const (
 	// PolicyRandom takes any usable server.
@@ -18,10 +18,10 @@
 	// PolicyObservations chooses among random servers and those that this process
 	// observed to hold a prefix of the request.
 	PolicyObservations = "beliefs"
-	// PolicyAssumptions extends PolicyBeliefs with the servers of the shared
-	// prefix's rendezvous set, which are presumed to hold it.
+	// PolicyAssumptions extends PolicyObservations with the servers of the shared
+	// prefix's rendezvous set, which are assumed to hold it.
 	PolicyAssumptions = "presumption"
-	// PolicyOffers extends PolicyPresumption: agents may refuse an offer with
+	// PolicyOffers extends PolicyAssumptions: agents may refuse an offer with
 	// their actual cost.
 	PolicyOffers = "offers"
 	// PolicyProbeFour probes four candidates for their actual cost before it
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -22,7 +22,7 @@
 )
 
 // Router chooses backend servers that have an agent, from the state and the
-// cached prefixes that the agents' answers reported. It is not safe for
+// cached prefixes that the agents' replies reported. It is not safe for
 // concurrent use.
 type Router struct {
 	options   Options
@@ -132,7 +132,7 @@
 		return decision, ErrNoServer
 	}
 	best := &c.candidates[c.best]
-	// The work counts as queued there until the answer reports the queue, so
+	// The work counts as queued there until the reply reports the queue, so
 	// that concurrent requests do not all go to the same server.
 	best.backend.offeredMS += best.prefillMS
 	decision.Server = best.backend.name
@@ -196,7 +196,7 @@
 	return all
 }
 
-// UpdateState records the state that came with an agent's answer.
+// UpdateState records the state that came with an agent's reply.
 func (r *Router) UpdateState(now time.Time, server string, state *jayv1.AgentState) {
 	if state == nil {
 		return
@@ -219,7 +219,7 @@
 }
 
 // HandedOff records that a server accepted the request and expects its first
-// token after expectedMS. Call UpdateState with the state of the same answer
+// token after expectedMS. Call UpdateState with the state of the same reply
 // before: it counts the request already. The prompt is taken to be cached there
 // from now on.
 func (r *Router) HandedOff(now time.Time, server string, req *Request, expectedMS float64) {
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -107,7 +107,7 @@
 }
 
 // An engine that restarted under the same name has an empty cache: observations
-// of an earlier incarnation must not count, also when an answer arrives late.
+// of an earlier incarnation must not count, also when a reply arrives late.
 func TestObservationOfEarlierIncarnationIsNotUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := routing.New(option(routing.PolicyObservations, rapid.Uint64().Draw(t, "seed")))
@@ -251,7 +251,7 @@
 	assert.Len(t, busy.ProbeServers, 4, "the queue of the best candidate justifies probing")
 }
 
-// A server is presumed to hold the prefixes of which it is a preferred server
+// A server is assumed to hold the prefixes of which it is a preferred server
 // until its agent reports that it does not.
 func TestAssumedCacheEndsWithReply(t *testing.T) {
 	r := routing.New(option(routing.PolicyAssumptions, 1))
@@ -275,7 +275,7 @@
 	assert.Equal(t, "none", evidence())
 }
 
-// The agents' exact answers decide: here the holder of the prefix has a queue
+// The agents' exact replies decide: here the holder of the prefix has a queue
 // that costs more than prefill at another server.
 func TestProbeRepliesDecide(t *testing.T) {
 	r := routing.New(option("", 1))
--- a/internal/routing/scorer.go
+++ b/internal/routing/scorer.go
@@ -27,7 +27,7 @@
 	cand.prefillMS = float64(missed) * b.byteMS
 	cand.queueMS = b.queueMS(c.now, c.averageQueueMS)
 	if cand.exactMS >= 0 {
-		// The agent's answer replaces our estimate of the queue.
+		// The agent's reply replaces our estimate of the queue.
 		cand.queueMS = max(0, cand.exactMS-cand.prefillMS)
 	}
 	cand.recomputeMS = c.recomputeMS(cand)
--- a/internal/routing/trial_test.go
+++ b/internal/routing/trial_test.go
@@ -20,7 +20,7 @@
 // the calls. jay-load measures the real processes.
 const (
 	trialPrefillRate = 10000.0 // tokens per second
-	trialHopMS       = 1.0     // one offer or probe and its answer
+	trialHopMS       = 1.0     // one offer or probe and its reply
 	trialOutputMS    = 150.0   // from the first token to the end
 	trialCacheShare  = 0.75    // of the working set, over all servers
 )
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -21,7 +21,7 @@
 }
 
 // Signals is the last state received from a backend server's agent; agents
-// attach it to every answer. At is the time of receipt; the zero value means
+// attach it to every reply. At is the time of receipt; the zero value means
 // that no state was received yet.
 type Signals struct {
 	At                     time.Time
@@ -61,7 +61,7 @@
 	PromptBytes int
 	// DataCentres that the routing rule allows; empty: all.
 	DataCentres []string
-	// Probes holds the answers of the agents named in Decision.ProbeServers;
+	// Probes holds the replies of the agents named in Decision.ProbeServers;
 	// nil before they were probed.
 	Probes []Probe
 }
@@ -116,7 +116,7 @@
 
 // Options configure a Router.
 type Options struct {
-	// Policy is the name of the policy; empty: PolicyAskInDoubt.
+	// Policy is the name of the policy; empty: PolicyProbeIfUncertain.
 	Policy string
 	// DataCentre and Region of this process.
 	DataCentre string
