--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -196,7 +196,7 @@
 // free memory. A stream that has begun does not wait, since its caller would
 // see the pause.
 func (j *job) chooseServer() (routing.DirectChoice, error) {
-	if j.separation = j.separationKey(); j.separation != 0 {
+	if j.suspectKey = j.computeSuspectKey(); j.suspectKey != 0 {
 		return j.place(false)
 	}
 	choice, err := j.placeByOwners(j.stream.delivered == 0)
@@ -227,7 +227,7 @@
 // routingRequest returns the request as the router needs it. The state must be
 // locked.
 func (j *job) routingRequest(s *state) routing.DirectRequest {
-	request := routing.DirectRequest{ID: j.head.ID, SuspectKey: j.separation}
+	request := routing.DirectRequest{ID: j.head.ID, SuspectKey: j.suspectKey}
 	if j.modelName() == "" {
 		return request
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -206,8 +206,8 @@
 	for service, budget := range s.retryBudgets {
 		g.metrics.Gauge("retry_budget", service, int64(budget.Available(now)))
 	}
-	for _, model := range s.weights.Models() {
-		g.metrics.Gauge("weights_named", model, int64(s.weights.Newest(model))) //nolint:gosec // a count
+	for _, model := range s.targets.Models() {
+		g.metrics.Gauge("weights_named", model, int64(s.targets.Newest(model))) //nolint:gosec // a count
 	}
 	suspects, quarantined := s.suspects.counts()
 	g.metrics.Gauge("suspected_requests", "known", int64(suspects))
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -68,12 +68,12 @@
 	j.respondUnavailable(reason, retryAfter)
 }
 
-// separationKey returns the key that keeps a suspect request apart from other
+// computeSuspectKey returns the key that keeps a suspect request apart from other
 // suspects; 0: it is none. The key changes with each crash, so that two
 // suspects that met at a server are separated. By their prefix they would all
 // go to the same preferred server, and a crash could not be attributed to one
 // of them.
-func (j *job) separationKey() uint64 {
+func (j *job) computeSuspectKey() uint64 {
 	crashes := len(j.interruptedEarly)
 	if j.isSuspect() {
 		crashes += j.gateway.state.suspects.crashCount(j.fingerprint())
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -211,7 +211,7 @@
 func (g *Gateway) handleWeights(c echo.Context) error {
 	s := g.state
 	s.mu.Lock()
-	steps := s.weights.History(time.Now())
+	steps := s.targets.History(time.Now())
 	s.mu.Unlock()
 	return c.JSON(http.StatusOK, steps)
 }
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -266,7 +266,7 @@
 	if !s.shards.MayAsk(now) {
 		return ask, nil
 	}
-	return ask, s.assignmentLocked(now, j.service.Name).OwnersFor(request.RendezvousKey(s.weights.Newest(ask.Model)))
+	return ask, s.assignmentLocked(now, j.service.Name).OwnersFor(request.RendezvousKey(s.targets.Newest(ask.Model)))
 }
 
 // acceptOffer places the request at the offered server and counts it there. It
--- a/internal/gateway/ranks.go
+++ b/internal/gateway/ranks.go
@@ -75,8 +75,8 @@
 // small fleets the first of each data centre read from the store: that takes few calls,
 // and a second hop would exceed the bound of two seconds on the age of the data.
 func (p *peers) relays(now time.Time) (relays []string, hops int) {
-	answers := func(e entryRow) bool { return !now.Before(p.skipUntil[e.Address]) }
-	rank, before := p.rank(func(e entryRow) bool { return e.DataCentre == p.dataCentre && answers(e) })
+	responsive := func(e entryRow) bool { return !now.Before(p.skipUntil[e.Address]) }
+	rank, before := p.rank(func(e entryRow) bool { return e.DataCentre == p.dataCentre && responsive(e) })
 	large := p.count() > maxUnshardedEntries
 	if rank >= relaysPerDataCentre {
 		if large {
@@ -84,7 +84,7 @@
 		}
 		return before[:relaysPerDataCentre], hops
 	}
-	rank, before = p.rank(answers)
+	rank, before = p.rank(responsive)
 	if large && rank >= storeReaders {
 		return before[:storeReaders], 0
 	}
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -130,7 +130,7 @@
 		plan = rollout.New()
 		r.plans[model.name] = plan
 	}
-	actions := plan.Tick(now, model.wanted, model.servers)
+	actions := plan.Tick(now, model.target, model.servers)
 	fence := r.fence
 	r.mu.Unlock()
 	var updates []switchUpdate
@@ -142,7 +142,7 @@
 		case rollout.Order:
 			updates = append(updates, switchUpdate{Server: action.Server, Model: model.name, Version: action.Version, ForMS: orderDuration.Milliseconds(), Ordered: true})
 			go r.order(ctx, plan, model.name, action, fence)
-		case rollout.Look:
+		case rollout.Query:
 			go r.queryReport(ctx, plan, model.name, action)
 		case rollout.Withdraw:
 			updates = append(updates, switchUpdate{Server: action.Server, Model: model.name, Withdrawn: true})
@@ -155,7 +155,7 @@
 // heartbeat shows the other entries of a large fleet that this holder is active, while any
 // server has older weights. Most of them receive no updates on single servers.
 func (r *rollouts) heartbeat(now time.Time, model rollingModel) {
-	working := slices.ContainsFunc(model.servers, func(s rollout.Server) bool { return s.Version < model.wanted })
+	working := slices.ContainsFunc(model.servers, func(s rollout.Server) bool { return s.Version < model.target })
 	if !working || !r.gateway.sharded() || now.Sub(r.heartbeatAt) < heartbeatInterval {
 		return
 	}
@@ -218,7 +218,7 @@
 // be ordered to load it.
 type rollingModel struct {
 	name    string
-	wanted  uint64
+	target  uint64
 	servers []rollout.Server
 }
 
@@ -230,8 +230,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var rolling []rollingModel
-	for _, name := range s.weights.Models() {
-		model := rollingModel{name: name, wanted: s.weights.Newest(name)}
+	for _, name := range s.targets.Models() {
+		model := rollingModel{name: name, target: s.targets.Newest(name)}
 		for _, b := range s.list.All() {
 			if _, has := b.Versions[name]; !has || b.Draining || s.list.Ended(now, b.ID) || now.Sub(s.orderedAt[b.Instance]) < s.settings.LeaseTime {
 				continue
@@ -265,7 +265,7 @@
 	defer s.mu.Unlock()
 	oldest := time.Duration(0)
 	for key, version := range s.versions {
-		oldest = max(oldest, s.weights.Age(now, key.model, version))
+		oldest = max(oldest, s.targets.Age(now, key.model, version))
 	}
 	return oldest
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -61,9 +61,9 @@
 	interruptedEarly []string
 	// hashes identify the request across the caller's attempts.
 	hashes quarantine.Hashes
-	// separation keeps suspect requests on different servers; 0: the request is no
+	// suspectKey keeps suspect requests on different servers; 0: the request is no
 	// suspect.
-	separation uint64
+	suspectKey uint64
 	// trial is the number of this attempt's trial run of a quarantined request; 0:
 	// the attempt is no trial.
 	trial int
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -38,7 +38,7 @@
 
 	mu      sync.Mutex
 	list    *fleet.List
-	weights *weights.Targets
+	targets *weights.Targets
 	members *membership.Members
 	// router places this entry's requests when no owner is asked, and counts all requests
 	// that this entry sends. shardRouter places requests of all entries on servers in the
@@ -92,7 +92,7 @@
 	return &state{
 		settings: settings, closeIdle: closeIdle,
 		list:    fleet.NewList(listGrace),
-		weights: weights.NewTargets(),
+		targets: weights.NewTargets(),
 		members: membership.New(membership.DefaultSettings()),
 		router: routing.NewDirect(routing.DirectOptions{
 			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin,
@@ -128,7 +128,7 @@
 func (s *state) setTarget(now time.Time, target weights.Target, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.weights.Set(now, target) {
+	if s.targets.Set(now, target) {
 		klog.InfoS("New weights named", "model", target.Model, "version", target.Version, "source", source)
 	}
 }
@@ -138,7 +138,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for model, history := range steps {
-		s.weights.MergeHistory(now, model, history)
+		s.targets.MergeHistory(now, model, history)
 	}
 }
 
@@ -232,7 +232,7 @@
 func (s *state) inferNextVersion(server, model string, assumed uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.weights.Newest(model) != assumed+1 {
+	if s.targets.Newest(model) != assumed+1 {
 		return false
 	}
 	s.observeVersionLocked(server, model, assumed+1, "refusal")
@@ -294,7 +294,7 @@
 		server.KVTokens = service.Engine.KVCapacityTokens
 	}
 	server.Version = s.versions[versionKey{b.ID, model}]
-	server.VersionAge = s.weights.Age(now, model, server.Version)
+	server.VersionAge = s.targets.Age(now, model, server.Version)
 	return server
 }
 
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -29,8 +29,8 @@
 	// Order the server to load Version, provided that it has accepted Orders orders
 	// so far.
 	Order
-	// Look queries the server's state; the answer goes to ObserveState.
-	Look
+	// Query queries the server's state; the answer goes to ObserveState.
+	Query
 	// Withdraw an announcement: the server may get requests again.
 	Withdraw
 )
@@ -219,7 +219,7 @@
 		}
 		if now.Sub(pr.since) >= p.loadTime && !now.Before(pr.lookAt) {
 			pr.lookAt = now.Add(lookInterval)
-			return []Action{{Kind: Look, Server: s.ID, Address: s.Address}}
+			return []Action{{Kind: Query, Server: s.ID, Address: s.Address}}
 		}
 	case announced:
 		if !pr.stateKnown && now.Sub(pr.since) >= stateTimeout {
@@ -230,7 +230,7 @@
 		}
 		if !pr.stateKnown && !now.Before(pr.lookAt) {
 			pr.lookAt = now.Add(2 * lookInterval)
-			return []Action{{Kind: Look, Server: s.ID, Address: s.Address}}
+			return []Action{{Kind: Query, Server: s.ID, Address: s.Address}}
 		}
 	}
 	return nil
@@ -289,7 +289,7 @@
 		pr.phase, pr.since, pr.stateKnown, pr.lookAt = announced, now, false, time.Time{}
 		actions = append(actions,
 			Action{Kind: Announce, Server: s.ID, Address: s.Address, Version: target},
-			Action{Kind: Look, Server: s.ID, Address: s.Address})
+			Action{Kind: Query, Server: s.ID, Address: s.Address})
 		pr.lookAt = now.Add(2 * lookInterval)
 	}
 	return actions
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -78,7 +78,7 @@
 		return
 	}
 	switch a.Kind {
-	case rollout.Look:
+	case rollout.Query:
 		sim.plan.ObserveState(a.Server, rollout.ServerState{Orders: sim.orders[a.Server]})
 	case rollout.Order:
 		if sim.lose(a.Server) {
@@ -211,7 +211,7 @@
 				announced[a.Server] = true
 			case rollout.Order, rollout.Withdraw:
 				delete(announced, a.Server)
-			case rollout.Look:
+			case rollout.Query:
 			}
 		}
 		idle += len(announced)
