--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -29,7 +29,7 @@
 	// Order the server to load Version, provided that it has accepted Orders orders
 	// so far.
 	Order
-	// Query queries the server's state; the answer goes to ObserveState.
+	// Query asks the server for its state; the report goes to ObserveState.
 	Query
 	// Withdraw an announcement: the server may get requests again.
 	Withdraw
