--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,6 +1,6 @@
 // Package call defines types for the headers of forwarded calls: those of a caller's
 // request, those that the router adds for the backend server, and those of the
-// answer. Wire formats are converted to these types at the edge and used nowhere
+// response. Wire formats are converted to these types at the edge and used nowhere
 // else.
 package call
 
@@ -28,7 +28,7 @@
 	// Timeout is how long the caller waits; 0: not given.
 	Timeout time.Duration
 	Model   string
-	// InputTokens is the length of the prompt, OutputTokens the longest answer.
+	// InputTokens is the length of the prompt, OutputTokens that of the longest output.
 	InputTokens  int
 	OutputTokens int
 	Parts        []Part
@@ -72,7 +72,7 @@
 	LastEventID string
 }
 
-// Load is the load that a backend server reports with an answer: its running and
+// Load is the load that a backend server reports with a response: its running and
 // waiting requests, and how many it can run at once.
 type Load struct {
 	Running int
@@ -80,14 +80,14 @@
 	Slots   int
 }
 
-// Answer holds the status and headers of a backend server's answer.
-type Answer struct {
+// ResponseHead holds the status and headers of a backend server's response.
+type ResponseHead struct {
 	Status int
 	// ID of the request that it belongs to; empty: not given.
 	ID string
 	// NotRun: the backend server states that the request did not run there.
 	NotRun bool
-	// Sealed: the answer carries a seal, the backend server's signature.
+	// Sealed: the response carries a seal, the backend server's signature.
 	Sealed bool
 	// HasLoad: Load was reported.
 	HasLoad bool
@@ -106,15 +106,15 @@
 	Instance string
 }
 
-// Refused reports whether the answer proves that the request did not run. Status 421
+// Refused reports whether the response proves that the request did not run. Status 421
 // (Misdirected Request) does so, too.
-func (a *Answer) Refused() bool { return a.NotRun || a.Status == 421 }
+func (h *ResponseHead) Refused() bool { return h.NotRun || h.Status == 421 }
 
 // Report is the state that a backend server reports of itself, a few hundred
 // milliseconds old.
 type Report struct {
-	// StartedAt is when the server started, in Unix ms; 0: not given.
-	StartedAt int64
+	// StartedMS is when the server started, in Unix ms; 0: not given.
+	StartedMS int64
 	// Versions of the loaded weights, by model.
 	Versions map[string]uint64
 	// Busy: it is loading weights.
@@ -137,9 +137,9 @@
 	Dropped bool
 }
 
-// StoreChanges lists what a KV cache store has stored and evicted since an earlier
+// KVStoreChanges lists what a KV cache store has stored and evicted since an earlier
 // call. Changes are listed about 100 ms late, and a few never are.
-type StoreChanges struct {
+type KVStoreChanges struct {
 	// Epoch changes when the store restarts, empty.
 	Epoch uint64
 	// Next is the position at which the next call continues. Lost: some changes since
@@ -191,7 +191,7 @@
 
 // The outcomes.
 const (
-	// OrderUnknown: no answer; the order may still be carried out at any time.
+	// OrderUnknown: no response; the order may still be carried out at any time.
 	OrderUnknown OrderOutcome = iota
 	// OrderAccepted: it is being carried out.
 	OrderAccepted
--- a/internal/entry/attempt_test.go
+++ b/internal/entry/attempt_test.go
@@ -15,15 +15,15 @@
 	"github.com/jayproxy/jayproxy/internal/transport"
 )
 
-// cancelWatch is an agent that reports for each stream whether it was cancelled.
+// cancelWatch is an agent that reports for each stream whether it was canceled.
 type cancelWatch struct {
-	node      *transport.Node
-	cancelled chan bool
+	node     *transport.Node
+	canceled chan bool
 }
 
 func newCancelWatch(t *testing.T, authority *keys.Authority) *cancelWatch {
 	t.Helper()
-	w := &cancelWatch{cancelled: make(chan bool, 1)}
+	w := &cancelWatch{canceled: make(chan bool, 1)}
 	w.node = nodeOf(t, authority, keys.RoleAgent, "b1", w.serve)
 	return w
 }
@@ -32,11 +32,11 @@
 	for {
 		frame := &jayv1.ClientFrame{}
 		if s.Receive(frame) != nil {
-			w.cancelled <- false
+			w.canceled <- false
 			return
 		}
 		if frame.GetCancel() != nil {
-			w.cancelled <- true
+			w.canceled <- true
 			return
 		}
 	}
@@ -56,7 +56,7 @@
 	return node
 }
 
-// Guards against cancelling a resumable request when its caller disconnects while
+// Guards against canceling a resumable request when its caller disconnects while
 // the entry sends an acknowledgement to the agent, which fails as a link error.
 func TestDisconnectDuringAcknowledgementKeepsResumableStream(t *testing.T) {
 	sendFailed := eris.New("send frame: deadline exceeded")
@@ -90,7 +90,7 @@
 			a.interrupted(ctx, tt.err)
 			assert.True(t, a.ended())
 			assert.True(t, a.endedByCaller(), "the end is attributed to the caller, not to the server")
-			assert.Equal(t, tt.cancel, <-agent.cancelled)
+			assert.Equal(t, tt.cancel, <-agent.canceled)
 		})
 	}
 }
--- a/internal/entry/fakeagent_test.go
+++ b/internal/entry/fakeagent_test.go
@@ -26,9 +26,9 @@
 	mu sync.Mutex
 	// refuse returns the refusal of an offer; nil accepts it.
 	refuse func(offer *jayv1.Offer) *jayv1.OfferReply
-	// answer emits the chunks of an accepted request and returns its End; it may
+	// respond emits the chunks of an accepted request and returns its End; it may
 	// block.
-	answer func(offer *jayv1.Offer, body []byte, emit func(data string)) *jayv1.End
+	respond func(offer *jayv1.Offer, body []byte, emit func(data string)) *jayv1.End
 	// cuts is how many times the link is aborted: first after cutAfter chunks,
 	// then one chunk later each time.
 	cutAfter, cuts int
@@ -40,7 +40,7 @@
 	cutBody int
 	// cutReply is how many times the link is aborted instead of accepting an offer.
 	cutReply int
-	// head of a plain service's answer, nil for none.
+	// head of a plain service's response, nil for none.
 	head *jayv1.ServiceHead
 
 	offers  []*jayv1.Offer
@@ -152,7 +152,7 @@
 	f.bodies = append(f.bodies, body)
 	f.runs[offer.GetRequestId()]++
 	f.kept[key(offer.GetRequestId(), offer.GetAttempt())] = kept
-	answer := f.answer
+	answer := f.respond
 	f.mu.Unlock()
 	if answer == nil {
 		answer = tokens(3)
@@ -261,7 +261,7 @@
 }
 
 // listen receives the entry's frames until an error. io.EOF means that the entry
-// has the complete answer.
+// has the complete response.
 func (f *fakeAgent) listen(s *transport.Stream, kept *keptStream) error {
 	for {
 		frame := &jayv1.ClientFrame{}
@@ -327,7 +327,7 @@
 	return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_DONE, Usage: &jayv1.Usage{PromptTokens: 100, CachedTokens: 60, OutputTokens: 3}}
 }
 
-// tokens answers a streaming request with n chunks, any other with one answer.
+// tokens answers a streaming request with n chunks, any other with one response.
 func tokens(n int) func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
 	return func(offer *jayv1.Offer, _ []byte, emit func(string)) *jayv1.End {
 		if offer.GetService() != "" {
@@ -335,7 +335,7 @@
 			return done()
 		}
 		if !offer.GetStream() {
-			emit(completeAnswer)
+			emit(completeResponse)
 			return done()
 		}
 		for i := range n {
@@ -358,4 +358,4 @@
 	}
 }
 
-const completeAnswer = `{"id":"c","object":"chat.completion","model":"modelos","choices":[{"index":0,"message":{"role":"assistant","content":"ready"},"finish_reason":"stop"}],"usage":{"prompt_tokens":100,"completion_tokens":1,"total_tokens":101,"prompt_tokens_details":{"cached_tokens":60}}}`
+const completeResponse = `{"id":"c","object":"chat.completion","model":"modelos","choices":[{"index":0,"message":{"role":"assistant","content":"ready"},"finish_reason":"stop"}],"usage":{"prompt_tokens":100,"completion_tokens":1,"total_tokens":101,"prompt_tokens_details":{"cached_tokens":60}}}`
--- a/internal/entry/handover_test.go
+++ b/internal/entry/handover_test.go
@@ -56,7 +56,7 @@
 		return tokens(3)(offer, body, emit)
 	}
 	for _, a := range s.agents {
-		a.set(func(f *fakeAgent) { f.answer = answer })
+		a.set(func(f *fakeAgent) { f.respond = answer })
 	}
 	e := s.entry("e1", func(settings *entry.Settings) { settings.Attempts.RetryBurst = 4 })
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
@@ -93,7 +93,7 @@
 		return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine failed"}
 	}
 	for _, a := range s.agents {
-		a.set(func(f *fakeAgent) { f.refuse, f.answer = refuse, answer })
+		a.set(func(f *fakeAgent) { f.refuse, f.respond = refuse, answer })
 	}
 	e := s.entry("e1")
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatPlain)
@@ -102,13 +102,13 @@
 }
 
 // A request to an engine that hangs ends at its deadline with an unknown outcome
-// and is cancelled at the agent.
+// and is canceled at the agent.
 func TestRequestTimesOutAtDeadline(t *testing.T) {
 	s := newDeployment(t, "b1")
 	release := make(chan struct{})
 	defer close(release)
 	s.agents[0].set(func(f *fakeAgent) {
-		f.answer = func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
+		f.respond = func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
 			<-release
 			return done()
 		}
@@ -129,10 +129,10 @@
 	assert.LessOrEqual(t, offer.GetDeadlineMs(), uint32(200))
 	require.Eventually(t, func() bool {
 		return s.agents[0].count(func(f *fakeAgent) int { return f.cancels }) == 1
-	}, time.Second, time.Millisecond, "the request is cancelled at the agent")
+	}, time.Second, time.Millisecond, "the request is canceled at the agent")
 }
 
-// A server that the platform lists as leaving gets no new requests.
+// A server that the platform lists as draining gets no new requests.
 func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	table := platformtest.New()
 	s := newDeployment(t, "b1", "b2")
@@ -158,7 +158,7 @@
 	listedAt := time.Now()
 	require.Eventually(t, func() bool { return time.Since(listedAt) >= 3*time.Second }, 4*time.Second, 10*time.Millisecond)
 	for range 6 {
-		assert.Zero(t, send(), "b1 gets no offer 3 s after it was listed as leaving")
+		assert.Zero(t, send(), "b1 gets no offer 3 s after it was listed as draining")
 	}
 }
 
@@ -203,7 +203,7 @@
 func TestGracefulShutdownInterruptsNoRequest(t *testing.T) {
 	s := newDeployment(t, "b1", "b2")
 	for _, a := range s.agents {
-		a.set(func(f *fakeAgent) { f.answer = paced(20, 5*time.Millisecond) })
+		a.set(func(f *fakeAgent) { f.respond = paced(20, 5*time.Millisecond) })
 	}
 	var current atomic.Pointer[entry.Entry]
 	current.Store(s.entry("e0", func(settings *entry.Settings) { settings.Timeouts.GraceMS = 100 }))
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -196,7 +196,7 @@
 // free memory. A stream that has begun does not wait, since its caller would
 // see the pause.
 func (j *job) chooseServer() (routing.DirectChoice, error) {
-	if j.separation = j.separationKey(); j.separation != 0 {
+	if j.suspectKey = j.computeSuspectKey(); j.suspectKey != 0 {
 		return j.place(false)
 	}
 	choice, err := j.placeByOwners(j.stream.delivered == 0)
@@ -206,7 +206,7 @@
 	return choice, err
 }
 
-// place asks the router for a server. With mayWait it returns routing.ErrNoRoom
+// place asks the router for a server. With mayWait it returns routing.ErrNoFreeMemory
 // rather than a server at which the request would wait for memory.
 func (j *job) place(mayWait bool) (routing.DirectChoice, error) {
 	s := j.gateway.state
@@ -227,12 +227,12 @@
 // routingRequest returns the request as the router needs it. The state must be
 // locked.
 func (j *job) routingRequest(s *state) routing.DirectRequest {
-	request := routing.DirectRequest{ID: j.head.ID, SuspectKey: j.separation}
+	request := routing.DirectRequest{ID: j.head.ID, SuspectKey: j.suspectKey}
 	if j.modelName() == "" {
 		return request
 	}
 	request.Tokens, request.OutputTokens = j.head.InputTokens, j.head.OutputTokens
-	request.Prefix, request.Stores = j.head.Shared(), s.kvStoresLocked(j.table, j.service.Engine)
+	request.Prefix, request.KVStores = j.head.Shared(), s.kvStoresLocked(j.table, j.service.Engine)
 	request.MemoryShare = routing.MemoryShare(j.table.RoutePriorityRank(j.route))
 	if j.workspace != nil && j.workspace.Isolated {
 		request.IsolatedWorkspace = j.workspace.Name
@@ -264,23 +264,23 @@
 // as indeterminate, and its server as failed.
 func serverTimeout(left time.Duration) time.Duration { return max(left-serverResponseMargin, left/2) }
 
-// directions returns the instructions sent to the chosen server with the
+// forwardOptions returns what the chosen server is sent in addition to the caller's
 // request.
-func (j *job) directions(choice *routing.DirectChoice) call.ForwardOptions {
-	d := call.ForwardOptions{
+func (j *job) forwardOptions(choice *routing.DirectChoice) call.ForwardOptions {
+	options := call.ForwardOptions{
 		Instance: choice.Server.Instance, Timeout: serverTimeout(time.Until(j.deadline)), Priority: -1,
 		LastEventID: j.stream.lastID,
 	}
 	if j.workspace != nil {
-		d.Workspace = j.workspace.Name
+		options.Workspace = j.workspace.Name
 	}
 	if choice.Server.Version == 0 {
-		return d
+		return options
 	}
-	d.Salt, d.Version = choice.Salt, choice.Server.Version
-	d.FetchFrom, d.SaveTo = choice.FetchFrom, choice.SaveTo
-	d.Priority = j.table.PriorityLevel(j.route, j.workspace)
-	return d
+	options.Salt, options.Version = choice.Salt, choice.Server.Version
+	options.FetchFrom, options.SaveTo = choice.FetchFrom, choice.SaveTo
+	options.Priority = j.table.PriorityLevel(j.route, j.workspace)
+	return options
 }
 
 // send makes one attempt at one server.
@@ -289,21 +289,21 @@
 	server := choice.Server
 	j.sends++
 	j.tried = append(j.tried, server.ID)
-	directions := j.directions(choice)
-	j.outbound.Header = g.ports.Dialect.RequestHeader(j.inbound.Header, directions)
+	options := j.forwardOptions(choice)
+	j.outbound.Header = g.ports.Dialect.RequestHeader(j.inbound.Header, options)
 	j.sentAt, j.firstEventAt = time.Now(), time.Time{}
 	klog.InfoS("Placed", "request", j.head.ID, "server", server.ID, "send", j.sends, "owner", j.ownerName(), "expectedMS", int(choice.ExpectedMS),
 		"queueMS", int(choice.Terms.QueueMS), "readMS", int(choice.Terms.PrefillMS), "rereadMS", int(choice.Terms.RecomputeMS), "memoryMS", int(choice.Terms.MemoryMS),
-		"version", server.Version, "versionAgeMS", server.VersionAge.Milliseconds(), "prefix", strconv.FormatUint(uint64(choice.Prefix), 36), "source", choice.Source.String(), "fetch", choice.FetchFrom, "save", choice.SaveTo, "priority", directions.Priority, "tokens", j.head.InputTokens, "output", j.head.OutputTokens, "candidates", choice.Candidates)
-	response, err := g.pool.Send(j.ctx, server.Address, &j.outbound, j.freshness(), j.matchesRequest)
+		"version", server.Version, "versionAgeMS", server.VersionAge.Milliseconds(), "prefix", strconv.FormatUint(uint64(choice.Prefix), 36), "source", choice.Source.String(), "fetch", choice.FetchFrom, "save", choice.SaveTo, "priority", options.Priority, "tokens", j.head.InputTokens, "output", j.head.OutputTokens, "candidates", choice.Candidates)
+	response, err := g.pool.Send(j.ctx, server.Address, &j.outbound, j.reusePolicy(), j.matchesRequest)
 	if err != nil {
 		return j.sendFailed(choice, err)
 	}
 	defer response.Close()
-	answer := g.ports.Dialect.Answer(response.Status, response.Header)
-	response.KeepFor(keepAliveFor(answer.KeepAlive))
-	g.state.observeAnswer(time.Now(), server.ID, j.modelName(), &answer)
-	outcome := j.handleResponse(choice, response, &answer)
+	head := g.ports.Dialect.DecodeResponse(response.Status, response.Header)
+	response.KeepFor(keepAliveFor(head.KeepAlive))
+	g.state.observeResponse(time.Now(), server.ID, j.modelName(), &head)
+	outcome := j.handleResponse(choice, response, &head)
 	j.sendFinished(choice, outcome)
 	return outcome
 }
@@ -315,7 +315,7 @@
 	return j.head.Model
 }
 
-func (j *job) freshness() upstream.ReusePolicy {
+func (j *job) reusePolicy() upstream.ReusePolicy {
 	if j.route.Repeatable() {
 		return upstream.ReusePolicy{MaxIdle: maxIdleRepeatable}
 	}
@@ -333,11 +333,11 @@
 // reused connection a response without an ID may be a late one to an earlier
 // request.
 func (j *job) matchesRequest(h http.Header, reused bool) bool {
-	answer := j.gateway.ports.Dialect.Answer(0, h)
-	if answer.ID == "" {
-		return !reused || answer.NotRun || j.head.ID == ""
+	head := j.gateway.ports.Dialect.DecodeResponse(0, h)
+	if head.ID == "" {
+		return !reused || head.NotRun || j.head.ID == ""
 	}
-	return answer.ID == j.head.ID
+	return head.ID == j.head.ID
 }
 
 func (j *job) sendFailed(choice *routing.DirectChoice, err error) sendOutcome {
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -65,10 +65,10 @@
 	mu   sync.Mutex
 	copy mirror.Copy
 
-	// lastAnswer is when the store last answered this entry or its relay, in Unix
+	// lastResponse is when the store last answered this entry or its relay, in Unix
 	// nanoseconds.
-	lastAnswer atomic.Int64
-	failing    atomic.Bool
+	lastResponse atomic.Int64
+	failing      atomic.Bool
 	// interrupt cancels the current blocking read. interrupted is set when that was done;
 	// the next read then does not block.
 	interrupt   atomic.Pointer[context.CancelFunc]
@@ -107,10 +107,10 @@
 
 // age returns the time since the store last answered.
 func (f *feed) age(now time.Time) time.Duration {
-	return now.Sub(time.Unix(0, f.lastAnswer.Load()))
+	return now.Sub(time.Unix(0, f.lastResponse.Load()))
 }
 
-// tableAge returns the maximum age of a table. A blocking read gets an answer only when
+// tableAge returns the maximum age of a table. A blocking read gets a response only when
 // its table changes, and hangs while this entry is cut off from the store. The list of
 // servers is read at short intervals, so its age shows whether the store is reachable.
 // Without that check an entry that is cut off would relay an old configuration as current.
@@ -315,11 +315,11 @@
 
 // feedSucceeded records that the store answered the given time ago. After an outage,
 // registrations of servers that are alive may have expired, so the list keeps them for its
-// grace period. Other feeds may still block on connections whose answers were lost, so
+// grace period. Other feeds may still block on connections whose responses were lost, so
 // their reads are interrupted.
 func (g *Gateway) feedSucceeded(f *feed, age time.Duration) {
 	now := time.Now().Add(-age)
-	last := f.lastAnswer.Swap(now.UnixNano())
+	last := f.lastResponse.Swap(now.UnixNano())
 	if !f.failing.Swap(false) {
 		return
 	}
@@ -375,13 +375,13 @@
 			g.state.adoptTable(table, source)
 			continue
 		}
-		named, ok, err := g.ports.Decoder.Named(row.Key, row.Value)
+		target, ok, err := g.ports.Decoder.Target(row.Key, row.Value)
 		if err != nil {
 			klog.ErrorS(err, "Row of named weights not understood", "row", row.Key, "rowVersion", row.Version)
 			continue
 		}
 		if ok {
-			g.state.nameVersion(now, named, source)
+			g.state.setTarget(now, target, source)
 		}
 	}
 }
--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -78,7 +78,7 @@
 func (s *state) forgetIncarnationLocked(now time.Time, b *fleet.Backend, source string) {
 	klog.InfoS("Backend server gone", "server", b.ID, "source", source)
 	if b.Draining {
-		s.suspects.serverEnded(b.ID)
+		s.suspects.serverDrained(b.ID)
 	} else {
 		s.suspects.serverCrashed(now, b.ID)
 	}
@@ -105,9 +105,9 @@
 	switch {
 	case b == nil:
 		return false
-	case report.StartedAt == 0 || b.StartedMS == 0 || report.StartedAt == b.StartedMS:
+	case report.StartedMS == 0 || b.StartedMS == 0 || report.StartedMS == b.StartedMS:
 		return true
-	case report.StartedAt > b.StartedMS:
+	case report.StartedMS > b.StartedMS:
 		s.recordRestart(now, b, report)
 	}
 	return false
@@ -117,7 +117,7 @@
 // registration follows with its next heartbeat.
 func (s *state) recordRestart(now time.Time, listed *fleet.Backend, report *call.Report) {
 	next := *listed
-	next.StartedMS, next.Versions = report.StartedAt, report.Versions
+	next.StartedMS, next.Versions = report.StartedMS, report.Versions
 	s.putBackend(now, &next)
 }
 
@@ -162,7 +162,7 @@
 	s.members.SetServers(now, servers)
 }
 
-// sendFailed records that a request could not be sent, or got no answer.
+// sendFailed records that a request could not be sent, or got no response.
 func (s *state) sendFailed(now time.Time, server string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -61,7 +61,7 @@
 	gateway *Gateway
 	mu      sync.Mutex
 	// pending holds a channel for each unanswered placement request, by its key;
-	// each has room for the one answer.
+	// each has room for the one response.
 	pending map[uint64]chan *jayv1.PlacementOffer
 }
 
@@ -69,7 +69,7 @@
 	return &placementClient{gateway: g, pending: map[uint64]chan *jayv1.PlacementOffer{}}
 }
 
-// askOwner asks one owner for a server. It returns nil if no answer arrives in
+// askOwner asks one owner for a server. It returns nil if no response arrives in
 // time.
 func (p *placementClient) askOwner(ctx context.Context, owner shard.Entry, ask *jayv1.PlacementAsk) *jayv1.PlacementOffer {
 	g := p.gateway
@@ -77,15 +77,15 @@
 		return g.state.offer(time.Now(), ask)
 	}
 	started := time.Now()
-	answer := make(chan *jayv1.PlacementOffer, 1)
+	offers := make(chan *jayv1.PlacementOffer, 1)
 	p.mu.Lock()
-	p.pending[ask.GetKey()] = answer
+	p.pending[ask.GetKey()] = offers
 	p.mu.Unlock()
 	err := g.datagrams.send(g.datagrams.addressOf(owner.Address), &jayv1.Datagram{Body: &jayv1.Datagram_Ask{Ask: ask}})
 	if err != nil {
 		klog.V(1).InfoS("Placement request not sent to owner", "owner", owner.Name, "err", err)
 	}
-	offer := p.awaitOffer(ctx, ask.GetKey(), answer)
+	offer := p.awaitOffer(ctx, ask.GetKey(), offers)
 	now := time.Now()
 	switch {
 	case offer != nil:
@@ -109,13 +109,13 @@
 	return ""
 }
 
-// awaitOffer waits for an owner's answer. It returns nil if none arrives in
+// awaitOffer waits for an owner's response. It returns nil if none arrives in
 // time.
-func (p *placementClient) awaitOffer(ctx context.Context, key uint64, answer chan *jayv1.PlacementOffer) *jayv1.PlacementOffer {
+func (p *placementClient) awaitOffer(ctx context.Context, key uint64, offers chan *jayv1.PlacementOffer) *jayv1.PlacementOffer {
 	timer := time.NewTimer(ownerTimeout)
 	defer timer.Stop()
 	select {
-	case offer := <-answer:
+	case offer := <-offers:
 		return offer
 	case <-timer.C:
 	case <-ctx.Done():
@@ -124,22 +124,22 @@
 	defer p.mu.Unlock()
 	delete(p.pending, key)
 	select {
-	case offer := <-answer:
+	case offer := <-offers:
 		return offer
 	default:
 		return nil
 	}
 }
 
-// receiveOffer delivers an owner's answer to the request that waits for it. An
+// receiveOffer delivers an owner's response to the request that waits for it. An
 // offer that arrives too late is released, so that the owner does not count a
 // request that went elsewhere.
 func (p *placementClient) receiveOffer(offer *jayv1.PlacementOffer, from *net.UDPAddr) {
 	p.mu.Lock()
-	answer, ok := p.pending[offer.GetKey()]
+	offers, ok := p.pending[offer.GetKey()]
 	delete(p.pending, offer.GetKey())
 	if ok {
-		answer <- offer
+		offers <- offer
 	}
 	p.mu.Unlock()
 	if ok || offer.GetOutcome() != jayv1.PlacementOffer_OUTCOME_SERVER {
@@ -209,7 +209,7 @@
 
 // bestOffer asks the owners in turn until one offers a server with a short
 // queue, and returns the best offer. Without an offer it returns
-// routing.ErrNoRoom if an owner answered that no memory is free, else
+// routing.ErrNoFreeMemory if an owner answered that no memory is free, else
 // errNoOffer.
 func (j *job) bestOffer(mayWait bool) (*ownerOffer, error) {
 	p := j.gateway.placements
@@ -266,7 +266,7 @@
 	if !s.shards.MayAsk(now) {
 		return ask, nil
 	}
-	return ask, s.divisionLocked(now, j.service.Name).OwnersFor(request.RendezvousKey(s.weights.Newest(ask.Model)))
+	return ask, s.assignmentLocked(now, j.service.Name).OwnersFor(request.RendezvousKey(s.targets.Newest(ask.Model)))
 }
 
 // acceptOffer places the request at the offered server and counts it there. It
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -38,7 +38,7 @@
 
 	mu      sync.Mutex
 	list    *fleet.List
-	weights *weights.Targets
+	targets *weights.Targets
 	members *membership.Members
 	// router places this entry's requests when no owner is asked, and counts all requests
 	// that this entry sends. shardRouter places requests of all entries on servers in the
@@ -62,7 +62,7 @@
 	waitQueue *waitroom.Queue
 	waiters   map[string]*waiter
 	// kvStores are the KV cache stores as seen from engines of type kvStoresEngine.
-	kvStores       []routing.KVCacheStore
+	kvStores       []routing.KVStore
 	kvStoresEngine *routetable.Engine
 	// kvStoresDown holds the addresses of the KV cache stores that do not answer.
 	kvStoresDown map[string]bool
@@ -92,7 +92,7 @@
 	return &state{
 		settings: settings, closeIdle: closeIdle,
 		list:    fleet.NewList(listGrace),
-		weights: weights.NewTargets(),
+		targets: weights.NewTargets(),
 		members: membership.New(membership.DefaultSettings()),
 		router: routing.NewDirect(routing.DirectOptions{
 			DataCentre: settings.DataCentre, MaxVersionAge: settings.VersionBound - versionMargin,
@@ -124,12 +124,12 @@
 	}
 }
 
-// nameVersion records that an operator named a version as the one to serve.
-func (s *state) nameVersion(now time.Time, named weights.Target, source string) {
+// setTarget records the version of a model's weights that an operator named as the one to serve.
+func (s *state) setTarget(now time.Time, target weights.Target, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.weights.Set(now, named) {
-		klog.InfoS("New weights named", "model", named.Model, "version", named.Version, "source", source)
+	if s.targets.Set(now, target) {
+		klog.InfoS("New weights named", "model", target.Model, "version", target.Version, "source", source)
 	}
 }
 
@@ -138,7 +138,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for model, history := range steps {
-		s.weights.MergeHistory(now, model, history)
+		s.targets.MergeHistory(now, model, history)
 	}
 }
 
@@ -232,14 +232,14 @@
 func (s *state) inferNextVersion(server, model string, assumed uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.weights.Newest(model) != assumed+1 {
+	if s.targets.Newest(model) != assumed+1 {
 		return false
 	}
 	s.observeVersionLocked(server, model, assumed+1, "refusal")
 	return true
 }
 
-// observeVersion records a weight version from an answer, a report or another entry.
+// observeVersion records a weight version from a response, a report or another entry.
 // Servers that are not listed are ignored.
 func (s *state) observeVersion(server, model string, version uint64, source string) {
 	s.mu.Lock()
@@ -294,18 +294,18 @@
 		server.KVTokens = service.Engine.KVCapacityTokens
 	}
 	server.Version = s.versions[versionKey{b.ID, model}]
-	server.VersionAge = s.weights.Age(now, model, server.Version)
+	server.VersionAge = s.targets.Age(now, model, server.Version)
 	return server
 }
 
 // kvStoresLocked returns the KV cache stores that an engine can use. The slice must not be
 // changed; it is rebuilt for each configuration and engine type.
-func (s *state) kvStoresLocked(table *routetable.Table, engine *routetable.Engine) []routing.KVCacheStore {
+func (s *state) kvStoresLocked(table *routetable.Table, engine *routetable.Engine) []routing.KVStore {
 	if s.kvStoresEngine == engine {
 		return s.kvStores
 	}
 	s.kvStoresEngine, s.kvStores = engine, nil
-	for _, store := range table.Stores {
+	for _, store := range table.KVStores {
 		if s.kvStoresDown[store.Address] {
 			continue
 		}
@@ -313,7 +313,7 @@
 		if engine.TokenBytes > 0 {
 			perSecond = store.LinkBytes / float64(engine.TokenBytes)
 		}
-		s.kvStores = append(s.kvStores, routing.NewKVCacheStore(store.Address, store.DataCentre, perSecond))
+		s.kvStores = append(s.kvStores, routing.NewKVStore(store.Address, store.DataCentre, perSecond))
 	}
 	return s.kvStores
 }
@@ -366,19 +366,19 @@
 	}
 }
 
-// observeAnswer records the load and the weight version that an answer reports of its
+// observeResponse records the load and the weight version that a response reports of its
 // server.
-func (s *state) observeAnswer(now time.Time, server, model string, answer *call.Answer) {
+func (s *state) observeResponse(now time.Time, server, model string, response *call.ResponseHead) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.list.Get(server) == nil {
 		return
 	}
-	if answer.HasLoad {
-		s.router.UpdateLoad(now, server, answer.Load)
+	if response.HasLoad {
+		s.router.UpdateLoad(now, server, response.Load)
 	}
-	if model != "" && answer.Version > 0 {
-		s.observeVersionLocked(server, model, answer.Version, "answer")
+	if model != "" && response.Version > 0 {
+		s.observeVersionLocked(server, model, response.Version, "answer")
 	}
 }
 
--- a/internal/gateway/stores.go
+++ b/internal/gateway/stores.go
@@ -32,13 +32,13 @@
 // watchKVStores polls the KV cache stores for what they add and drop, and detects whether
 // they answer.
 func (g *Gateway) watchKVStores(ctx context.Context) {
-	if g.ports.KVCacheStores == nil {
+	if g.ports.KVStores == nil {
 		return
 	}
 	watches := map[string]*kvStoreWatch{}
 	for ctx.Err() == nil {
 		if table := g.state.table.Load(); table != nil && g.isDeciding() {
-			for _, store := range table.Stores {
+			for _, store := range table.KVStores {
 				w := watches[store.Address]
 				if w == nil {
 					w = &kvStoreWatch{}
@@ -52,11 +52,11 @@
 }
 
 // pollKVStore applies the changes reported by one store, or records that it did not
-// answer.
+// respond.
 func (g *Gateway) pollKVStore(ctx context.Context, address string, w *kvStoreWatch) {
 	callCtx, cancel := context.WithTimeout(ctx, kvStoreCallTimeout)
 	defer cancel()
-	changes, err := g.ports.KVCacheStores.Changes(callCtx, address, w.next)
+	changes, err := g.ports.KVStores.Changes(callCtx, address, w.next)
 	switch {
 	case errors.Is(err, call.ErrBusy), ctx.Err() != nil:
 		return
@@ -108,7 +108,7 @@
 		return
 	}
 	now := time.Now()
-	store := routing.NewKVCacheStore(address, "", 0)
+	store := routing.NewKVStore(address, "", 0)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, part := range parts {
--- a/internal/routing/direct.go
+++ b/internal/routing/direct.go
@@ -74,7 +74,7 @@
 )
 
 // Direct chooses among backend servers that are called without an agent, from
-// the requests that it placed, the servers' answers and the hints of other
+// the requests that it placed, the servers' responses and the hints of other
 // entries. It is not safe for concurrent use.
 type Direct struct {
 	options  DirectOptions
@@ -86,7 +86,7 @@
 	entries int
 	// savers is the number of routers that save to the same KV cache stores.
 	savers int
-	// inflow of prompt and answer tokens per second from this router, over all
+	// inflow of prompt and output tokens per second from this router, over all
 	// engines, as of inflowAt.
 	inflow   float64
 	inflowAt time.Time
--- a/internal/routing/direct_types.go
+++ b/internal/routing/direct_types.go
@@ -46,14 +46,14 @@
 	// Prefix holds the parts that other requests may share, outermost first.
 	Prefix []call.Part
 	// Tokens of the whole prompt; OutputTokens is the upper bound for the
-	// answer.
+	// output.
 	Tokens       int
 	OutputTokens int
 	// MemoryShare is the share of a server's memory that this request may use;
 	// 0: all.
 	MemoryShare float64
-	// Stores are the KV cache stores; they are only read.
-	Stores []KVCacheStore
+	// KVStores are the KV cache stores; they are only read.
+	KVStores []KVStore
 	// MayWait: Choose returns ErrNoFreeMemory rather than a server at which the
 	// request would wait long for memory.
 	MayWait bool
--- a/internal/routing/kept_test.go
+++ b/internal/routing/kept_test.go
@@ -11,11 +11,11 @@
 	"github.com/jayproxy/jayproxy/internal/routing"
 )
 
-var oneStore = []routing.KVCacheStore{routing.NewKVCacheStore("store:1", "a", 290000)}
+var oneStore = []routing.KVStore{routing.NewKVStore("store:1", "a", 290000)}
 
 func promptWithStore(id, document string) *routing.DirectRequest {
 	req := prompt(id, document)
-	req.Stores = oneStore
+	req.KVStores = oneStore
 	return req
 }
 
@@ -75,7 +75,7 @@
 	assert.Equal(t, "store:1", again.SaveTo, "the part is prefilled again, so it is saved again")
 }
 
-// After the store lost its parts, engines must not be told to fetch from it.
+// After the store lost its parts, engines must not be directed to fetch from it.
 func TestEmptyStoreIsNotUsed(t *testing.T) {
 	d, servers := newDirect(), directServers(4)
 	first := choose(t, d, 0, promptWithStore("r1", "contract"), servers)
@@ -119,11 +119,11 @@
 func TestSavesStayWithinShareOfLink(t *testing.T) {
 	for perSecond, atMost := range map[float64]int{290000: 290000 * 2, 29000: 29000 * 2, 0: 0} {
 		d, servers := newDirect(), directServers(8)
-		stores := []routing.KVCacheStore{routing.NewKVCacheStore("store:1", "a", perSecond)}
+		stores := []routing.KVStore{routing.NewKVStore("store:1", "a", perSecond)}
 		tokens := 0
 		for i := range 200 {
 			req := prompt(fmt.Sprint("r", i), fmt.Sprint("contract", i))
-			req.Stores = stores
+			req.KVStores = stores
 			if choose(t, d, time.Duration(i)*time.Millisecond, req, servers).SaveTo != "" {
 				tokens += req.Tokens
 			}
@@ -151,15 +151,15 @@
 
 // Entries must look for a prefix at the store to which another entry saved it.
 func TestEntriesAgreeOnTheStoreOfAPrefix(t *testing.T) {
-	stores := []routing.KVCacheStore{routing.NewKVCacheStore("store:1", "a", 290000), routing.NewKVCacheStore("store:2", "b", 290000), routing.NewKVCacheStore("store:3", "c", 290000)}
-	rotated := []routing.KVCacheStore{stores[2], stores[0], stores[1]}
+	stores := []routing.KVStore{routing.NewKVStore("store:1", "a", 290000), routing.NewKVStore("store:2", "b", 290000), routing.NewKVStore("store:3", "c", 290000)}
+	rotated := []routing.KVStore{stores[2], stores[0], stores[1]}
 	used := map[string]int{}
 	for i := range 30 {
 		servers := directServers(8)
 		req := prompt("r", fmt.Sprint("contract", i))
-		req.Stores = stores
+		req.KVStores = stores
 		one := choose(t, newDirect(), 0, req, servers).SaveTo
-		req.Stores = rotated
+		req.KVStores = rotated
 		assert.Equal(t, one, choose(t, newDirect(), 0, req, servers).SaveTo)
 		used[one]++
 	}
@@ -171,7 +171,7 @@
 	var req *routing.DirectRequest
 	for i := range b.N {
 		req = prompt(fmt.Sprint(i), fmt.Sprint(i%100))
-		req.Stores = []routing.KVCacheStore{oneStore[0]}
+		req.KVStores = []routing.KVStore{oneStore[0]}
 		if _, err := d.Choose(directStart.Add(time.Duration(i)*time.Millisecond), req, servers, nil); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -76,9 +76,9 @@
 	assert.Equal(t, int64(1), p.Opened())
 }
 
-// Guards against a late answer to an abandoned request that is taken for the answer to
+// Guards against a late response to an abandoned request that is taken for the response to
 // the next one. It is recognized by its id and skipped.
-func TestAStrayAnswerIsSkipped(t *testing.T) {
+func TestAStrayResponseIsSkipped(t *testing.T) {
 	address := server(t, func(_ int, r *http.Request, c net.Conn) bool {
 		reply(c, "other", "wrong")
 		reply(c, r.Header.Get("Id"), "right")
@@ -91,7 +91,7 @@
 
 // Guards against the reuse of a connection whose server has answered before it has
 // read the whole body: it would take the next request for the rest of the body.
-func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
+func TestAnEarlyResponseEndsTheConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -117,8 +117,8 @@
 	assert.Zero(t, p.Open(address), "the connection is not reused")
 }
 
-// Guards against an interrupted answer that looks complete, whatever its framing.
-func TestAnInterruptedAnswerIsAnError(t *testing.T) {
+// Guards against an interrupted response that looks complete, whatever its framing.
+func TestAnInterruptedResponseIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf",
 		"chunks": "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -148,11 +148,11 @@
 	assert.ErrorIs(t, err, upstream.ErrNotSent)
 	unanswered := server(t, func(int, *http.Request, net.Conn) bool { return false })
 	_, _, err = send(newPool(), unanswered, "1", "")
-	assert.ErrorIs(t, err, upstream.ErrNoAnswer)
+	assert.ErrorIs(t, err, upstream.ErrNoResponse)
 	invalid := server(t, func(_ int, _ *http.Request, c net.Conn) bool {
 		_, _ = io.WriteString(c, "not HTTP\r\n\r\n")
 		return true
 	})
 	_, _, err = send(newPool(), invalid, "1", "")
-	assert.ErrorIs(t, err, upstream.ErrInvalidAnswer)
+	assert.ErrorIs(t, err, upstream.ErrInvalidResponse)
 }
