--- a/internal/gateway/lifetimes.go
+++ b/internal/gateway/lifetimes.go
@@ -51,10 +51,10 @@
 	old, change := s.list.Put(now, b)
 	switch change {
 	case fleet.Stale:
-		klog.InfoS("Entry of an earlier lifetime not taken", "server", old.ID, "entry", b.ID)
+		klog.InfoS("Registration of an earlier incarnation ignored", "server", old.ID, "entry", b.ID)
 		return
 	case fleet.Restarted:
-		s.forgetIncarnationLocked(now, old, "started again as "+b.ID)
+		s.forgetIncarnationLocked(now, old, "restarted as "+b.ID)
 	case fleet.Added, fleet.Updated:
 	}
 	s.initListedLocked(b)
@@ -132,7 +132,7 @@
 	if !s.list.MarkEnded(now, id) {
 		return
 	}
-	klog.InfoS("Lifetime over", "server", id, "source", source)
+	klog.InfoS("Incarnation ended", "server", id, "source", source)
 	s.suspects.serverCrashed(now, id)
 	s.cacheClearedLocked(id)
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -151,7 +151,7 @@
 		s.forgetIncarnationLocked(now, b, "not registered again after a store outage, or replaced by a registration of an earlier incarnation")
 	}
 	for _, b := range listed {
-		klog.InfoS("Registration of an earlier incarnation persists; accepted", "server", b.ID, "address", b.Address)
+		klog.InfoS("Registration of an earlier incarnation accepted: it persists", "server", b.ID, "address", b.Address)
 		s.initListedLocked(b)
 		s.membersStale = true
 	}
