--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -41,7 +41,7 @@
 	case head.Status < http.StatusMultipleChoices && (!head.Sealed || head.Encoded):
 		// The response lacks the backend server's signature, or its body is not as the
 		// server sent it.
-		klog.InfoS("Answer not sealed", "request", j.head.ID, "server", server, "status", head.Status)
+		klog.InfoS("Response without a valid server signature", "request", j.head.ID, "server", server, "status", head.Status)
 		j.recordServerFailure(server)
 		return indeterminate
 	case head.Status < http.StatusMultipleChoices && strings.HasPrefix(response.Header.Get("Content-Type"), eventStreamType):
@@ -105,7 +105,7 @@
 	buffered := &bufferedResponse{status: head.Status, header: j.gateway.ports.Dialect.ResponseHeader(response.Header), body: body}
 	if head.Status >= http.StatusInternalServerError && j.route.Repeatable() && j.indeterminateSends+1 < j.route.MaxAttempts {
 		// Another server may succeed. If none does, this response is passed on.
-		klog.InfoS("Server failed", "request", j.head.ID, "server", choice.Server.ID, "status", head.Status)
+		klog.InfoS("Server error response", "request", j.head.ID, "server", choice.Server.ID, "status", head.Status)
 		j.serverFailure = buffered
 		return indeterminate
 	}
@@ -118,7 +118,7 @@
 }
 
 func (j *job) responseInterrupted(choice *routing.DirectChoice, err error) sendOutcome {
-	klog.InfoS("Answer broken off", "request", j.head.ID, "server", choice.Server.ID, "err", err, "events", j.stream.delivered,
+	klog.InfoS("Response interrupted", "request", j.head.ID, "server", choice.Server.ID, "err", err, "events", j.stream.delivered,
 		"fingerprint", j.fingerprint().String(), "sentMS", time.Since(j.sentAt).Milliseconds())
 	if j.ctx.Err() != nil {
 		return canceled
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -119,7 +119,7 @@
 	if j.ctx.Err() == nil && j.sends < maxSends {
 		return true
 	}
-	j.giveUp(reason + ", no further send")
+	j.giveUp(reason + ", not sent again")
 	return false
 }
 
@@ -130,7 +130,7 @@
 	if j.ctx.Err() == nil && j.sends < maxSends && j.gateway.state.takeRetry(now, j.service.Name, j.deadline) {
 		return true
 	}
-	j.giveUp(reason + ", no further send")
+	j.giveUp(reason + ", not sent again")
 	return false
 }
 
@@ -154,7 +154,7 @@
 	switch {
 	case j.stream.delivered > 0:
 		// The response has begun: closing the connection shows that it is incomplete.
-		j.outcome = "stream broken off: " + reason
+		j.outcome = "stream interrupted: " + reason
 		j.logOutcome()
 		panic(http.ErrAbortHandler)
 	case errors.Is(j.ctx.Err(), context.Canceled):
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -96,7 +96,7 @@
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !callerReachable(r.Context()) {
 		g.metrics.Count("answers_own", "connection closed before", 1)
-		klog.InfoS("Request not sent: its connection was closed before it was found", "path", rawPath(r))
+		klog.InfoS("Request not sent: its connection was closed before the request was read", "path", rawPath(r))
 		panic(http.ErrAbortHandler)
 	}
 	j := &job{gateway: g, writer: w, inbound: r, arrived: time.Now()}
@@ -130,7 +130,7 @@
 		return j.respondUnavailable("no configuration received yet", notReadyRetryAfter)
 	}
 	if j.route = j.table.Match(r.Host, rawPath(r)); j.route == nil {
-		return j.respondClientError(http.StatusNotFound, "no route")
+		return j.respondClientError(http.StatusNotFound, "no route matches")
 	}
 	if j.table.RequiresKeys() {
 		j.workspace = j.table.WorkspaceOf(j.head.Key)
