--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -106,12 +106,12 @@
 	waiting := s.waitQueue.Len()
 	s.mu.Unlock()
 	if !ok {
-		klog.InfoS("Turned away", "request", j.head.ID, "waiting", waiting, "comeBackMS", retryAfter.Milliseconds())
+		klog.InfoS("Request rejected: no engine memory in time", "request", j.head.ID, "waiting", waiting, "comeBackMS", retryAfter.Milliseconds())
 		j.retryAfter = retryAfter
 		return routing.DirectChoice{}, errRejected
 	}
 	j.gateway.metrics.Count("waited_for_memory", j.routeLabel(), 1)
-	klog.InfoS("Waits for memory", "request", j.head.ID, "urgency", request.Priority, "waiting", waiting, "sendAt", request.SendAt())
+	klog.InfoS("Request waits for engine memory", "request", j.head.ID, "urgency", request.Priority, "waiting", waiting, "sendAt", request.SendAt())
 	return j.awaitGrant(w)
 }
 
@@ -135,7 +135,7 @@
 	case result := <-w.granted:
 		j.gateway.metrics.Time("waited", j.routeLabel(), time.Since(started))
 		if j.retryAfter = result.retryAfter; result.retryAfter > 0 {
-			klog.InfoS("Turned away", "request", j.head.ID, "waitedMS", time.Since(started).Milliseconds(), "comeBackMS", result.retryAfter.Milliseconds())
+			klog.InfoS("Request rejected: no engine memory in time", "request", j.head.ID, "waitedMS", time.Since(started).Milliseconds(), "comeBackMS", result.retryAfter.Milliseconds())
 		}
 		return result.choice, result.err
 	case <-j.ctx.Done():
