--- a/internal/gateway/owning.go
+++ b/internal/gateway/owning.go
@@ -88,7 +88,7 @@
 	case err != nil:
 		return noOffer
 	}
-	klog.V(1).InfoS("Offered", "key", request.ID, "server", choice.Server.ID, "servers", len(servers), "totalMS", int(choice.Terms.Total()))
+	klog.V(1).InfoS("Server offered", "key", request.ID, "server", choice.Server.ID, "servers", len(servers), "totalMS", int(choice.Terms.Total()))
 	return newOffer(ask.GetKey(), &choice)
 }
 
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -344,7 +344,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.shards.OwnerTimedOut(now, name) {
-		klog.InfoS("Owner passed over", "owner", name)
+		klog.InfoS("Owner skipped after timeouts", "owner", name)
 	}
 }
 
