--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -87,7 +87,7 @@
 
 func (s *suspects) addCrashLocked(now time.Time, crash quarantine.Crash) {
 	quarantined := s.registry.Add(now, []quarantine.Crash{crash})
-	klog.InfoS("engine crashed under request", "fingerprint", crash.Request.String(), "engine", crash.Server)
+	klog.InfoS("engine crashed while running request", "fingerprint", crash.Request.String(), "engine", crash.Server)
 	for _, f := range quarantined {
 		klog.InfoS("request quarantined", "fingerprint", f.String())
 	}
@@ -100,7 +100,7 @@
 		}
 	}
 	if request, ok := s.registry.Clear(now, f); ok {
-		klog.InfoS("request cleared: it ran to completion", "fingerprint", f.String(), "engines", request.Servers)
+		klog.InfoS("request cleared: ran to completion", "fingerprint", f.String(), "engines", request.Servers)
 	}
 }
 
@@ -199,7 +199,7 @@
 	if !verdict.Quarantined || verdict.Trial > 0 {
 		return nil
 	}
-	klog.InfoS("request refused: it is quarantined after engine crashes", "request", request.id, "fingerprint", request.hashes.Fingerprint().String(), "retryAfterMS", verdict.RetryAfter.Milliseconds())
+	klog.InfoS("quarantined request refused", "request", request.id, "fingerprint", request.hashes.Fingerprint().String(), "retryAfterMS", verdict.RetryAfter.Milliseconds())
 	return refuseTemporarily(http.StatusServiceUnavailable, CodeQuarantined, "engines crashed as they started to run this request; it is not sent again for now", verdict.RetryAfter)
 }
 
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -59,8 +59,8 @@
 // respondQuarantined ends a quarantined request.
 func (j *job) respondQuarantined(retryAfter time.Duration) {
 	j.gateway.metrics.Count("held_back", j.routeLabel(), 1)
-	klog.InfoS("Request held back", "request", j.head.ID, "fingerprint", j.fingerprint().String(), "retryAfterMS", retryAfter.Milliseconds(), "ranOn", j.indeterminateSends)
-	const reason = "held: servers crashed under it"
+	klog.InfoS("Quarantined request refused", "request", j.head.ID, "fingerprint", j.fingerprint().String(), "retryAfterMS", retryAfter.Milliseconds(), "ranOn", j.indeterminateSends)
+	const reason = "quarantined: servers crashed while running it"
 	if j.indeterminateSends > 0 {
 		j.giveUp(reason)
 		return
@@ -145,7 +145,7 @@
 	s := j.gateway.state.suspects
 	switch {
 	case j.complete && j.isSuspect():
-		s.clear(j.fingerprint(), "ran whole")
+		s.clear(j.fingerprint(), "ran to completion")
 	case j.trial > 0 && !j.mayHaveStarted:
 		s.trialReleased(j.fingerprint(), j.trial)
 	}
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -234,7 +234,7 @@
 		Conditions: []platform.Condition{{Key: key}},
 		Puts:       []platform.Put{{Key: key, Value: g.suspectValue()}},
 	})
-	klog.InfoS("Trial of a held request", "fingerprint", f.String(), "trial", trial, "claimed", err == nil && result.Committed, "err", err)
+	klog.InfoS("Trial of a quarantined request", "fingerprint", f.String(), "trial", trial, "claimed", err == nil && result.Committed, "err", err)
 	if err != nil || !result.Committed {
 		g.metrics.Count("held_trials", "not claimed", 1)
 		return false
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -120,11 +120,11 @@
 	quarantined := s.registry.Add(now, crashes)
 	s.updateTrackedLocked()
 	for _, crash := range crashes {
-		klog.InfoS("Server crashed under request", "fingerprint", crash.Request.String(), "server", crash.Server, "source", source)
+		klog.InfoS("Server crashed while running request", "fingerprint", crash.Request.String(), "server", crash.Server, "source", source)
 	}
 	for _, f := range quarantined {
 		v := s.registry.Verdict(now, f)
-		klog.InfoS("Request held", "fingerprint", f.String(), "source", source, "trial", v.Trial, "retryAfterMS", v.RetryAfter.Milliseconds())
+		klog.InfoS("Request quarantined", "fingerprint", f.String(), "source", source, "trial", v.Trial, "retryAfterMS", v.RetryAfter.Milliseconds())
 	}
 }
 
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -82,7 +82,7 @@
 	g.simulateCrash(suspectFingerprint(1), "a", "b", "c")
 	g.simulateCrash(suspectFingerprint(2), "d")
 	assert.False(t, g.writeSuspects(t.Context()))
-	g.state.suspects.clear(suspectFingerprint(2), "ran whole")
+	g.state.suspects.clear(suspectFingerprint(2), "ran to completion")
 	down = false
 	assert.True(t, g.writeSuspects(t.Context()))
 	other := newTableEntry(table, "gw2")
