--- a/internal/entry/startup.go
+++ b/internal/entry/startup.go
@@ -132,7 +132,7 @@
 		if table := e.holder.Current(); table.Generation() > 0 {
 			after := time.Since(e.started)
 			e.metrics.Time(metricStartConfigured, e.settings.Name, after)
-			klog.InfoS("entry is configured", "name", e.settings.Name, "generation", table.Generation(),
+			klog.InfoS("entry has its first configuration", "name", e.settings.Name, "generation", table.Generation(),
 				"afterStart", after, "waiting", e.startup.waiting())
 			return
 		}
--- a/internal/gateway/stores.go
+++ b/internal/gateway/stores.go
@@ -64,17 +64,17 @@
 		g.metrics.Count("kept_store", "not_answered", 1)
 		if !w.down {
 			w.down = true
-			klog.InfoS("Store of kept cache lost", "store", address, "epoch", w.epoch, "err", err)
+			klog.InfoS("KV cache store lost", "store", address, "epoch", w.epoch, "err", err)
 			g.state.setKVStoreDown(address, true)
 		}
 		return
 	}
 	if w.down {
-		klog.InfoS("Store of kept cache regained", "store", address, "epoch", changes.Epoch)
+		klog.InfoS("KV cache store regained", "store", address, "epoch", changes.Epoch)
 		g.state.setKVStoreDown(address, false)
 	}
 	if w.epoch != 0 && w.epoch != changes.Epoch {
-		klog.InfoS("Store of kept cache started again, empty", "store", address, "epoch", changes.Epoch, "before", w.epoch)
+		klog.InfoS("KV cache store restarted empty", "store", address, "epoch", changes.Epoch, "before", w.epoch)
 		g.state.kvStoresCleared()
 	}
 	*w = kvStoreWatch{epoch: changes.Epoch, next: changes.Next}
