--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -41,7 +41,7 @@
 	case head.Status < http.StatusMultipleChoices && (!head.Sealed || head.Encoded):
 		// The response lacks the backend server's signature, or its body is not as the
 		// server sent it.
-		klog.InfoS("Response without a valid server signature", "request", j.head.ID, "server", server, "status", head.Status)
+		klog.InfoS("Response unsigned or re-encoded", "request", j.head.ID, "server", server, "status", head.Status)
 		j.recordServerFailure(server)
 		return indeterminate
 	case head.Status < http.StatusMultipleChoices && strings.HasPrefix(response.Header.Get("Content-Type"), eventStreamType):
