--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -192,7 +192,7 @@
 	var storeReadAt time.Time
 	for ctx.Err() == nil {
 		for f.version() > 0 && !g.peers.ownRowSeen() && time.Now().Before(ownRowDeadline) && ctx.Err() == nil {
-			sleep(ctx, drainPollInterval)
+			sleep(ctx, conditionPollInterval)
 		}
 		from := g.readThroughRelay(ctx, f)
 		if from == relayFresh {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -45,8 +45,8 @@
 	maxProbeWait = 3500 * time.Millisecond
 	// shutdownReserve is the part of the grace period left for the end of the
 	// process.
-	shutdownReserve   = 700 * time.Millisecond
-	drainPollInterval = 20 * time.Millisecond
+	shutdownReserve       = 700 * time.Millisecond
+	conditionPollInterval = 20 * time.Millisecond
 )
 
 // Gateway is one running entry process. Stop it with Shutdown.
@@ -117,7 +117,7 @@
 func (g *Gateway) awaitConfig(ctx context.Context) {
 	deadline := time.Now().Add(firstConfigTimeout)
 	for !g.state.ready() && time.Now().Before(deadline) && ctx.Err() == nil {
-		time.Sleep(drainPollInterval)
+		time.Sleep(conditionPollInterval)
 	}
 }
 
@@ -248,7 +248,7 @@
 	g.unregister(ctx)
 	g.callerServer.SetKeepAlivesEnabled(false)
 	for time.Since(started) < maxProbeWait && ctx.Err() == nil && g.notReadyResponses.Load() < minNotReadyProbes {
-		time.Sleep(drainPollInterval)
+		time.Sleep(conditionPollInterval)
 	}
 	sleep(ctx, drainArrivalTime)
 	ctx, cancel := context.WithDeadline(ctx, end)
@@ -257,7 +257,7 @@
 	// http.Server.Shutdown does not wait for connections whose Close a callerConn
 	// ignored.
 	for g.active.Load() > 0 && ctx.Err() == nil {
-		sleep(ctx, drainPollInterval)
+		sleep(ctx, conditionPollInterval)
 	}
 	klog.InfoS("Stopped", "active", g.active.Load(), "tookMS", time.Since(started).Milliseconds(), "err", err)
 	g.cancel()
--- a/internal/gateway/hints.go
+++ b/internal/gateway/hints.go
@@ -39,8 +39,8 @@
 	maxUnshardedEntries = maxHintBytesPerSecond/hintBytesPerSecondPerPeer + 1
 )
 
-// hints sends other entries where prefixes are computed, and the load and memory use of
-// servers. It uses datagrams: a hint is worthless once it is late, and a lost one costs a
+// hints informs other entries where prefixes are computed, and of the load and memory use
+// of servers. It uses datagrams: a hint is worthless once it is late, and a lost one costs a
 // repeated prefill.
 type hints struct {
 	gateway *Gateway
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -1,5 +1,5 @@
-// Package gateway forwards callers' HTTP requests to backend servers that it
-// calls directly. It does the I/O on sockets, tables and datagrams; packages
+// Package gateway implements the entry, the process that forwards callers' HTTP
+// requests to backend servers. It does the I/O on sockets, tables and datagrams; packages
 // without I/O make the decisions (routetable, routing, membership, retry,
 // weights, rollout, mirror, lease).
 package gateway
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -30,7 +30,7 @@
 	maxSuspectRowsPerTxn = 90
 	// suspectWriteRetryDelay is the pause after a failed write.
 	suspectWriteRetryDelay = 250 * time.Millisecond
-	// maxCrashesPerDatagram keeps a datagram below maxDatagram.
+	// maxCrashesPerDatagram keeps a datagram below maxDatagramBytes.
 	maxCrashesPerDatagram = 20
 	// maxLargeFleetCrashes is how many crashes at once a large fleet receives
 	// unfiltered. When a rack of servers fails, the crashes of all their runs would
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -84,13 +84,13 @@
 }
 
 // waitForMemory waits until a server has memory for the request.
-func (j *job) waitForMemory(readTime time.Duration) (routing.DirectChoice, error) {
+func (j *job) waitForMemory(prefillTime time.Duration) (routing.DirectChoice, error) {
 	s := j.gateway.state
 	now := time.Now()
 	w := &waiter{job: j, granted: make(chan grant, 1)}
 	request := waitroom.Request{
 		ID: j.head.ID, Priority: j.table.PriorityLevel(j.route, j.workspace), Arrived: j.arrived,
-		Prefill: readTime, FirstTokenTarget: j.arrived.Add(j.route.LatencyTarget), Deadline: j.firstEventDeadline(),
+		Prefill: prefillTime, FirstTokenTarget: j.arrived.Add(j.route.LatencyTarget), Deadline: j.firstEventDeadline(),
 	}
 	s.mu.Lock()
 	// A second send may begin when no time is left to wait. And if a caller uses an
@@ -116,15 +116,15 @@
 }
 
 // firstEventDeadline is until when the caller waits for the first event.
-// Callers abandon a stream without events after the route's quiet limit, long
+// Callers abandon a stream without events after the route's event timeout, long
 // before their deadline.
 func (j *job) firstEventDeadline() time.Time {
 	if j.route.EventTimeout <= 0 {
 		return j.deadline
 	}
-	quiet := j.arrived.Add(j.route.EventTimeout)
-	if quiet.Before(j.deadline) {
-		return quiet
+	timeout := j.arrived.Add(j.route.EventTimeout)
+	if timeout.Before(j.deadline) {
+		return timeout
 	}
 	return j.deadline
 }
