--- a/internal/routing/beliefs.go
+++ b/internal/routing/beliefs.go
@@ -40,31 +40,31 @@
 // put stores an observation of a point, in place of the server's earlier one or
 // of the oldest.
 func (t cacheView) put(point uint64, seen observation) {
-	entry, ok := t.points.Get(point)
+	observed, ok := t.points.Get(point)
 	if !ok {
-		entry = &pointObservations{}
-		t.points.Add(point, entry)
+		observed = &pointObservations{}
+		t.points.Add(point, observed)
 	}
 	at := 0
-	for i := range entry.servers {
-		if entry.servers[i].server == seen.server {
+	for i := range observed.servers {
+		if observed.servers[i].server == seen.server {
 			at = i
 			break
 		}
-		if entry.servers[i].seenAt < entry.servers[at].seenAt {
+		if observed.servers[i].seenAt < observed.servers[at].seenAt {
 			at = i
 		}
 	}
-	entry.servers[at] = seen
+	observed.servers[at] = seen
 }
 
 // observations returns the observations of a point; nil when there are none.
 func (t cacheView) observations(point uint64) []observation {
-	entry, ok := t.points.Peek(point)
+	observed, ok := t.points.Peek(point)
 	if !ok {
 		return nil
 	}
-	return entry.servers[:]
+	return observed.servers[:]
 }
 
 // current reports whether an observation still applies. A different incarnation
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -15,7 +15,7 @@
 	sourceRendezvous  = "rendezvous"
 	sourceObservation = "belief" // observed to hold the prefix
 	sourceRandom      = "random"
-	sourceAsked       = "asked"
+	sourceProbed      = "asked"
 	sourceLoad        = "load"
 	sourceFallback    = "fallback"
 )
--- a/internal/routing/direct_test.go
+++ b/internal/routing/direct_test.go
@@ -84,7 +84,7 @@
 // prefilled once per entry.
 func TestAnotherEntrysHintCountsAsOurOwnRequest(t *testing.T) {
 	one, two, servers := newDirect(), newDirect(), directServers(8)
-	first := choose(t, one, 0, prompt("r0", "contract"), servers[:1]) // no choice: not the preferred server of the eight
+	first := choose(t, one, 0, prompt("r0", "contract"), servers[:1]) // the only candidate, which may not be the preferred one of the eight
 	hints := one.TakePrefixHints()
 	require.Len(t, hints, 2, "one for each level of the prefix")
 	for i := range hints {
--- a/internal/routing/fleetmodel_test.go
+++ b/internal/routing/fleetmodel_test.go
@@ -120,8 +120,8 @@
 	// of load hints and of memory hints.
 	modelLoadTicks   = 5
 	modelMemoryTicks = 25
-	// modelServeTicks is the number of ticks between two looks at an entry's
-	// wait queue; the entries take turns.
+	// modelServeTicks is the number of ticks between two dispatches from an
+	// entry's wait queue; the entries take turns.
 	modelServeTicks = 5
 	// modelReuseMS is how long after its last use the prefill of a part counts
 	// as recomputed.
--- a/internal/routing/kept.go
+++ b/internal/routing/kept.go
@@ -10,8 +10,8 @@
 // weights. Prefixes are therefore also saved to KV cache stores after their
 // first prefill, and fetched from there.
 //
-// With large tokens the store's link and memory are scarce: an engine does not
-// start a transfer that would wait long. A prefix is saved once, all saves stay
+// If the KV cache of a token is large, the store's link and memory are scarce:
+// an engine does not start a transfer that would wait long. A prefix is saved once, all saves stay
 // within a share of the link, and while a store evicts parts early only prompts
 // that are mostly shared are saved.
 
@@ -57,7 +57,7 @@
 	// is requested again within some seconds. Each part that it drops sooner
 	// raises the share of a prompt that must be shared for it to be saved by
 	// neededShareStep, up to maxNeededShare; it falls again by neededShareDecay
-	// per second. Parts of a single request only take the room of shared
+	// per second. Parts that only one request uses would evict shared
 	// prefixes.
 	minStoreRetention = 8 * time.Second
 	neededShareStep   = 0.02
@@ -156,7 +156,7 @@
 	return max(0, k.needed-neededShareDecay*now.Sub(k.neededAt).Seconds())
 }
 
-// recordDrop takes in that a store dropped a part. A part dropped early shows
+// recordDrop records that a store dropped a part. A part dropped early shows
 // that more is sent to the store than it has room for.
 func (k *storeIndex) recordDrop(now time.Time, part storedPart) {
 	if part.savedAt.IsZero() || part.dropped || now.Sub(part.savedAt) >= minStoreRetention {
--- a/internal/routing/levels.go
+++ b/internal/routing/levels.go
@@ -46,28 +46,28 @@
 
 // sharedPrefixes holds the shared prefixes in use.
 type sharedPrefixes struct {
-	entries *simplelru.LRU[uint64, *sharedPrefix]
+	prefixes *simplelru.LRU[uint64, *sharedPrefix]
 	// minWidth is the width of a prefix whose request rate is low.
 	minWidth int
 }
 
 func newSharedPrefixes(capacity, minWidth int) sharedPrefixes {
-	return sharedPrefixes{entries: newLRU[uint64, *sharedPrefix](capacity), minWidth: minWidth}
+	return sharedPrefixes{prefixes: newLRU[uint64, *sharedPrefix](capacity), minWidth: minWidth}
 }
 
 // of returns the shared prefix of a prefix point. Its ranking is computed once
 // per set, so that frequent prefixes need no pass over all servers.
 func (l sharedPrefixes) of(point uint64, set *Set) *sharedPrefix {
-	entry, ok := l.entries.Get(point)
+	prefix, ok := l.prefixes.Get(point)
 	if !ok {
-		entry = &sharedPrefix{width: l.minWidth, minWidth: l.minWidth}
-		l.entries.Add(point, entry)
+		prefix = &sharedPrefix{width: l.minWidth, minWidth: l.minWidth}
+		l.prefixes.Add(point, prefix)
 	}
-	if entry.set != set {
-		entry.set = set
-		set.rank(point, &entry.ranking)
+	if prefix.set != set {
+		prefix.set = set
+		set.rank(point, &prefix.ranking)
 	}
-	return entry
+	return prefix
 }
 
 // observe adapts the width to whether a request was placed inside the set: when
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -46,10 +46,11 @@
 
 var pool = &routing.PoolPolicy{Pool: "p", BytesPerToken: 4, SharedLevel: 2}
 
-type members map[string]bool
+// unusableServers is a routing.Membership with the given servers not usable.
+type unusableServers map[string]bool
 
-func (m members) Usable(server string) bool { return !m[server] }
-func (m members) Weight(string) float64     { return 1 }
+func (u unusableServers) Usable(server string) bool { return !u[server] }
+func (u unusableServers) Weight(string) float64     { return 1 }
 
 func option(policy string, seed uint64) routing.Options {
 	return routing.Options{Policy: policy, DataCentre: "hall-0", Region: "north", Seed: seed}
@@ -62,21 +63,21 @@
 	rapid.Check(t, func(t *rapid.T) {
 		list := servers(rapid.IntRange(1, 30).Draw(t, "servers"))
 		policy := rapid.SampledFrom(routing.Policies()).Draw(t, "policy")
-		out := members{}
+		unusable := unusableServers{}
 		excluded := map[string]bool{}
 		options := option(policy, rapid.Uint64().Draw(t, "seed"))
-		options.Membership = out
+		options.Membership = unusable
 		r := routing.New(options)
 		set := routing.NewSet("p", list)
 		var tried []routing.RefusedOffer
 		for _, server := range list {
 			switch rapid.IntRange(0, 6).Draw(t, "fault") {
 			case 0:
-				out[server.Name], excluded[server.Name] = true, true
+				unusable[server.Name], excluded[server.Name] = true, true
 			case 1:
-				leaving := state(1, 0)
-				leaving.Leaving = true
-				r.UpdateState(epoch, server.Name, leaving)
+				draining := state(1, 0)
+				draining.Leaving = true
+				r.UpdateState(epoch, server.Name, draining)
 				excluded[server.Name] = true
 			case 2:
 				tried = append(tried, routing.RefusedOffer{Server: server.Name, Refusal: jayv1.Refusal_REFUSAL_QUEUE_FULL})
@@ -348,9 +349,9 @@
 	return &routing.Request{ID: "fresh", Chain: chain, Levels: []int{2, 10, 19}, PromptBytes: 20480}
 }
 
-// BenchmarkBeliefMemory reports the memory of one observed prefix point in
+// BenchmarkObservationMemory reports the memory of one observed prefix point in
 // bytes when the table is full.
-func BenchmarkBeliefMemory(b *testing.B) {
+func BenchmarkObservationMemory(b *testing.B) {
 	const points = 1 << 16
 	var before, after runtime.MemStats
 	for range b.N {
--- a/internal/routing/sources.go
+++ b/internal/routing/sources.go
@@ -105,7 +105,7 @@
 	if !ok {
 		return
 	}
-	if cand := c.add(index, sourceAsked); cand != nil {
+	if cand := c.add(index, sourceProbed); cand != nil {
 		cand.evidence, cand.exactMS, cand.cachedBytes = evidenceProbed, costMS, cachedBytes
 	}
 }
--- a/internal/routing/trial_test.go
+++ b/internal/routing/trial_test.go
@@ -115,7 +115,7 @@
 
 	ttft               []float64
 	hit, prompt        int
-	asks, calls        int
+	messages, calls    int
 	slowServer         int
 	slowFactor         float64
 	restartAt          time.Duration
@@ -187,7 +187,7 @@
 			panic(err)
 		}
 		if len(d.ProbeServers) > 0 {
-			t.asks += len(d.ProbeServers)
+			t.messages += len(d.ProbeServers)
 			hops++
 			for _, name := range d.ProbeServers {
 				s := t.servers[t.byName[name]]
@@ -198,7 +198,7 @@
 			}
 			continue
 		}
-		t.asks++
+		t.messages++
 		i := t.byName[d.Server]
 		s := t.servers[i]
 		cached, cost := s.hits(blocks)*64, s.cost(at, blocks, chain.Bytes)
@@ -272,7 +272,7 @@
 							b.ReportMetric(float64(t.hit)/float64(t.prompt), "hit")
 							b.ReportMetric(t.quantile(0.5), "p50ms")
 							b.ReportMetric(t.quantile(0.99), "p99ms")
-							b.ReportMetric(float64(t.asks)/float64(t.calls), "asks")
+							b.ReportMetric(float64(t.messages)/float64(t.calls), "asks")
 							b.ReportMetric(0, "ns/op")
 						}
 					})
