--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet holds the list of backend servers of forwarded calls: their own
-// registrations in the store, and what is learned about them from other sources.
-// It has no I/O, goroutines or clock; callers provide the locking.
+// Package fleet holds the list of backend servers that requests are forwarded to:
+// their own registrations in the store, and what is learned about them from other
+// sources. It has no I/O, goroutines or clock; callers provide the locking.
 package fleet
 
 import (
@@ -12,7 +12,7 @@
 
 // Incarnation is one run of a backend server's process, from start to end. A
 // server may start again under the same name; it has then lost what it held in
-// memory, and everything learned about the previous incarnation is void.
+// memory, and nothing learned about the previous incarnation applies to it.
 type Incarnation struct {
 	// Instance is the name that the server gives itself.
 	Instance string
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -40,7 +40,7 @@
 	eventReturn      = "come_back"
 )
 
-// Settings of the conclusions from failures, and how long reports count.
+// Settings configure when failures eject a server, and how long reports count.
 type Settings struct {
 	// FailureStreak is the number of consecutive failures that ejects a server.
 	FailureStreak int
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -85,7 +85,7 @@
 	probeInterval = 200 * time.Millisecond
 )
 
-// Map knows the entries and computes the assignment for each service.
+// Map holds the entries and computes the assignment for each service.
 type Map struct {
 	// timeouts is the number of consecutive timeouts of any owners; probeAt is when an
 	// isolated entry may send the next placement request.
