--- a/internal/gateway/datagrams.go
+++ b/internal/gateway/datagrams.go
@@ -21,7 +21,7 @@
 
 // errNoDatagramPort is returned if this entry's port is not open or the peer's address is
 // not an IP address.
-var errNoDatagramPort = eris.New("no datagram port, or no IP address of the peer")
+var errNoDatagramPort = eris.New("datagram port not open, or peer address is not an IP address")
 
 // datagrams carries messages between entries that are worthless once late. All entries use
 // the same port number.
--- a/internal/gateway/hints.go
+++ b/internal/gateway/hints.go
@@ -39,9 +39,9 @@
 	maxUnshardedEntries = maxHintBytesPerSecond/hintBytesPerSecondPerPeer + 1
 )
 
-// hints informs other entries where prefixes are computed, and of the load and memory use
-// of servers. It uses datagrams: a hint is worthless once it is late, and a lost one costs a
-// repeated prefill.
+// hints informs other entries of where prefixes are computed, and of the load and memory
+// use of servers. It uses datagrams: a hint is worthless once it is late, and a lost one
+// costs a repeated prefill.
 type hints struct {
 	gateway *Gateway
 	// self identifies this entry in hints.
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -69,7 +69,7 @@
 }
 
 // computeSuspectKey returns the key that keeps a suspect request apart from other
-// suspects; 0: it is none. The key changes with each crash, so that two
+// suspects; 0 for other requests. The key changes with each crash, so that two
 // suspects that met at a server are separated. By their prefix they would all
 // go to the same preferred server, and a crash could not be attributed to one
 // of them.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -175,7 +175,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return eris.Errorf("%s: status %d", path, response.StatusCode)
+		return eris.Errorf("%s: unexpected HTTP status %d", path, response.StatusCode)
 	}
 	if into == nil {
 		return nil
@@ -241,7 +241,7 @@
 func (g *Gateway) register(ctx context.Context) {
 	value, err := json.Marshal(entryRow{Address: g.settings.ControlAddress, DataCentre: g.settings.DataCentre, Cores: g.settings.Cores})
 	if err != nil {
-		klog.ErrorS(err, "Entry not registered")
+		klog.ErrorS(err, "Entry not registered: its row could not be encoded")
 		return
 	}
 	for ctx.Err() == nil && !g.stopping.Load() {
@@ -253,7 +253,7 @@
 			klog.InfoS("Entry registered", "node", g.settings.Node, "address", g.settings.ControlAddress)
 			return
 		}
-		klog.InfoS("Entry not registered yet", "err", err)
+		klog.InfoS("Entry not registered yet, will retry", "err", err)
 		sleep(ctx, registerRetryPause)
 	}
 }
