--- a/internal/routing/trial_test.go
+++ b/internal/routing/trial_test.go
@@ -19,13 +19,13 @@
 // LRU cache and one prefill at a time, and entries that each receive a part of
 // the calls. jay-load measures the real processes.
 const (
-	trialPrefillRate = 10000.0 // tokens per second
-	trialHopMS       = 1.0     // one offer or probe and its reply
-	trialOutputMS    = 150.0   // from the first token to the end
-	trialCacheShare  = 0.75    // of the working set, over all servers
+	simPrefillRate = 10000.0 // tokens per second
+	simHopMS       = 1.0     // one offer or probe and its reply
+	simOutputMS    = 150.0   // from the first token to the end
+	simCacheShare  = 0.75    // of the working set, over all servers
 )
 
-type trialServer struct {
+type simServer struct {
 	freeAt      time.Duration
 	lru         *list.List
 	blocks      map[uint64]*list.Element
@@ -39,11 +39,11 @@
 	used time.Duration
 }
 
-func newTrialServer(capacity int) *trialServer {
-	return &trialServer{lru: list.New(), blocks: map[uint64]*list.Element{}, capacity: capacity, retentionMS: 30000}
+func newSimServer(capacity int) *simServer {
+	return &simServer{lru: list.New(), blocks: map[uint64]*list.Element{}, capacity: capacity, retentionMS: 30000}
 }
 
-func (s *trialServer) hits(chain []uint64) int {
+func (s *simServer) hits(chain []uint64) int {
 	n := 0
 	for n < len(chain) && s.blocks[chain[n]] != nil {
 		n++
@@ -52,7 +52,7 @@
 }
 
 // touch caches the chain, its deepest block as the least recently used.
-func (s *trialServer) touch(now time.Duration, chain []uint64) {
+func (s *simServer) touch(now time.Duration, chain []uint64) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		if e := s.blocks[chain[i]]; e != nil {
 			e.Value = cachedBlock{chain[i], now}
@@ -68,21 +68,21 @@
 	}
 }
 
-func (s *trialServer) state(now time.Duration) *jayv1.AgentState {
+func (s *simServer) state(now time.Duration) *jayv1.AgentState {
 	return &jayv1.AgentState{
 		Incarnation: 1, Ready: true, QueueMs: ms(max(0, s.freeAt-now)), Running: uint32(s.inService),
-		PrefillTokensPerSecond: trialPrefillRate, CacheSurvivalMs: s.retentionMS,
+		PrefillTokensPerSecond: simPrefillRate, CacheSurvivalMs: s.retentionMS,
 	}
 }
 
-func (s *trialServer) cost(now time.Duration, chain []uint64, bytes int) float64 {
+func (s *simServer) cost(now time.Duration, chain []uint64, bytes int) float64 {
 	missed := bytes - s.hits(chain)*64
-	return ms(max(0, s.freeAt-now)) + float64(missed)/4/trialPrefillRate*1000
+	return ms(max(0, s.freeAt-now)) + float64(missed)/4/simPrefillRate*1000
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-type trialEnd struct {
+type simEnd struct {
 	at     time.Duration
 	server int
 	entry  int
@@ -90,28 +90,28 @@
 	ttft   float64
 }
 
-type trialEnds []trialEnd
+type simEnds []simEnd
 
-func (h trialEnds) Len() int           { return len(h) }
-func (h trialEnds) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h trialEnds) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *trialEnds) Push(x any)        { *h = append(*h, x.(trialEnd)) }
-func (h *trialEnds) Pop() any {
+func (h simEnds) Len() int           { return len(h) }
+func (h simEnds) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h simEnds) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *simEnds) Push(x any)        { *h = append(*h, x.(simEnd)) }
+func (h *simEnds) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// trial is one run of the simulation. All entries restart at restartAt, if it is
+// simulation is one run. All entries restart at restartAt, if it is
 // positive; slowServer, if not negative, prefills slowFactor times as long.
-type trial struct {
-	servers []*trialServer
+type simulation struct {
+	servers []*simServer
 	names   []string
 	byName  map[string]int
 	entries []*routing.Router
 	set     *routing.Set
 	pool    *routing.PoolPolicy
-	ends    trialEnds
+	ends    simEnds
 
 	ttft               []float64
 	hit, prompt        int
@@ -124,16 +124,16 @@
 	promptAfterRestart int
 }
 
-func newTrial(mix load.Mix, policy string, entries int, calls []load.Call) *trial {
+func newSimulation(mix load.Mix, policy string, entries int, calls []load.Call) *simulation {
 	workingSet := load.UnlimitedCache(calls).SharedTokens
-	capacity := int(trialCacheShare * float64(workingSet) / 16 / float64(mix.Servers))
-	t := &trial{
+	capacity := int(simCacheShare * float64(workingSet) / 16 / float64(mix.Servers))
+	t := &simulation{
 		policy: policy, byName: map[string]int{}, slowServer: -1,
 		pool: &routing.PoolPolicy{Pool: "p", BytesPerToken: 4, SharedLevel: 2, RecomputeWeight: mix.RecomputeWeight},
 	}
 	list := servers(mix.Servers)
 	for i, server := range list {
-		t.servers = append(t.servers, newTrialServer(capacity))
+		t.servers = append(t.servers, newSimServer(capacity))
 		t.names = append(t.names, server.Name)
 		t.byName[server.Name] = i
 	}
@@ -144,17 +144,17 @@
 	return t
 }
 
-func (t *trial) router(e int) *routing.Router {
+func (t *simulation) router(e int) *routing.Router {
 	return routing.New(routing.Options{Policy: t.policy, DataCentre: fmt.Sprintf("hall-%d", e%3), Region: "north", Seed: uint64(e)})
 }
 
-func (t *trial) run(calls []load.Call) {
+func (t *simulation) run(calls []load.Call) {
 	random := rand.New(rand.NewPCG(5, 5))
 	restarted := false
 	for i := range calls {
 		at := calls[i].At
 		for len(t.ends) > 0 && t.ends[0].at <= at {
-			t.finish(heap.Pop(&t.ends).(trialEnd))
+			t.finish(heap.Pop(&t.ends).(simEnd))
 		}
 		if t.restartAt > 0 && at >= t.restartAt && !restarted {
 			restarted = true
@@ -166,7 +166,7 @@
 	}
 }
 
-func (t *trial) finish(end trialEnd) {
+func (t *simulation) finish(end simEnd) {
 	now := epoch.Add(end.at)
 	s := t.servers[end.server]
 	s.inService--
@@ -174,7 +174,7 @@
 	t.entries[end.entry].Finished(now, t.names[end.server], end.req, end.ttft)
 }
 
-func (t *trial) serve(at time.Duration, e int, call *load.Call) {
+func (t *simulation) serve(at time.Duration, e int, call *load.Call) {
 	chain := prefix.Chain(prefix.Seed{Workspace: call.Workspace}, load.Rendered(call))
 	blocks := load.BlockChain(call)
 	req := &routing.Request{ID: fmt.Sprint(call.Index), Chain: chain.Points, Levels: chain.Levels, PromptBytes: chain.Bytes}
@@ -209,25 +209,25 @@
 			tried = append(tried, routing.RefusedOffer{Server: d.Server, Refusal: jayv1.Refusal_REFUSAL_COST, CostMS: cost, CachedBytes: cached})
 			continue
 		}
-		t.accept(at, e, i, call, req, blocks, cost+hops*trialHopMS)
+		t.accept(at, e, i, call, req, blocks, cost+hops*simHopMS)
 		router.UpdateState(now, d.Server, s.state(at))
 		router.HandedOff(now, d.Server, req, cost)
 		return
 	}
 }
 
-func (t *trial) accept(at time.Duration, e, i int, call *load.Call, req *routing.Request, blocks []uint64, ttft float64) {
+func (t *simulation) accept(at time.Duration, e, i int, call *load.Call, req *routing.Request, blocks []uint64, ttft float64) {
 	s := t.servers[i]
 	hits := s.hits(blocks)
-	prefill := time.Duration(float64(req.PromptBytes-hits*64) / 4 / trialPrefillRate * float64(time.Second))
+	prefill := time.Duration(float64(req.PromptBytes-hits*64) / 4 / simPrefillRate * float64(time.Second))
 	if i == t.slowServer {
 		prefill = time.Duration(float64(prefill) * t.slowFactor)
-		ttft = ms(max(0, s.freeAt-at)+prefill) + trialHopMS
+		ttft = ms(max(0, s.freeAt-at)+prefill) + simHopMS
 	}
 	s.freeAt = max(at, s.freeAt) + prefill
 	s.touch(at, blocks)
 	s.inService++
-	heap.Push(&t.ends, trialEnd{at: at + time.Duration((ttft+trialOutputMS)*1e6), server: i, entry: e, req: req, ttft: ttft})
+	heap.Push(&t.ends, simEnd{at: at + time.Duration((ttft+simOutputMS)*1e6), server: i, entry: e, req: req, ttft: ttft})
 	if at < 15*time.Second { // the caches are being filled
 		return
 	}
@@ -240,7 +240,7 @@
 	}
 }
 
-func (t *trial) quantile(q float64) float64 {
+func (t *simulation) quantile(q float64) float64 {
 	slices.Sort(t.ttft)
 	return t.ttft[int(q*float64(len(t.ttft)-1))]
 }
@@ -249,10 +249,10 @@
 // computed from its hit rate at a moderate rate.
 func leastLoadRate(mix load.Mix) float64 {
 	calls := load.Generate(load.Traffic{Mix: mix, Rate: 40, Duration: 60 * time.Second, Seed: 1})
-	t := newTrial(mix, routing.PolicyLeastLoad, 3, calls)
+	t := newSimulation(mix, routing.PolicyLeastLoad, 3, calls)
 	t.run(calls)
 	missed := float64(t.prompt-t.hit) / float64(len(t.ttft))
-	return float64(mix.Servers) * trialPrefillRate / missed
+	return float64(mix.Servers) * simPrefillRate / missed
 }
 
 // BenchmarkTrial reports the hit rate, p50 and p99 of the time to first token
@@ -267,7 +267,7 @@
 				for _, policy := range routing.Policies() {
 					b.Run(fmt.Sprintf("mix=%s/load=%.1f/entries=%d/%s", mix.Name, share, entries, policy), func(b *testing.B) {
 						for range b.N {
-							t := newTrial(mix, policy, entries, calls)
+							t := newSimulation(mix, policy, entries, calls)
 							t.run(calls)
 							b.ReportMetric(float64(t.hit)/float64(t.prompt), "hit")
 							b.ReportMetric(t.quantile(0.5), "p50ms")
