--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -349,9 +349,9 @@
 	return &routing.Request{ID: "fresh", Chain: chain, Levels: []int{2, 10, 19}, PromptBytes: 20480}
 }
 
-// BenchmarkObservationMemory reports the memory of one observed prefix point in
+// BenchmarkBeliefMemory reports the memory of one observed prefix point in
 // bytes when the table is full.
-func BenchmarkObservationMemory(b *testing.B) {
+func BenchmarkBeliefMemory(b *testing.B) {
 	const points = 1 << 16
 	var before, after runtime.MemStats
 	for range b.N {
