--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -130,7 +130,7 @@
 		return nil, operator.ErrNoExplanation
 	}
 	if err != nil {
-		return nil, eris.Wrapf(err, "ask entry %s", name)
+		return nil, eris.Wrapf(err, "request explanation from entry %s", name)
 	}
 	if !reply.GetExplain().GetFound() {
 		return nil, operator.ErrNoExplanation
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -30,7 +30,9 @@
 
 // crashSettings returns the settings of the entry's quarantine, which ends after
 // SuspectTTL. Entries have no stored row by which one of them could claim a trial,
-// so only requests that are possibly not the cause of their crashes get one.
+// so there are no timed trials: the only trial delay ends when the record expires.
+// Requests that are possibly not the cause of their crashes get a trial in their
+// time slot.
 func crashSettings() quarantine.Settings {
 	settings := quarantine.DefaultSettings()
 	settings.TrialDelays = []time.Duration{settings.SuspectTTL}
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -44,7 +44,7 @@
 	}
 	failed := s.agents[0].count(accepted)
 	t.Logf("%d of %d requests went to the failing server", failed, requests)
-	assert.LessOrEqual(t, failed, 5, "three failures in a row eject the server, one more returns it from probation to ejection")
+	assert.LessOrEqual(t, failed, 5, "three failures in a row eject the server, and one more on probation ejects it again")
 }
 
 func distinctPrompt(n int) string {
--- a/internal/entry/fakeagent_test.go
+++ b/internal/entry/fakeagent_test.go
@@ -29,7 +29,7 @@
 	// respond emits the chunks of an accepted request and returns its End; it may
 	// block.
 	respond func(offer *jayv1.Offer, body []byte, emit func(data string)) *jayv1.End
-	// cuts is how many times the link is aborted: first after cutAfter chunks,
+	// cuts is how many more times the link is aborted: first after cutAfter chunks,
 	// then one chunk later each time.
 	cutAfter, cuts int
 	// forget: resumes find no stream, as after a restart of the agent.
@@ -152,13 +152,13 @@
 	f.bodies = append(f.bodies, body)
 	f.runs[offer.GetRequestId()]++
 	f.kept[key(offer.GetRequestId(), offer.GetAttempt())] = kept
-	answer := f.respond
+	respond := f.respond
 	f.mu.Unlock()
-	if answer == nil {
-		answer = tokens(3)
+	if respond == nil {
+		respond = tokens(3)
 	}
 	go func() {
-		end := answer(offer, body, kept.emit)
+		end := respond(offer, body, kept.emit)
 		f.mu.Lock()
 		end.Count = f.wrongCount
 		f.mu.Unlock()
--- a/internal/entry/handover_test.go
+++ b/internal/entry/handover_test.go
@@ -49,14 +49,14 @@
 	s := newDeployment(t, "b1", "b2", "b3")
 	var failures atomic.Int64
 	failures.Store(1)
-	answer := func(offer *jayv1.Offer, body []byte, emit func(string)) *jayv1.End {
+	respond := func(offer *jayv1.Offer, body []byte, emit func(string)) *jayv1.End {
 		if failures.Add(-1) >= 0 {
 			return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine failed"}
 		}
 		return tokens(3)(offer, body, emit)
 	}
 	for _, a := range s.agents {
-		a.set(func(f *fakeAgent) { f.respond = answer })
+		a.set(func(f *fakeAgent) { f.respond = respond })
 	}
 	e := s.entry("e1", func(settings *entry.Settings) { settings.Attempts.RetryBurst = 4 })
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatStream)
@@ -88,12 +88,12 @@
 		}
 		return nil
 	}
-	answer := func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
+	respond := func(*jayv1.Offer, []byte, func(string)) *jayv1.End {
 		lost.Store(true)
 		return &jayv1.End{Outcome: jayv1.Outcome_OUTCOME_UNKNOWN, Error: "engine failed"}
 	}
 	for _, a := range s.agents {
-		a.set(func(f *fakeAgent) { f.refuse, f.respond = refuse, answer })
+		a.set(func(f *fakeAgent) { f.refuse, f.respond = refuse, respond })
 	}
 	e := s.entry("e1")
 	r := call(t, "POST", e.CallersURL()+chatPath, keyQuarry, chatPlain)
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -10,7 +10,7 @@
 	"github.com/jayproxy/jayproxy/internal/spread"
 )
 
-// Settings of an entry. Addresses are IP:port, port 0 takes a free one.
+// Settings of an entry. Addresses are IP:port; port 0 selects a free port.
 type Settings struct {
 	Name       string `toml:"name" doc:"Name of the process; empty takes the name in the certificate. Request ids carry it."`
 	DataCentre string `toml:"data_centre" validate:"required" doc:"Data centre that the VM stands in."`
