--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -184,7 +184,7 @@
 	a.attempts.close()
 	err := a.attempts.waitEmpty(ctx)
 	a.Close()
-	return eris.Wrap(err, "drain")
+	return eris.Wrap(err, "wait for accepted requests to end")
 }
 
 // Close stops the agent at once and interrupts running requests.
--- a/internal/agent/enginecache.go
+++ b/internal/agent/enginecache.go
@@ -124,7 +124,7 @@
 }
 
 // resync replaces the index's contents by a snapshot. For an engine without
-// snapshots it switches the index to the Forget mode of repair.
+// snapshots it switches the index to the Expire mode of repair.
 func (c *engineCache) resync(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
--- a/internal/agent/kv.go
+++ b/internal/agent/kv.go
@@ -177,7 +177,7 @@
 	}
 	response, err := k.client.Do(request)
 	if err != nil {
-		return nil, eris.Wrap(err, "KV cache store")
+		return nil, eris.Wrap(err, "send request to KV cache store")
 	}
 	if response.StatusCode < http.StatusMultipleChoices {
 		return response, nil
--- a/internal/agent/work.go
+++ b/internal/agent/work.go
@@ -30,8 +30,9 @@
 // attempt is one accepted attempt of a request, from the offer until its
 // response is discarded. It may outlive the stream that it was offered on.
 type attempt struct {
-	id       string
-	offer    *jayv1.Offer
+	id    string
+	offer *jayv1.Offer
+	// claim is what a request to resume the response must match.
 	claim    relay.Claim
 	response *responseBuffer
 	// ctx ends when the attempt ends or is canceled.
