--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -84,7 +84,7 @@
 
 // QueueMS returns the expected wait of a new request of the class, in
 // milliseconds: the longer of the prefill work ahead and the wait for a slot.
-// They overlap, because engines compute prompts while they generate answers.
+// They overlap, because engines compute prompts while they generate output.
 func (q *Queue) QueueMS(now time.Time, class jayv1.Class) float64 {
 	ahead, tokens := q.ahead(rankOf(class))
 	prefill := 0.0
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -78,8 +78,8 @@
 	Tokens float64
 	// Bytes is the size of the body that is held while the request waits.
 	Bytes int
-	// Deadline is the time after which the caller no longer waits for the
-	// answer; zero if there is none.
+	// Deadline is the latest time for the start of the response; zero if there
+	// is none.
 	Deadline time.Time
 	// NextBestMS is the expected cost of the entry's next best choice, in
 	// milliseconds; 0 if it has none.
@@ -88,7 +88,7 @@
 	Final bool
 }
 
-// Decision is the answer to an offer.
+// Decision is the reply to an offer.
 type Decision struct {
 	Accepted   bool
 	Refusal    jayv1.Refusal
