--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -247,8 +247,9 @@
 	l.seen = false
 }
 
-// won starts the holder's time when its write was sent. Other contenders see the
-// row later than that, so their wait ends after the holder has stopped acting.
+// won records that the lease is held. Its time counts from when the write was
+// sent: other contenders see the row later than that, so their wait ends after the
+// holder has stopped acting.
 func (l *Lease) won(version, fence uint64) {
 	l.fence = fence
 	if fence == 0 {
