--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -35,7 +35,7 @@
 	Withdraw
 )
 
-var kindNames = [...]string{"none", "announce", "order", "look", "withdraw"}
+var kindNames = [...]string{"none", "announce", "order", "query", "withdraw"}
 
 // String returns the name for logs.
 func (k ActionKind) String() string { return kindNames[k] }
@@ -68,14 +68,14 @@
 	maxDrainTime = 300 * time.Millisecond
 	// minDrainTime lets requests that are in transit arrive before the order.
 	minDrainTime = 120 * time.Millisecond
-	// lookInterval is the least time between two queries of one server during a load.
-	lookInterval = 120 * time.Millisecond
+	// queryInterval is the least time between two queries of one server during a load.
+	queryInterval = 120 * time.Millisecond
 	// reportLag is the usual age of the state that a server reports.
 	reportLag = 200 * time.Millisecond
 	// initialLoadTime is the expected time of a load until one has ended. It allows
 	// for concurrent loads, which slow each other down.
 	initialLoadTime = 900 * time.Millisecond
-	// loadTimeout is how long after an order it is assumed lost and given again.
+	// loadTimeout is how long after an order it is assumed lost and sent again.
 	loadTimeout = 4 * time.Second
 	// stateTimeout is how long an announced server may take to report its state, a few
 	// queries long. One that does not is passed over for unresponsivePause: crashed
@@ -108,11 +108,11 @@
 type progress struct {
 	phase phase
 	// since is the start of the phase.
-	since   time.Time
-	lookAt  time.Time
-	version uint64
-	orders  int64
-	running int
+	since       time.Time
+	nextQueryAt time.Time
+	version     uint64
+	orders      int64
+	running     int
 	// stateKnown: the server has reported its state since it was announced.
 	stateKnown bool
 	// expectedOrders is the count that the last order named. refused: the server's
@@ -166,7 +166,8 @@
 			waiting++
 		}
 	}
-	// Unresponsive servers do not count: the others carry their load.
+	// Unresponsive servers are not counted: the others serve their requests, so fewer
+	// of them may load at a time.
 	free := MaxConcurrentLoads(responsive) - loading
 	for _, s := range p.readyForOrder(now, servers) {
 		if free <= 0 {
@@ -217,8 +218,8 @@
 			pr.phase, pr.orders, pr.retryAt = idle, -1, now.Add(retryDelay)
 			return []Action{{Kind: Withdraw, Server: s.ID}}
 		}
-		if now.Sub(pr.since) >= p.loadTime && !now.Before(pr.lookAt) {
-			pr.lookAt = now.Add(lookInterval)
+		if now.Sub(pr.since) >= p.loadTime && !now.Before(pr.nextQueryAt) {
+			pr.nextQueryAt = now.Add(queryInterval)
 			return []Action{{Kind: Query, Server: s.ID, Address: s.Address}}
 		}
 	case announced:
@@ -228,8 +229,8 @@
 			pr.phase, pr.retryAt, pr.unresponsive = idle, now.Add(unresponsivePause), true
 			return nil
 		}
-		if !pr.stateKnown && !now.Before(pr.lookAt) {
-			pr.lookAt = now.Add(2 * lookInterval)
+		if !pr.stateKnown && !now.Before(pr.nextQueryAt) {
+			pr.nextQueryAt = now.Add(2 * queryInterval)
 			return []Action{{Kind: Query, Server: s.ID, Address: s.Address}}
 		}
 	}
@@ -258,7 +259,7 @@
 
 func (p *Plan) order(now time.Time, s Server, target uint64) Action {
 	pr := p.byServer[s.ID]
-	pr.phase, pr.since, pr.version, pr.lookAt = ordered, now, target, time.Time{}
+	pr.phase, pr.since, pr.version, pr.nextQueryAt = ordered, now, target, time.Time{}
 	pr.expectedOrders, pr.refused = pr.orders, false
 	return Action{Kind: Order, Server: s.ID, Address: s.Address, Version: target, Orders: pr.orders}
 }
@@ -286,18 +287,18 @@
 	var actions []Action
 	for _, s := range next[:max(0, min(n, len(next)))] {
 		pr := p.byServer[s.ID]
-		pr.phase, pr.since, pr.stateKnown, pr.lookAt = announced, now, false, time.Time{}
+		pr.phase, pr.since, pr.stateKnown, pr.nextQueryAt = announced, now, false, time.Time{}
 		actions = append(actions,
 			Action{Kind: Announce, Server: s.ID, Address: s.Address, Version: target},
 			Action{Kind: Query, Server: s.ID, Address: s.Address})
-		pr.lookAt = now.Add(2 * lookInterval)
+		pr.nextQueryAt = now.Add(2 * queryInterval)
 	}
 	return actions
 }
 
 // ObserveState records the state that a server reported. If an order is due to be
 // done and the server neither loads nor has accepted another order, the order was
-// lost; it is given again without waiting for loadTimeout.
+// lost; it is sent again without waiting for loadTimeout.
 func (p *Plan) ObserveState(server string, seen ServerState) {
 	pr := p.progress(server)
 	if pr.phase == ordered && pr.expectedOrders >= 0 && !seen.Busy && int64(seen.Orders) == pr.expectedOrders { //nolint:gosec // a count of orders
