--- a/internal/spread/core.go
+++ b/internal/spread/core.go
@@ -380,7 +380,7 @@
 }
 
 // pullRetryDivisor: a peer whose pull failed is skipped for PullTimeout divided by
-// this value. It is short because most pulls fail by a lost packet.
+// this value. It is short because most pulls fail due to a lost packet.
 const pullRetryDivisor = 4
 
 // newestPeer returns the peer with the highest generation above this process's
--- a/internal/spread/service.go
+++ b/internal/spread/service.go
@@ -42,7 +42,7 @@
 	Store Store
 	// VMs is nil at agents.
 	VMs platform.VMs
-	// Seeds are addresses of entries to contact while no other entry, or no generation, is known.
+	// Seeds are addresses of entries or agents to contact while no other entry, or no generation, is known.
 	Seeds []string
 	// OnVMs receives each answer of the VM list that isn't empty.
 	OnVMs func(platform.VMList)
--- a/internal/spread/tick.go
+++ b/internal/spread/tick.go
@@ -67,8 +67,8 @@
 	return actions
 }
 
-// digestToNeighbour sends a digest to one neighbour per interval, in turn. Now and
-// then it sends one to another entry, at the cost of a handshake, so that an overlay
+// digestToNeighbour sends a digest to one neighbour per interval, in turn. Every
+// nonNeighbourEvery intervals it sends one to any entry, at the cost of a handshake, so that an overlay
 // that split into parts is joined again.
 func (c *Core) digestToNeighbour(now time.Time) []Action {
 	if now.Before(c.nextDigest) {
@@ -102,8 +102,8 @@
 	return rank(c.self.ID.Name, all)
 }
 
-// maxAgentDigestsPerTick bounds the digests to agents in one tick: 40 per second, twice
-// the number of agents per entry in the largest data centre supported.
+// maxAgentDigestsPerTick bounds the digests to agents in one tick, so that a restarted
+// entry doesn't connect to all its agents at once. At tickInterval it allows 40 per second.
 const maxAgentDigestsPerTick = 2
 
 // digestsToAgents sends digests to the assigned agents: at once and then every
