--- a/internal/cacheindex/events.go
+++ b/internal/cacheindex/events.go
@@ -23,8 +23,9 @@
 }
 
 // process applies, buffers or ignores one event. Events of an earlier incarnation describe
-// blocks that are gone, and events below the expected sequence number were applied already:
-// both are ignored. An event above the expected number waits for the missing ones.
+// blocks that are gone. Events below the expected sequence number were applied already; again
+// they could restore blocks that were removed since. Both are ignored. An event above the
+// expected number waits for the missing ones.
 func (x *Index) process(now time.Time, event engine.CacheEvent) {
 	if event.Incarnation < x.incarnation {
 		x.stats.Ignored++
