--- a/internal/transport/node.go
+++ b/internal/transport/node.go
@@ -32,8 +32,8 @@
 	// LinkTimeout: a link counts as lost if neither a frame nor a heartbeat arrives on an open
 	// stream for this long.
 	LinkTimeout time.Duration
-	// IdleTimeout: both ends drop a connection that carried no packet for this long. That sends
-	// no packet.
+	// IdleTimeout: both ends drop a connection that carried no packet for this long, without
+	// sending one.
 	IdleTimeout time.Duration
 	// MaxStreams is the number of streams that a peer may have open on a connection.
 	MaxStreams int64
@@ -47,7 +47,7 @@
 	// Receive windows in bytes: streamWindowBytes per stream, linkWindowBytes for all streams
 	// of a connection. A caller that doesn't read fills the window of its stream. The window
 	// of the connection is far larger, so that a few such callers don't block the other
-	// answers from the same backend server. Memory is used only for data that was received
+	// responses from the same backend server. Memory is used only for data that was received
 	// and not read.
 	streamWindowBytes = 256 << 10
 	linkWindowBytes   = 256 << 20
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -199,7 +199,7 @@
 
 // finish closes both sides after the handler returned. What the peer still sends, such as an
 // acknowledgement that crossed the last frame, is read and discarded until the peer closes
-// its side: aborting at once would fail its sends while it still reads the answer. After
+// its side: aborting at once would fail its sends while it still reads the response. After
 // LinkTimeout the read side is aborted, so that half-open streams don't reach MaxStreams.
 func (s *Stream) finish() {
 	_ = s.CloseSend()
