--- a/internal/relay/buffer.go
+++ b/internal/relay/buffer.go
@@ -1,4 +1,4 @@
-// Package relay keeps the stream of an answer complete and in order across reconnects: the
+// Package relay keeps the stream of a response complete and in order across reconnects: the
 // sender's replay buffer, the receiver's sequence checks and the validation of engine events.
 // It has no I/O, goroutine or clock; callers lock.
 package relay
@@ -19,7 +19,7 @@
 // allocation.
 const chunkOverhead = 48
 
-// Buffer keeps the chunks of one answer for replay, within a bound of bytes. Chunks are numbered
+// Buffer keeps the chunks of one response for replay, within a bound of bytes. Chunks are numbered
 // from 0.
 type Buffer struct {
 	maxBytes int
--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -54,7 +54,7 @@
 // Check validates an event. Engines may deliver events late, twice or on the stream of another
 // request: events of other requests and duplicates are to be dropped. A missing event
 // (ErrEngineGap) and a change of incarnation or version (ErrMixedOrigin) end the stream:
-// forwarding later events would corrupt the answer unnoticed.
+// forwarding later events would corrupt the response unnoticed.
 func (o *Origin) Check(event engine.Event) (Verdict, error) {
 	if event.RequestID != o.requestID {
 		return DropOtherRequest, nil
--- a/internal/relay/receiver.go
+++ b/internal/relay/receiver.go
@@ -13,12 +13,12 @@
 	ErrCount = errors.New("stream ended with the wrong number of chunks")
 )
 
-// Receiver checks the order of one answer's chunks. The zero value expects chunk 0.
+// Receiver checks the order of one response's chunks. The zero value expects chunk 0.
 type Receiver struct {
 	next uint64
 }
 
-// ReceiverAt returns a Receiver that expects chunk next, for an answer that another receiver
+// ReceiverAt returns a Receiver that expects chunk next, for a response that another receiver
 // started to read.
 func ReceiverAt(next uint64) Receiver { return Receiver{next: next} }
 
@@ -40,7 +40,7 @@
 func (r *Receiver) Next() uint64 { return r.next }
 
 // End returns ErrCount unless exactly count chunks were accepted. It detects a lost tail, without
-// which a truncated answer would look complete.
+// which a truncated response would look complete.
 func (r *Receiver) End(count uint64) error {
 	if r.next != count {
 		return ErrCount
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,7 +25,7 @@
 	inFlight []uint64
 }
 
-// The received answer is complete over a link that is cut at any time, loses chunks in flight
+// The received response is complete over a link that is cut at any time, loses chunks in flight
 // and duplicates chunks.
 func TestStreamIsCompleteOverUnreliableLink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -110,7 +110,7 @@
 	require.NoError(t, b.Resume(2))
 }
 
-// A truncated answer must not be taken for a complete one when the last chunks are lost and the
+// A truncated response must not be taken for a complete one when the last chunks are lost and the
 // end still arrives.
 func TestReceiverDetectsMissingChunks(t *testing.T) {
 	var r relay.Receiver
