--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -138,7 +138,7 @@
 }
 
 // KVStoreChanges lists what a KV cache store has stored and evicted since an earlier
-// call. Changes are listed about 100 ms late, and a few never are.
+// call. Changes are listed about 100 ms late, and a few are never listed.
 type KVStoreChanges struct {
 	// Epoch changes when the store restarts, empty.
 	Epoch uint64
