--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -19,7 +19,7 @@
 	Once Kind = iota
 	// Idempotent: a call may run more than once.
 	Idempotent
-	// Stream: the answer is a stream of events. A call may run at most once unless the
+	// Stream: the response is a stream of events. A call may run at most once unless the
 	// route is resumable.
 	Stream
 )
@@ -39,7 +39,7 @@
 	Kind   Kind
 	// Timeout is the longest time that a caller waits; 0: no limit.
 	Timeout time.Duration
-	// LatencyTarget is the latency objective of an answer.
+	// LatencyTarget is the latency objective of a response.
 	LatencyTarget time.Duration
 	// GapTarget is the objective for the time between two events of a stream.
 	GapTarget time.Duration
