--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -80,7 +80,8 @@
 
 // MergeHistory merges the history of a model from another process into this one. A
 // process that has just started knows only the newest version and when it read it:
-// without the history, older weights would count as replaced just now.
+// without the history, older weights would count as replaced just now and be used for
+// too long.
 func (t *Targets) MergeHistory(now time.Time, model string, steps []VersionAge) {
 	h := t.models[model]
 	if h == nil {
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -33,7 +33,7 @@
 }
 
 // Guards against a restarted entry that takes the time at which it read the newest
-// version for the time at which it was named, and still uses old weights.
+// version for the time at which it was named, and so uses old weights for too long.
 func TestARestartedProcessMergesTheHistoryOfAnother(t *testing.T) {
 	old, fresh := weights.NewTargets(), weights.NewTargets()
 	old.Set(start, weights.Target{Model: "m", Version: 2})
