--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -235,7 +235,8 @@
 	return true
 }
 
-// signal starts one idle commit loop. The caller must hold the lock.
+// signal notifies an idle commit loop that operations are queued. The caller must
+// hold the lock.
 func (l *Ledger) signal() {
 	select {
 	case l.workReady <- struct{}{}:
