--- a/internal/engine/dialect/sse.go
+++ b/internal/engine/dialect/sse.go
@@ -19,7 +19,8 @@
 	maxLine = 4 << 20
 )
 
-// sseEvent is one server-sent event. Its fields are valid until the next read.
+// sseEvent is one server-sent event. Its data is a copy, which later reads do not
+// overwrite.
 type sseEvent struct {
 	id   string
 	kind string
