--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -41,8 +41,8 @@
 
 // State is an engine's load report.
 type State struct {
-	// Incarnation is the engine's boot number, which increases with every start of
-	// its process.
+	// Incarnation is a number that increases with every start of the engine's
+	// process.
 	Incarnation uint64
 	Running     int
 	Waiting     int
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -181,7 +181,7 @@
 }
 
 // Guards against "no such stream" for a stream whose engine failed or whose agent
-// can't be reached: the caller would not learn that its request may have run.
+// can't be reached: the caller would not know that its request may have run.
 func TestOnlyUnknownStreamIsNotFound(t *testing.T) {
 	failing := func(_ *jayv1.Offer, _ []byte, emit func(string)) *jayv1.End {
 		for i := range 5 {
