--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -14,7 +14,7 @@
 	"github.com/jayproxy/jayproxy/internal/routetable"
 	"github.com/jayproxy/jayproxy/internal/routing"
 	"github.com/jayproxy/jayproxy/internal/shard"
-	"github.com/jayproxy/jayproxy/internal/waitroom"
+	"github.com/jayproxy/jayproxy/internal/waitqueue"
 	"github.com/jayproxy/jayproxy/internal/weights"
 )
 
@@ -59,7 +59,7 @@
 	entryCount   int
 	// waitQueue holds the requests that wait for engine memory, waiters their jobs by
 	// request ID.
-	waitQueue *waitroom.Queue
+	waitQueue *waitqueue.Queue
 	waiters   map[string]*waiter
 	// kvStores are the KV cache stores as seen from engines of type kvStoresEngine.
 	kvStores       []routing.KVStore
@@ -105,7 +105,7 @@
 		switches: map[string]weightSwitch{}, orderedAt: map[string]time.Time{},
 		retryBudgets: map[string]*retry.Window{},
 		entryCount:   1, kvStoresDown: map[string]bool{},
-		waitQueue: waitroom.New(), waiters: map[string]*waiter{},
+		waitQueue: waitqueue.New(), waiters: map[string]*waiter{},
 		suspects: newSuspects(),
 	}
 }
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waitqueue.go
@@ -7,7 +7,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/jayproxy/jayproxy/internal/routing"
-	"github.com/jayproxy/jayproxy/internal/waitroom"
+	"github.com/jayproxy/jayproxy/internal/waitqueue"
 )
 
 // waitQueueInterval is the pause between two attempts to place waiting
@@ -88,7 +88,7 @@
 	s := j.gateway.state
 	now := time.Now()
 	w := &waiter{job: j, granted: make(chan grant, 1)}
-	request := waitroom.Request{
+	request := waitqueue.Request{
 		ID: j.head.ID, Priority: j.table.PriorityLevel(j.route, j.workspace), Arrived: j.arrived,
 		Prefill: prefillTime, FirstTokenTarget: j.arrived.Add(j.route.LatencyTarget), Deadline: j.firstEventDeadline(),
 	}
@@ -175,7 +175,7 @@
 		return true
 	})
 	for _, id := range rejected {
-		s.waiters[id].granted <- grant{err: errRejected, retryAfter: waitroom.RetryAfter}
+		s.waiters[id].granted <- grant{err: errRejected, retryAfter: waitqueue.RetryAfter}
 		delete(s.waiters, id)
 	}
 }
--- a/internal/routing/fleetmodel_test.go
+++ b/internal/routing/fleetmodel_test.go
@@ -10,7 +10,7 @@
 	"github.com/jayproxy/jayproxy/internal/call"
 	"github.com/jayproxy/jayproxy/internal/routing"
 	"github.com/jayproxy/jayproxy/internal/shard"
-	"github.com/jayproxy/jayproxy/internal/waitroom"
+	"github.com/jayproxy/jayproxy/internal/waitqueue"
 )
 
 // modelClass is a class of requests.
@@ -88,7 +88,7 @@
 	ordered    []*modelEngine
 	servers    []routing.DirectServer
 	entries    []*routing.Direct
-	waitQueues []*waitroom.Queue
+	waitQueues []*waitqueue.Queue
 	requests   map[string]*modelRequest
 	// mayWait: requests wait in the entries instead of at full engines.
 	mayWait bool
@@ -147,7 +147,7 @@
 		d := newDirect()
 		d.SetEntries(entries)
 		f.entries = append(f.entries, d)
-		f.waitQueues = append(f.waitQueues, waitroom.New())
+		f.waitQueues = append(f.waitQueues, waitqueue.New())
 	}
 	return f
 }
@@ -214,7 +214,7 @@
 		return
 	}
 	class := r.class
-	_, ok := f.waitQueues[r.entry].Add(modelTime(now), waitroom.Request{
+	_, ok := f.waitQueues[r.entry].Add(modelTime(now), waitqueue.Request{
 		ID: r.id, Priority: class.priority, Arrived: modelTime(now), Prefill: routing.PrefillTime(r.tokens()),
 		FirstTokenTarget: modelTime(now + class.targetMS), Deadline: modelTime(r.firstTokenDeadline),
 	})
--- a/internal/waitroom/waitroom.go
+++ b/internal/waitqueue/waitqueue.go
@@ -1,4 +1,4 @@
-// Package waitroom implements the wait queue of an entry: requests that wait
+// Package waitqueue implements the wait queue of an entry: requests that wait
 // until a backend server has memory for them. It decides in which order they are
 // placed and rejects those with little prospect of being served in time.
 //
@@ -6,7 +6,7 @@
 // is rejected when it becomes late behind other late requests, it is sent without
 // free memory when it has waited its maximum, or its caller leaves. The package
 // has no I/O, goroutines or clock; callers provide the locking.
-package waitroom
+package waitqueue
 
 import (
 	"sort"
--- a/internal/waitroom/waitroom_test.go
+++ b/internal/waitqueue/waitqueue_test.go
@@ -1,4 +1,4 @@
-package waitroom_test
+package waitqueue_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	_ "github.com/jayproxy/jayproxy/internal/testseed" // fixed seed
-	"github.com/jayproxy/jayproxy/internal/waitroom"
+	"github.com/jayproxy/jayproxy/internal/waitqueue"
 )
 
 var start = time.Unix(1000, 0)
@@ -18,14 +18,14 @@
 func after(d time.Duration) time.Time { return start.Add(d) }
 
 // request has one second to be on time and ten seconds until its deadline.
-func request(id string, priority int, arrived time.Duration) waitroom.Request {
-	return waitroom.Request{
+func request(id string, priority int, arrived time.Duration) waitqueue.Request {
+	return waitqueue.Request{
 		ID: id, Priority: priority, Arrived: after(arrived), Prefill: 200 * time.Millisecond,
 		FirstTokenTarget: after(arrived + time.Second), Deadline: after(arrived + 10*time.Second),
 	}
 }
 
-func add(t *testing.T, queue *waitroom.Queue, requests ...waitroom.Request) {
+func add(t *testing.T, queue *waitqueue.Queue, requests ...waitqueue.Request) {
 	t.Helper()
 	for _, r := range requests {
 		_, ok := queue.Add(r.Arrived, r)
@@ -34,7 +34,7 @@
 }
 
 // dispatched lists the requests that the queue tries to place, in order.
-func dispatched(queue *waitroom.Queue, at time.Duration, place bool) (ids []string, forced []bool) {
+func dispatched(queue *waitqueue.Queue, at time.Duration, place bool) (ids []string, forced []bool) {
 	queue.Dispatch(after(at), func(id string, force bool) bool {
 		ids, forced = append(ids, id), append(forced, force)
 		return place
@@ -43,7 +43,7 @@
 }
 
 func TestHigherPriorityGoesFirstThenEarlierArrival(t *testing.T) {
-	queue := waitroom.New()
+	queue := waitqueue.New()
 	add(t, queue, request("b1", 1, 0), request("b2", 1, 10*time.Millisecond), request("a", 0, 20*time.Millisecond))
 	ids, _ := dispatched(queue, 30*time.Millisecond, true)
 	assert.Equal(t, []string{"a", "b1", "b2"}, ids)
@@ -53,7 +53,7 @@
 // Guards against a queue in which late requests delay all others until those are
 // late too.
 func TestLateRequestsAreServedAfterThoseThatCanBeOnTime(t *testing.T) {
-	queue := waitroom.New()
+	queue := waitqueue.New()
 	add(t, queue, request("late", 1, 0), request("in time", 1, 700*time.Millisecond))
 	ids, _ := dispatched(queue, 900*time.Millisecond, true)
 	assert.Equal(t, []string{"in time", "late"}, ids)
@@ -62,7 +62,7 @@
 // Guards against a large prompt at the head of the queue that blocks smaller ones
 // for which there is memory.
 func TestARequestThatFindsNoMemoryDoesNotBlockTheNext(t *testing.T) {
-	queue := waitroom.New()
+	queue := waitqueue.New()
 	add(t, queue, request("large", 1, 0), request("small", 1, time.Millisecond))
 	queue.Dispatch(after(10*time.Millisecond), func(id string, _ bool) bool { return id == "small" })
 	assert.Equal(t, 1, queue.Len())
@@ -71,7 +71,7 @@
 }
 
 func TestAFullFleetIsNotSearchedForEachRequest(t *testing.T) {
-	queue := waitroom.New()
+	queue := waitqueue.New()
 	for i := range 50 {
 		add(t, queue, request(fmt.Sprint(i), i%2, time.Duration(i)*time.Millisecond))
 	}
@@ -82,7 +82,7 @@
 // Guards against a request that waits until its deadline without ever being
 // offered to a server.
 func TestARequestIsSentWithoutMemoryAfterItsMaximumWait(t *testing.T) {
-	queue := waitroom.New()
+	queue := waitqueue.New()
 	add(t, queue, request("a", 1, 0))
 	_, forced := dispatched(queue, 8900*time.Millisecond, false)
 	assert.Equal(t, []bool{false}, forced)
@@ -94,7 +94,7 @@
 // Guards against an overload in which all requests wait their maximum and then
 // fail, instead of being rejected while their callers can still retry.
 func TestNewRequestsAreRejectedAfterOneWasSentWithoutMemory(t *testing.T) {
-	queue := waitroom.New()
+	queue := waitqueue.New()
 	add(t, queue, request("a", 1, 0))
 	dispatched(queue, 9*time.Second, false)
 	retryAfter, ok := queue.Add(after(9100*time.Millisecond), request("b", 1, 9100*time.Millisecond))
@@ -109,7 +109,7 @@
 // Guards against late requests that wait behind a backlog until their callers
 // leave: they must be rejected at the moment at which they become late.
 func TestARequestThatBecomesLateBehindABacklogIsRejectedAtOnce(t *testing.T) {
-	queue := waitroom.New()
+	queue := waitqueue.New()
 	add(t, queue, request("first", 1, 0))
 	assert.Empty(t, queue.Dispatch(after(900*time.Millisecond), noMemory), "no other late request has waited for long")
 	add(t, queue, request("second", 1, 2*time.Second), request("urgent", 0, 2*time.Second))
@@ -124,7 +124,7 @@
 // at the latest at its send time, or is rejected.
 func TestEachRequestIsPlacedOnceByItsSendTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		queue, expected := waitroom.New(), map[string]waitroom.Request{}
+		queue, expected := waitqueue.New(), map[string]waitqueue.Request{}
 		now := time.Duration(0)
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause")) * time.Millisecond
