--- a/internal/catalog/check.go
+++ b/internal/catalog/check.go
@@ -264,8 +264,8 @@
 	path += ".agent_address"
 	switch address, err := netip.ParseAddrPort(b.GetAgentAddress()); {
 	case b.GetAgentAddress() == "" && b.GetPool() != "" && !b.GetChecksFencing():
-		// Such an engine executes the orders of a holder whose lease has expired;
-		// only an agent in front of it can refuse them.
+		// Such an engine also executes the orders of an entry whose lease has
+		// expired; only an agent in front of it can refuse them.
 		c.found.Add(path, "the engine does not check fencing numbers and has no agent that does: set agent_address")
 	case b.GetAgentAddress() == "":
 		c.found.Add(path, "agent_address is missing: requests reach a backend server through its agent")
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -194,7 +194,7 @@
 }
 
 // Guards against a rollout that stops when the entry that holds the lease
-// crashes, falls below min_ready, or mixes orders of the old and new holder.
+// crashes, falls below min_ready, or mixes orders of the old and new lease holder.
 func TestRolloutContinuesWhenTheLeaseHolderCrashes(t *testing.T) {
 	s := newTestPool(t, 6)
 	s.declare(1, 4, "old", "old", "new")
@@ -209,8 +209,8 @@
 	}
 	halfLoaded := func() bool { return s.countAgents(hasLoaded("new", "old")) >= 2 }
 	require.Eventually(t, trackReady(halfLoaded), 10*time.Second, 2*time.Millisecond)
-	holder := append(first.Leases(), second.Leases()...)
-	assert.Equal(t, []string{"pool/p"}, holder)
+	leases := append(first.Leases(), second.Leases()...)
+	assert.Equal(t, []string{"pool/p"}, leases)
 	if len(second.Leases()) > 0 {
 		second.crash()
 	} else {
