--- a/internal/catalogstore/accept.go
+++ b/internal/catalogstore/accept.go
@@ -85,7 +85,7 @@
 		case errors.Is(err, platform.ErrUnknown):
 			// The answer was lost: the write may have taken effect or may still do
 			// so. The next attempt finds the row of the change id, or commits on
-			// the same head version, on which only one of both can succeed.
+			// the same head version, on which only one of the two can succeed.
 			uncertain = true
 		case err != nil && uncertain && isPlatformError(err):
 			// This attempt did nothing, but the outcome of an earlier one is
@@ -132,7 +132,7 @@
 		return Accepted{}, false, err
 	}
 	if table.Generation() != head.Generation {
-		// Another change was accepted between both reads, so a commit on the
+		// Another change was accepted between the two reads, so a commit on the
 		// version of the head row would fail.
 		return Accepted{}, true, nil
 	}
--- a/internal/catalogstore/store.go
+++ b/internal/catalogstore/store.go
@@ -48,8 +48,7 @@
 	// SnapshotEvery is the number of generations between snapshots (256).
 	SnapshotEvery uint64
 	// ChangeRetention is how long changes and their ids are kept in the table at
-	// least (24 h). A repeat of a change after that may
-	// not be recognised.
+	// least (24 h). A repeat of a change after that may not be recognised.
 	ChangeRetention time.Duration
 	// Attempts is the maximum number of attempts to accept a change when others
 	// are accepted concurrently (32).
--- a/internal/catalogstore/store_test.go
+++ b/internal/catalogstore/store_test.go
@@ -36,7 +36,8 @@
 
 func isCatalogWrite(txn platform.Txn) bool { return len(txn.Puts) > 0 }
 
-// failOnce fails the next write with the fault and lets the others pass.
+// failOnce fails the next write with the fault and lets the others pass. Before
+// that write it calls before, unless nil.
 func failOnce(p *platformtest.Memory, fault platformtest.Fault, before func()) {
 	var failed atomic.Bool
 	p.OnCommit(func(txn platform.Txn) platformtest.Fault {
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -18,7 +18,7 @@
 //	                   change id is missing
 //	FailedPrecondition the head is not the expected generation
 //	AlreadyExists      the change id was used for another change
-//	Aborted            other changes were accepted first; nothing was accepted
+//	Aborted            other changes were accepted first; this one was not accepted
 //	Unavailable        nothing was done; retry
 //	Unknown            the outcome is uncertain; repeat with the same change id
 //	Internal           any other error
