--- a/internal/orders/plan.go
+++ b/internal/orders/plan.go
@@ -21,7 +21,7 @@
 	Ready bool
 	// Draining: it is draining or shutting down, and gets no orders.
 	Draining bool
-	// Busy: an order to it is in progress, or it is loading.
+	// Busy: an order to it is in progress.
 	Busy bool
 	// Versions loaded, by digest.
 	Versions []string
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -23,8 +23,9 @@
 	b.tokens = min(b.tokens+b.share, b.burst)
 }
 
-// Allow takes a retry from the budget and reports whether it is allowed. It is not
-// if it could not end before the deadline; need is the least time of an attempt.
+// Allow reports whether a retry is allowed, and takes it from the budget if so. A
+// retry that could not end before the deadline is not allowed; need is the minimum
+// duration of an attempt.
 func (b *Budget) Allow(now, deadline time.Time, need time.Duration) bool {
 	if now.Add(need).After(deadline) || b.tokens < 1 {
 		return false
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Window allows retries up to a ratio of the requests of a sliding window, plus a
-// fixed number. Unlike a Budget, it allows a whole window's retries at once, as are
-// needed when a server fails with many requests, and its limit holds for any
+// fixed number. Unlike a Budget, it allows all retries of a window at once, which is
+// needed when a server fails while it runs many requests. The limit holds for every
 // position of the window.
 type Window struct {
 	limits Limits
@@ -73,8 +73,9 @@
 	return w.limits.Ratio*float64(requests) + w.limits.Slack - float64(retries)
 }
 
-// Allow takes a retry from the window and reports whether it is allowed. It is not
-// if it could not end before the deadline; need is the least time of an attempt.
+// Allow reports whether a retry is allowed, and records it in the window if so. A
+// retry that could not end before the deadline is not allowed; need is the minimum
+// duration of an attempt.
 func (w *Window) Allow(now, deadline time.Time, need time.Duration) bool {
 	if now.Add(need).After(deadline) || w.Available(now) < 1 {
 		return false
