--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,11 +22,11 @@
 func TestParseReportsAllFindingsWithTheirLines(t *testing.T) {
 	var target sample
 	err := settings.Parse("a.toml", []byte("listen = \"\"\n[limits]\nbody_bytes = 0\n"), &target)
-	var fault *findings.Error
-	require.True(t, errors.As(err, &fault))
-	require.Len(t, fault.Findings, 2)
-	assert.Equal(t, "a.toml:1: listen: value  breaks the rule required", fault.Findings[0].String())
-	assert.Equal(t, "a.toml:3: limits.body_bytes: value 0 breaks the rule min=1", fault.Findings[1].String())
+	var found *findings.Error
+	require.True(t, errors.As(err, &found))
+	require.Len(t, found.Findings, 2)
+	assert.Equal(t, "a.toml:1: listen: value  breaks the rule required", found.Findings[0].String())
+	assert.Equal(t, "a.toml:3: limits.body_bytes: value 0 breaks the rule min=1", found.Findings[1].String())
 }
 
 func TestAddressesAreIPNumbersWithAPort(t *testing.T) {
@@ -42,11 +42,11 @@
 func TestParseNamesUnknownKeys(t *testing.T) {
 	var target sample
 	err := settings.Parse("a.toml", []byte("listen = \"x\"\nlisten_on = 1\n[limits]\nbody = 3\n"), &target)
-	var fault *findings.Error
-	require.True(t, errors.As(err, &fault))
-	require.Len(t, fault.Findings, 2)
-	assert.Equal(t, 2, fault.Findings[0].Line)
-	assert.Equal(t, "limits.body", fault.Findings[1].Path)
+	var found *findings.Error
+	require.True(t, errors.As(err, &found))
+	require.Len(t, found.Findings, 2)
+	assert.Equal(t, 2, found.Findings[0].Line)
+	assert.Equal(t, "limits.body", found.Findings[1].Path)
 }
 
 func TestLinesCountsArraysOfTables(t *testing.T) {
--- a/internal/statechart/statechart_test.go
+++ b/internal/statechart/statechart_test.go
@@ -52,9 +52,9 @@
 ignore = ["go"]
 [states.b]
 `))
-	var fault *findings.Error
-	require.True(t, errors.As(err, &fault))
-	require.Len(t, fault.Findings, 2)
-	assert.Contains(t, fault.Error(), "c.toml:7: states.b: event \"go\" is neither handled nor ignored")
-	assert.Contains(t, fault.Error(), "c.toml:7: states.b: no event leads to this state from the initial state")
+	var found *findings.Error
+	require.True(t, errors.As(err, &found))
+	require.Len(t, found.Findings, 2)
+	assert.Contains(t, found.Error(), "c.toml:7: states.b: event \"go\" is neither handled nor ignored")
+	assert.Contains(t, found.Error(), "c.toml:7: states.b: no event leads to this state from the initial state")
 }
