--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -63,7 +63,8 @@
 
 // ServeCommand returns the command of a server binary: it validates the embedded
 // state charts, starts the server with a settings file and runs it until a SIGINT or
-// SIGTERM. After the first signal running work may end, a second one stops it.
+// SIGTERM. After the first signal, work in progress may finish; a second signal
+// stops it.
 func ServeCommand(name, short string, start func(ctx context.Context, file string) (Server, error)) *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
@@ -93,5 +94,5 @@
 	klog.InfoS("Stopping gracefully; a second signal stops at once")
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return eris.Wrap(server.Shutdown(ctx), "stop")
+	return eris.Wrap(server.Shutdown(ctx), "shut down the server")
 }
--- a/internal/waitqueue/waitqueue_test.go
+++ b/internal/waitqueue/waitqueue_test.go
@@ -79,8 +79,8 @@
 	assert.Len(t, ids, 8, "four of each priority are tried")
 }
 
-// Guards against a request that waits until its deadline without ever being
-// offered to a server.
+// Guards against a request that waits until its deadline without ever being sent
+// to a server.
 func TestARequestIsSentWithoutMemoryAfterItsMaximumWait(t *testing.T) {
 	queue := waitqueue.New()
 	add(t, queue, request("a", 1, 0))
