--- a/cmd/jay-gateway/main.go
+++ b/cmd/jay-gateway/main.go
@@ -17,8 +17,8 @@
 	"github.com/jayproxy/jayproxy/platform"
 )
 
-// memoryShare of the process's memory limit is the soft limit of the garbage
-// collector: a process that exceeds its own limit is killed.
+// memoryShare is the share of the process's memory limit that is set as the soft limit
+// of the Go runtime. The rest is headroom: a process above its own limit is killed.
 const memoryShare = 0.6
 
 func main() {
--- a/cmd/jay-standin/commands.go
+++ b/cmd/jay-standin/commands.go
@@ -48,13 +48,13 @@
 	flags.Uint64Var(&sim.Incarnation, "incarnation", 0, "boot number; 0 takes the current time")
 	flags.Uint64Var(&sim.Seed, "seed", 0, "seed of random faults")
 	faultFlags(cmd, &sim.Faults)
-	cmd.PreRun = func(*cobra.Command, []string) { bootNumber(sim) }
+	cmd.PreRun = func(*cobra.Command, []string) { setIncarnation(sim) }
 	return cmd
 }
 
-// bootNumber sets the boot number from the clock if it is not given, so that a
-// restarted process gets a higher number without persistent state.
-func bootNumber(options *sim.Options) {
+// setIncarnation sets the incarnation from the clock if it is not given, so that a
+// restarted process gets a higher one without persistent state.
+func setIncarnation(options *sim.Options) {
 	if options.Incarnation == 0 {
 		options.Incarnation = uint64(time.Now().UnixMilli())
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// transferTime waits for as long as transferring that many KV cache blocks takes.
-func (e *Engine) transferTime(ctx context.Context, blocks int) error {
+// awaitTransfer waits for as long as transferring that many KV cache blocks takes.
+func (e *Engine) awaitTransfer(ctx context.Context, blocks int) error {
 	if e.options.KVBlocksPerSecond <= 0 {
 		return nil
 	}
--- a/internal/standin/engine/merle.go
+++ b/internal/standin/engine/merle.go
@@ -99,7 +99,7 @@
 	router.POST("/cancel", m.cancel)
 	router.POST("/orders", m.order)
 	router.POST("/kv/export", m.export)
-	router.POST("/kv/import", m.load)
+	router.POST("/kv/import", m.importKV)
 }
 
 var merleStatus = []struct {
@@ -291,13 +291,13 @@
 		}
 		blocks = append(blocks, engine.BlockHash(hash))
 	}
-	if err := m.transferTime(c.Request().Context(), len(blocks)); err != nil {
+	if err := m.awaitTransfer(c.Request().Context(), len(blocks)); err != nil {
 		return nil
 	}
 	return c.Blob(http.StatusOK, echo.MIMEOctetStream, m.core.Export(blocks))
 }
 
-func (m merle) load(c echo.Context) error {
+func (m merle) importKV(c echo.Context) error {
 	if err := m.importBody(c); err != nil {
 		return m.fail(c, err)
 	}
@@ -314,7 +314,7 @@
 	if err != nil {
 		return err
 	}
-	return e.transferTime(c.Request().Context(), n)
+	return e.awaitTransfer(c.Request().Context(), n)
 }
 
 // maxKV bounds the body of an import, in bytes.
--- a/internal/standin/engine/pica.go
+++ b/internal/standin/engine/pica.go
@@ -61,7 +61,7 @@
 	router.DELETE("/loras/:adapter", p.order(jayv1.OrderKind_ORDER_KIND_UNLOAD_ADAPTER))
 	router.PUT("/role/:role", p.order(jayv1.OrderKind_ORDER_KIND_SET_ROLE))
 	router.POST("/kv/read", p.export)
-	router.PUT("/kv", p.load)
+	router.PUT("/kv", p.importKV)
 }
 
 var picaStatus = []struct {
@@ -172,7 +172,7 @@
 	return c.String(http.StatusOK, b.String())
 }
 
-// events streams frames: length of the rest (4 bytes), boot number (8), sequence
+// events streams frames: length of the rest (4 bytes), incarnation (8), sequence
 // number (8), operation (1), age in milliseconds (4), block hashes (8 each); all
 // little endian.
 func (p pica) events(c echo.Context) error {
@@ -254,13 +254,13 @@
 	for ; len(body) > 0; body = body[8:] {
 		blocks = append(blocks, engine.BlockHash(binary.LittleEndian.Uint64(body)))
 	}
-	if err := p.transferTime(c.Request().Context(), len(blocks)); err != nil {
+	if err := p.awaitTransfer(c.Request().Context(), len(blocks)); err != nil {
 		return nil
 	}
 	return c.Blob(http.StatusOK, echo.MIMEOctetStream, p.core.Export(blocks))
 }
 
-func (p pica) load(c echo.Context) error {
+func (p pica) importKV(c echo.Context) error {
 	if err := p.importBody(c); err != nil {
 		return p.fail(c, err)
 	}
--- a/internal/standin/engine/sim/answer.go
+++ b/internal/standin/engine/sim/answer.go
@@ -72,10 +72,12 @@
 
 // Answer is a request that waits or runs, and its output.
 type Answer struct {
-	core     *Core
-	call     Call
-	tag      uint32
-	chain    []engine.BlockHash
+	core  *Core
+	call  Call
+	tag   uint32
+	chain []engine.BlockHash
+	// prompt, cached and produced are numbers of tokens: of the prompt, of its part
+	// found in the cache, and of the output so far.
 	prompt   int
 	cached   int
 	produced int
--- a/internal/standin/engine/sim/models.go
+++ b/internal/standin/engine/sim/models.go
@@ -77,6 +77,8 @@
 	m.loads = append(m.loads, loading{adapter: adapter, name: name, due: now.Add(loadTime)})
 }
 
+// unload cancels a load in progress and, if ready is set, also removes the version
+// or adapter when it is already loaded.
 func (m *models) unload(adapter bool, name string, ready bool) {
 	m.loads = slices.DeleteFunc(m.loads, func(l loading) bool { return l.adapter == adapter && l.name == name })
 	if !ready {
--- a/internal/standin/engine/sim/options.go
+++ b/internal/standin/engine/sim/options.go
@@ -74,7 +74,7 @@
 	EventBuffer int
 	// KVBytesPerBlock is the size of a block in an export, without its hash.
 	KVBytesPerBlock int
-	// Incarnation is the boot number at the start; 0 means 1.
+	// Incarnation is the incarnation at the start; 0 means 1. Each crash adds one.
 	Incarnation uint64
 	// Seed of the random faults.
 	Seed uint64
--- a/internal/standin/kvstore/kvstore.go
+++ b/internal/standin/kvstore/kvstore.go
@@ -26,7 +26,7 @@
 type Options struct {
 	// Listen is an "ip:port" address; empty selects a free loopback port.
 	Listen string
-	// Blobs is the capacity of the store.
+	// Blobs is the capacity of the store, in blobs.
 	Blobs int
 }
 
@@ -57,7 +57,7 @@
 	}
 	blobs, err := lru.New[string, []byte](options.Blobs)
 	if err != nil {
-		return nil, eris.Wrap(err, "KV store")
+		return nil, eris.Wrap(err, "create LRU cache of blobs")
 	}
 	s := &Store{blobs: blobs}
 	e := echo.New()
