--- a/test/history/once_test.go
+++ b/test/history/once_test.go
@@ -103,7 +103,7 @@
 	got := b.post(one.CallersURL(), key, id)
 	end := time.Since(b.began)
 	if got == outcomeUnknown {
-		end = time.Hour
+		end = time.Hour // It may take effect at any later time.
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/test/scenario/commands_test.go
+++ b/test/scenario/commands_test.go
@@ -286,7 +286,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.failures) > 0 || l.sent.Load() == 0 {
-		return fmt.Errorf("%d of %d requests failed, the first: %s", len(l.failures), l.sent.Load(), strings.Join(l.failures[:min(3, len(l.failures))], "; "))
+		return fmt.Errorf("%d of %d requests failed, want none failed and at least one sent; the first failures: %s", len(l.failures), l.sent.Load(), strings.Join(l.failures[:min(3, len(l.failures))], "; "))
 	}
 	return nil
 }
--- a/tools/soak/faults.go
+++ b/tools/soak/faults.go
@@ -96,8 +96,8 @@
 }
 
 func (i *injector) crash(context.Context) error {
-	const longest = 800
-	down := time.Duration(i.random.IntN(longest)) * time.Millisecond
+	const maxDownMS = 800
+	down := time.Duration(i.random.IntN(maxDownMS)) * time.Millisecond
 	go i.cluster.Engines[i.random.IntN(len(i.cluster.Engines))].Crash(down)
 	return nil
 }
