--- a/internal/entry/dispatch_test.go
+++ b/internal/entry/dispatch_test.go
@@ -133,7 +133,7 @@
 }
 
 // A server that the platform lists as draining gets no new requests.
-func TestLeavingServerGetsNoNewRequests(t *testing.T) {
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	table := platformtest.New()
 	s := newDeployment(t, "b1", "b2")
 	e := s.entry("e1", withPlatform(table))
--- a/internal/spread/assignment_test.go
+++ b/internal/spread/assignment_test.go
@@ -17,7 +17,7 @@
 
 // Every agent is assigned to the configured number of entries, and with one entry per
 // agent no entry exceeds its capacity. All entries compute the same assignment.
-func TestAgentsAreSharedEvenlyAndEachHasAHome(t *testing.T) {
+func TestAgentsAreAssignedEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 40).Draw(t, "entries")
 		agents := rapid.IntRange(0, 320).Draw(t, "agents")
