--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -28,9 +28,8 @@
 	return &jayv1.Order{Fence: fence, Seq: seq, Kind: jayv1.OrderKind_ORDER_KIND_LOAD_VERSION, Digest: version}
 }
 
-// Guards against undoing a rollout: an order of an earlier lease holder arrives
-// after one of the next holder, the agent was replaced in between, and the
-// engine does not check fencing.
+// Guards against undoing a rollout: an order of an earlier lease holder arrives after one of the
+// next holder, the agent was replaced in between, and the engine does not check fencing.
 func TestOrderOfExpiredLeaseHolderIsRefusedByNextAgent(t *testing.T) {
 	table, err := platform.Start(platform.Options{})
 	require.NoError(t, err)
--- a/internal/agent/outcome_test.go
+++ b/internal/agent/outcome_test.go
@@ -78,9 +78,8 @@
 	}
 }
 
-// Guards against reporting a call as "not run" that did run, which the caller
-// would repeat. Streams are aborted at every step of the handoff, the queue
-// overflows, and deadlines pass while requests wait.
+// Guards against reporting a call as "not run" that did run, which the caller would repeat. Streams are
+// aborted at every step of the handoff, the queue overflows, and deadlines pass while requests wait.
 func TestNotRunIsReportedOnlyWhenNothingRan(t *testing.T) {
 	const requests, workers = 600, 12
 	counter := &runCounter{count: map[string]int{}}
--- a/internal/agent/service_test.go
+++ b/internal/agent/service_test.go
@@ -58,9 +58,8 @@
 	assert.Contains(t, got.head.GetHeaders(), &jayv1.Header{Name: "X-Answer", Value: "a"})
 }
 
-// Guards against net/http resending a call with an Idempotency-Key when the
-// service runs it on a reused connection and closes the connection without a
-// response.
+// Guards against net/http resending a call with an Idempotency-Key when the service runs it on a
+// reused connection and closes the connection without a response.
 func TestNonRepeatableCallIsSentOnce(t *testing.T) {
 	var runs atomic.Int32
 	fix := newServiceFixture(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/engine/dialect/dialect_test.go
+++ b/internal/engine/dialect/dialect_test.go
@@ -185,9 +185,8 @@
 	})
 }
 
-// Guards against a truncated stream that looks complete after an engine crash. It
-// must end in ErrInterrupted, and the engine must restart with an empty cache and
-// a new incarnation.
+// Guards against a truncated stream that looks complete after an engine crash. It must end in
+// ErrInterrupted, and the engine must restart with an empty cache and a new incarnation.
 func TestCrashInterruptsStreamAndClearsCache(t *testing.T) {
 	options := fastEngine
 	options.OutputTokens = 1000
--- a/internal/gateway/callerconn_test.go
+++ b/internal/gateway/callerconn_test.go
@@ -223,9 +223,8 @@
 	assert.ErrorIs(t, err, net.ErrClosed, "a later Read fails without blocking")
 }
 
-// Two pipelined requests arrive together, and the connection is closed as idle
-// after the first response. The second must not be forwarded, as its response
-// can't be sent.
+// Two pipelined requests arrive together, and the connection is closed as idle after the first
+// response. The second must not be forwarded, as its response can't be sent.
 func TestPipelinedRequestOnClosedConnectionIsNotSent(t *testing.T) {
 	socket := &socketStub{duringRead: func() {}}
 	conn := &callerConn{Conn: socket}
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -18,9 +18,8 @@
 	return p
 }
 
-// The number of entries that read from the store must not grow with the fleet, as each
-// call has a cost. In a small fleet the first entries of each data centre read from it
-// directly, since a second hop would exceed the bound on the age of data.
+// The number of entries that read from the store must not grow with the fleet, as each call has a cost. In a small fleet the
+// first entries of each data centre read from it directly, since a second hop would exceed the bound on the age of data.
 func TestFewEntriesReadFromStore(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for entries, want := range map[int]int{40: storeReaders, 20: 2 * relaysPerDataCentre} {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -64,9 +64,8 @@
 	c.answer = func() { c.lease.CommitDone(c.now(elapsed()), result, err) }
 }
 
-// Guards against two holders at the same time, whatever calls are lost or delayed,
-// whichever processes are paused, and with clocks that differ by 30% in rate.
-// Fencing numbers never decrease.
+// Guards against two holders at the same time, whatever calls are lost or delayed, whichever
+// processes are paused, and with clocks that differ by 30% in rate. Fencing numbers never decrease.
 func TestNeverTwoHoldersAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := platformtest.New()
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -225,9 +225,8 @@
 	})
 }
 
-// Guards against a server that stays out for good after its agent reported draining
-// and restarted: the engine ran on, so no new incarnation shows, and without offers
-// no newer report arrives.
+// Guards against a server that stays out for good after its agent reported draining and restarted:
+// the engine ran on, so no new incarnation shows, and without offers no newer report arrives.
 func TestAServerThatReturnsUnnoticedIsUsedAgain(t *testing.T) {
 	m, _ := pool(2)
 	now := start
--- a/internal/ordergate/gate_test.go
+++ b/internal/ordergate/gate_test.go
@@ -131,10 +131,8 @@
 	s.enqueue(s.gate.Tick(s.now))
 }
 
-// TestOrdersTakeEffectInNumberOrder guards against undoing a later order. The
-// simulation has holders with expired leases, agents replaced between any two
-// steps, a table that fails or loses responses, and an engine that does not check
-// numbers, is slow or restarts.
+// TestOrdersTakeEffectInNumberOrder guards against undoing a later order. The simulation has holders with expired leases, agents
+// replaced between any two steps, a table that fails or loses responses, and an engine that does not check numbers, is slow or restarts.
 func TestOrdersTakeEffectInNumberOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation()
--- a/internal/orders/plan_test.go
+++ b/internal/orders/plan_test.go
@@ -84,9 +84,8 @@
 	}
 }
 
-// Guards against a rollout that takes too many servers out of service. Whatever is
-// declared and whichever servers fail, orders never reduce the serving servers to
-// fewer than min_ready nor exceed MaxLoads, and a rollout ends.
+// Guards against a rollout that takes too many servers out of service. Whatever is declared and whichever servers fail,
+// orders never reduce the serving servers to fewer than min_ready nor exceed MaxLoads, and a rollout ends.
 func TestRolloutKeepsTheDeclaredNumberReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFakePool(t)
--- a/internal/routing/direct_test.go
+++ b/internal/routing/direct_test.go
@@ -57,9 +57,8 @@
 	assert.Less(t, second.Terms.PrefillMS, first.Terms.PrefillMS)
 }
 
-// A server that does not hold a prefix must fetch the deepest level that
-// another server holds; otherwise a frequent prefix is prefilled at every
-// server.
+// A server that does not hold a prefix must fetch the deepest level that another server holds;
+// otherwise a frequent prefix is prefilled at every server.
 func TestAServerThatLacksThePrefixFetchesIt(t *testing.T) {
 	d, servers := newDirect(), directServers(2)
 	first := choose(t, d, 0, prompt("r1", "contract"), servers)
--- a/internal/routing/overload_test.go
+++ b/internal/routing/overload_test.go
@@ -43,9 +43,8 @@
 	return f, net
 }
 
-// When running requests fill the engines' memory, preempted prompts and evicted
-// prefixes are prefilled again, which keeps the memory full long after the
-// peak.
+// When running requests fill the engines' memory, preempted prompts and evicted prefixes are
+// prefilled again, which keeps the memory full long after the peak.
 func TestPromptsWaitOutsideFullEngines(t *testing.T) {
 	before, netBefore := playOverload(t, 1.7, false, 0)
 	after, net := playOverload(t, 1.7, true, 0)
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -56,9 +56,8 @@
 	return routing.Options{Policy: policy, DataCentre: "hall-0", Region: "north", Seed: seed}
 }
 
-// A request sent to a server that is draining, lacks the version or just
-// refused it fails or waits in vain: no policy may choose a server that the
-// filter excludes.
+// A request sent to a server that is draining, lacks the version or just refused it fails or waits
+// in vain: no policy may choose a server that the filter excludes.
 func TestNoPolicyChoosesAnExcludedServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := servers(rapid.IntRange(1, 30).Draw(t, "servers"))
--- a/internal/routing/shardmodel_test.go
+++ b/internal/routing/shardmodel_test.go
@@ -24,9 +24,8 @@
 	return f, net
 }
 
-// With many entries, each knows only a small part of the load. Without shard
-// owners long prompts wait at some engines while others are idle, and prefixes
-// are prefilled at several.
+// With many entries, each knows only a small part of the load. Without shard owners long prompts
+// wait at some engines while others are idle, and prefixes are prefilled at several.
 func TestShardOwnersServeLargeFleet(t *testing.T) {
 	_, few := playLarge(t, "few entries that exchange hints", 48, 6, func(*modelFleet) {})
 	isolated, many := playLarge(t, "many entries without hints", 48, 100, func(f *modelFleet) { f.isolated = 100 })
--- a/internal/routing/sharedprefix_test.go
+++ b/internal/routing/sharedprefix_test.go
@@ -7,9 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// When one server can't serve all requests with a prefix, its set must grow to
-// the servers that serve them anyway, and shrink after the peak so that it no
-// longer occupies their caches.
+// When one server can't serve all requests with a prefix, its set must grow to the servers that
+// serve them anyway, and shrink after the peak so that it no longer occupies their caches.
 func TestHotPrefixWidensAndNarrows(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := &sharedPrefix{width: 1, minWidth: 1, ranking: ranking{length: 12}}
@@ -29,9 +28,8 @@
 	assert.Equal(t, 1, l.width)
 }
 
-// With long queues everywhere, the shortest queue must not outweigh every
-// cached prefix: each request would be prefilled from scratch, and the queues
-// would stay long.
+// With long queues everywhere, the shortest queue must not outweigh every cached prefix: each
+// request would be prefilled from scratch, and the queues would stay long.
 func TestLongQueuesRaiseTheWeightOfRecomputation(t *testing.T) {
 	c := &choice{policy: &PoolPolicy{}}
 	cand := &candidate{backend: &backend{byteMS: 0.025}, prefillMS: 400}
--- a/test/history/catalog_test.go
+++ b/test/history/catalog_test.go
@@ -122,9 +122,8 @@
 	return catalogInput{read: true}, catalogOutput{generation: table.Generation(), value: service.GetConcurrency()}, nil
 }
 
-// Guards against accepted changes that are lost or undone and refused changes that
-// take effect, with concurrent operators and a platform that loses requests and
-// answers.
+// Guards against accepted changes that are lost or undone and refused changes that take effect,
+// with concurrent operators and a platform that loses requests and answers.
 func TestAppliesAndReadsAreLinearizable(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/test/history/once_test.go
+++ b/test/history/once_test.go
@@ -35,9 +35,8 @@
 	outcomes map[outcome]int
 }
 
-// Guards against a booking that runs twice, or that is reported as not run although it
-// ran, while entries restart, the store fails and the service closes connections
-// after the run.
+// Guards against a booking that runs twice, or that is reported as not run although it ran, while
+// entries restart, the store fails and the service closes connections after the run.
 func TestBookingRunsAtMostOnceAcrossEntryRestarts(t *testing.T) {
 	const callers, keys = 8, 25
 	length := 6 * time.Second
