--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -11,7 +11,7 @@
 	var p strings.Builder
 	p.WriteString(head)
 	fmt.Fprintf(&p, "\n%.0f entries before %.0f backend servers in %.0f data centres and %.0f regions: %.0f entries and %.0f backend servers a data centre, "+
-		"%.0f requests/s an entry and %.1f a backend server, %.0f cached blocks and %.0f cache events/s a backend server, %.0f answers open at an entry, %.3f changes/s, %.0f declared objects.\n",
+		"%.0f requests/s an entry and %.1f a backend server, %.0f cached blocks and %.0f cache events/s a backend server, %.0f open streams at an entry, %.3f changes/s, %.0f declared objects.\n",
 		sizes.Entries, sizes.BackendServers, sizes.DataCentres, sizes.Regions, sizes.entriesPerDC(), sizes.serversPerDC(),
 		sizes.requestsPerEntry(), sizes.requestsPerServer(), sizes.blocksPerServer(), sizes.eventsPerServer(), sizes.openStreamsPerEntry(),
 		sizes.changesPerSecond(), sizes.objects())
@@ -23,7 +23,7 @@
 		}
 		fmt.Fprintf(&p, "| %s | %s | %s | %s | %s | %s |\n", row.What, valueText(row), boundText(row), verdictText(row), row.From, row.Mechanism)
 	}
-	p.WriteString("\n## Slopes\n\nA value is fixed + per unit x count; R2 tells how straight the line is.\n\n| slope | per | per unit | fixed | R2 | points (count: value) | command |\n|---|---|---|---|---|---|---|\n")
+	p.WriteString("\n## Slopes\n\nA value is fixed + per unit x count; R2 is the coefficient of determination of the line.\n\n| slope | per | per unit | fixed | R2 | points (count: value) | command |\n|---|---|---|---|---|---|---|\n")
 	for _, name := range names(slopes) {
 		s := slopes[name]
 		fmt.Fprintf(&p, "| `%s`, %s | %s | %.4g | %.4g | %.3f | %s | `%s` |\n", s.Name, s.YUnit, s.XUnit, s.PerUnit, s.Fixed, s.R2, pointsText(s.Points), s.Command)
@@ -35,46 +35,46 @@
 const head = `# Capacity: the size of two years
 
 Computed by ` + "`go run ./tools/capacity`" + ` from docs/slopes.json, which ` + "`make slopes`" + ` writes; CI checks that page and slopes agree.
-Nothing here was run at this size: slopes were measured on one machine with small stand-ins and carried on in a straight line.
+Nothing here was run at this size: slopes were measured on one machine with small stand-ins and extrapolated linearly.
 Timings depend on the machine; the run's machine had 12 cores that other work shared.
 `
 
 const tail = `
-## What the page does not know
+## What the page does not cover
 
-- Losses of a data centre or a region are worked out from room, not run: 1/22 of the load moved to the other data centres of the
-  region raises each of theirs by a half when a region has three, so pools need that room for the first-token bound to hold.
+- Losses of a data centre or a region are computed from spare capacity, not run: 1/22 of the load moved to the other data centres of the
+  region raises each of theirs by a half when a region has three, so pools need that spare capacity for the first-token bound to hold.
 - The first token within 0.32 s and 34 ms between tokens depend on the users' engines; what entry and agent add is in MEASUREMENTS.md.
 - Cross-region links: gossip and polls were measured in one data centre on loopback.
 
 ## The gateway on the users' platform
 
-Worked out by hand from runs of 4, 5, 31 and 103 entries (12, 9, 56 and 180 engines) and from benchmarks; not run at the size of two years.
+Computed by hand from runs of 4, 5, 31 and 103 entries (12, 9, 56 and 180 engines) and from benchmarks; not run at the size of two years.
 
 | what | measured | at 810 entries, 7,000 backend servers | bound | verdict | mechanism |
 |---|---|---|---|---|---|
-| one decision, up to 26 entries | 13, 14, 16 microseconds at 12, 56, 318 servers (` + "`go test -run xxx -bench DirectChoice ./internal/routing`" + `) | not used there | 10 | | few servers scored; the filter looks at all |
+| one decision, up to 26 entries | 13, 14, 16 microseconds at 12, 56, 318 servers (` + "`go test -run xxx -bench DirectChoice ./internal/routing`" + `) | not used there | 10 | | few servers scored; the filter reads all |
 | one decision, an owner's | 10.5 microseconds at the 12 servers of a shard (` + "`-bench DirectChoice`" + `) | 9 servers a shard: 10.5 at most | 10 | **short** | shards of eight servers or more |
-| who is asked, each request | 0.5, 2.3, 16.6 microseconds at 180, 1,000, 7,000 servers (` + "`go test -run xxx -bench Asked ./internal/shard`" + `) | 160 requests/s: 0.27% of a core | | | looks at all servers |
-| who owns what, each change of the list | 0.009, 0.23, 8.7 ms at 180, 1,000, 7,000 servers and 15, 100, 810 owners (` + "`-bench Division`" + `) | three batches of changes a second while weights go round: 2.6% of a core | 1.4% | **does not hold** | owners by server could be kept while the owners stay; a list by data centre |
-| questions, offers and progress | four datagrams a request of 43 to 118 bytes with headers, 300 bytes together, some 250 more where a second owner is asked (` + "`go test -v -run WordsOnARequest ./internal/gateway`" + `): 3 to 6 KB/s at 10 requests/s, at any number of entries | 160 requests/s: 48 to 88 KB/s, part of the requests (0.3 KB beside a body of 12 KB) | | | a request asks one owner, at times two |
+| choice of the owner, each request | 0.5, 2.3, 16.6 microseconds at 180, 1,000, 7,000 servers (` + "`go test -run xxx -bench OwnersFor ./internal/shard`" + `) | 160 requests/s: 0.27% of a core | | | reads all servers |
+| assignment of servers to owners, each change of the list | 0.009, 0.23, 8.7 ms at 180, 1,000, 7,000 servers and 15, 100, 810 owners (` + "`-bench Assignment`" + `) | three batches of changes a second during a rollout: 2.6% of a core | 1.4% | **does not hold** | the assignment could be kept while the owners stay the same; a list by data centre |
+| owner queries, offers and progress | four datagrams a request of 43 to 118 bytes with headers, 300 bytes together, some 250 more where a second owner is asked (` + "`go test -v -run DatagramBytesPerRequest ./internal/gateway`" + `): 3 to 6 KB/s at 10 requests/s, at any number of entries | 160 requests/s: 48 to 88 KB/s, part of the requests (0.3 KB beside a body of 12 KB) | | | a request asks one owner, at times two |
 | processor, requests and control | 0.011, 0.015, 0.024, 0.0185 cores at 5, 4, 31, 103 entries with about 25, 36, 13 and 15 requests/s an entry | not separated | 1.4% for control | not measured | |
-| memory of a process | 10.4, 11.6, 23.5, 24.3 MB peak at 5, 4, 31, 103 entries (69 MB at 103 when all was told to all) | list and routes: under 64 MB by the entries' slope above | 64 MB | not measured | one immutable table, bounded beliefs |
-| calls to the store, all entries | 9 to 11/s at 4 and 5 entries, 15/s at 31, 19/s at 103 (57/s before), starts included | three readers: about 20/s besides the entries' own rows | 2,000/s | holds | three readers, two relays a data centre, waiting feeds, two contenders |
-| list of backend servers, a reader | a row of about 300 bytes a heartbeat: 3 KB/s at 15 servers | 7,000 heartbeats in 1.2 s: 1.7 MB/s | 2 KB/s | **does not hold** | needs a list by data centre, or changes without heartbeats; three entries bear it |
-| list, the other entries | changes without heartbeats only | some changes a minute | 2 KB/s | holds | relays hand on what matters |
-| news of rollouts, an owner | about 90 bytes a server and version, twice | 7,000 servers: 0.6 MB for each version | 2 KB/s | holds up to one version in five minutes | to owners only; could go to the owner of the server only |
+| memory of a process | 10.4, 11.6, 23.5, 24.3 MB peak at 5, 4, 31, 103 entries (69 MB at 103 when each entry sent everything to every other) | list and routes: under 64 MB by the entries' slope above | 64 MB | not measured | one immutable table, bounded cache observations |
+| calls to the store, all entries | 9 to 11/s at 4 and 5 entries, 15/s at 31, 19/s at 103 (57/s before), starts included | three readers: about 20/s besides the entries' own rows | 2,000/s | holds | three readers, two relays a data centre, long-polled feeds, two contenders |
+| list of backend servers, a reader | a row of about 300 bytes a heartbeat: 3 KB/s at 15 servers | 7,000 heartbeats in 1.2 s: 1.7 MB/s | 2 KB/s | **does not hold** | needs a list by data centre, or changes without heartbeats; three entries carry it |
+| list, the other entries | changes without heartbeats only | some changes a minute | 2 KB/s | holds | relays forward only changes other than heartbeats |
+| rollout updates, an owner | about 90 bytes a server and version, twice | 7,000 servers: 0.6 MB for each version | 2 KB/s | holds up to one version in five minutes | to owners only; could be sent to the owner of the server only |
 | hints of an entry, up to 26 entries | at most 1.3 KB/s for each other entry, 32 KB/s in all | none are sent | 2 KB/s | holds there | owners of shards instead |
-| stores of kept cache, asked by an owner | each 0.5 s, or 0.05 s for each strong entry where that is longer | each 40 s: 0.1 KB/s, and 20 questions a second at a store | 2 KB/s | holds, but what a store dropped is known late | pause that grows with those that ask |
-| requests under which servers crash, one more strike in a full book of 4,096 | 0.11 ms (` + "`go test -run xxx -bench Judge ./internal/quarantine`" + `); nothing while none crashes but a feed | a rack of 30 servers lost, ten runs each that had just begun: 300 rows, once; 47 servers a day: about 1 byte/s | 2 KB/s | holds, worked out | only requests that may be held are judged; few datagrams in large fleets |
+| KV cache stores, queried by an owner | each 0.5 s, or 0.05 s for each entry that may own shards where that is longer | each 40 s: 0.1 KB/s, and 20 queries a second at a store | 2 KB/s | holds, but evictions by a store are detected late | pause that grows with the number of entries that query |
+| requests under which servers crash, one more crash record in a full registry of 4,096 | 0.11 ms (` + "`go test -run xxx -bench Recompute ./internal/quarantine`" + `); only a feed while no server crashes | a rack of 30 servers lost, ten requests each that had just begun: 300 rows, once; 47 servers a day: about 1 byte/s | 2 KB/s | holds, computed | only requests that may be quarantined are evaluated; few datagrams in large fleets |
 | a configuration in force | one feed, 0.35 s more through a relay | the same | 5 s | holds while the store is up | |
 
 ### Slopes of the users' sweep
 
-` + "`fleetbench sweep large/aeat-flota-large.toml --jobs 2`" + ` plays one day at 30, 100 and 298 entries before 300, 1,000 and 3,000 backend servers, traffic played at a share; busiest entry, and where its slope
-leads at 815. No rule broken; served 0.960, 0.950, 0.979. Before the list was taken in at once the day at 298 entries served 0.273 with a rule broken, at 85% of the processor.
+` + "`fleetbench sweep large/aeat-flota-large.toml --jobs 2`" + ` plays one day at 30, 100 and 298 entries before 300, 1,000 and 3,000 backend servers, traffic scaled down; busiest entry, and its slope
+extrapolated to 815. No rule broken; served 0.960, 0.950, 0.979. Before the list was applied in one batch the day at 298 entries served 0.273 with a rule broken, at 85% of the processor.
 
-| busiest entry | 30 | 100 | 298 | at 815, worked out | bound | verdict |
+| busiest entry | 30 | 100 | 298 | at 815, computed | bound | verdict |
 |---|---|---|---|---|---|---|
 | processor, % of its VM's share, requests included | 8.3 | 8.6 | 13.2 | 16.1 | 1.4 for control | not separated from requests |
 | memory, MB | 11.0 | 13.2 | 20.2 | 26.2 | 64 | holds |
